--- a/src/libs/attempts/attempt_gate.cc
+++ b/src/libs/attempts/attempt_gate.cc
@@ -29,7 +29,7 @@
     return AlreadyAdmitted{StateOf(known->second)};
   }
 #if !defined(BILBERRYSPOOL_MUTATION_ACCEPT_OLD_EPOCH)
-  if (!IsGood(attempt.token, now)) {
+  if (!IsTokenValid(attempt.token, now)) {
     return Refuse(start, RefusalReason::kExpiredToken, now);
   }
 #endif
@@ -37,10 +37,10 @@
   if (reason.has_value()) {
     // The refusal must be final: a second copy of the frame may arrive when
     // there is room again, after the entry was told "not run".
-    Remember(attempt, Phase::kForbidden, now);
+    AddRecord(attempt, Phase::kForbidden, now);
     return Refuse(start, *reason, now);
   }
-  if (!Remember(attempt, Phase::kRunning, now)) {
+  if (!AddRecord(attempt, Phase::kRunning, now)) {
     return Refuse(start, RefusalReason::kMemoryFull, now);
   }
   ++running_;
@@ -77,11 +77,11 @@
   if (known != records_.end()) {
     return {attempt.attempt, StateOf(known->second)};
   }
-  if (!CanVouchFor(attempt.token, now)) {
+  if (!HasCompleteRecordsFor(attempt.token, now)) {
     return {attempt.attempt, SettledUnknown{}};
   }
-  if (!IsGood(attempt.token, now)) {
-    return {attempt.attempt, SettledNeverWill{}};
+  if (!IsTokenValid(attempt.token, now)) {
+    return {attempt.attempt, SettledNotRun{}};
   }
   if (!request.forbid) {
     return {attempt.attempt, SettledNotSeen{}};
@@ -89,9 +89,9 @@
 #if !defined(BILBERRYSPOOL_MUTATION_FORGET_TOMBSTONE)
   // The frame may still be under way: the entry is about to say "not run" or
   // to try elsewhere, so its arrival must be refused.
-  Remember(attempt, Phase::kForbidden, now);
+  AddRecord(attempt, Phase::kForbidden, now);
 #endif
-  return {attempt.attempt, SettledNeverWill{}};
+  return {attempt.attempt, SettledNotRun{}};
 }
 
 void AttemptGate::StartDraining(TimePoint now) {
@@ -106,19 +106,21 @@
   return Epoch(static_cast<std::uint64_t>(passed) + 1);
 }
 
-bool AttemptGate::IsGood(const AdmissionToken& token, TimePoint now) const {
+bool AttemptGate::IsTokenValid(const AdmissionToken& token,
+                               TimePoint now) const {
   const Epoch present = epoch(now);
   return token.generation == generation_ && token.epoch <= present &&
-         token.epoch.value() + options_.good_epochs >= present.value();
+         token.epoch.value() + options_.token_validity_epochs >=
+             present.value();
 }
 
 // Whether the absence of a record proves that nothing with this token ran.
-bool AttemptGate::CanVouchFor(const AdmissionToken& token,
-                              TimePoint now) const {
+bool AttemptGate::HasCompleteRecordsFor(const AdmissionToken& token,
+                                        TimePoint now) const {
   if (token.incarnation != incarnation_ || token.epoch > epoch(now)) {
     return false;
   }
-  return !forgotten_through_.has_value() || *forgotten_through_ < token;
+  return !newest_evicted_token_.has_value() || *newest_evicted_token_ < token;
 }
 
 std::optional<RefusalReason> AttemptGate::ReasonToRefuse(TimePoint now) const {
@@ -140,7 +142,7 @@
                                    TimePoint now) {
   // Another incarnation, or this one before it dropped the record, may have
   // run an earlier copy of the frame.
-  const bool never_ran = CanVouchFor(start.attempt.token, now);
+  const bool never_ran = HasCompleteRecordsFor(start.attempt.token, now);
   const Duration retry_after = reason == RefusalReason::kOverCapacity
                                    ? options_.over_capacity_retry
                                    : Duration{};
@@ -149,10 +151,10 @@
 
 // False where there was no room. Then all tokens out there have been ended, so
 // that the attempt can't start later either.
-bool AttemptGate::Remember(const AttemptRef& attempt,
-                           Phase phase,
-                           TimePoint now) {
-  if (records_.size() >= options_.max_records && !MakeRoom(now)) {
+bool AttemptGate::AddRecord(const AttemptRef& attempt,
+                            Phase phase,
+                            TimePoint now) {
+  if (records_.size() >= options_.max_records && !EvictOldestRecord(now)) {
     generation_ = generation_.Next();
     return false;
   }
@@ -164,18 +166,19 @@
 }
 
 // Drops the oldest ended record whose token is no longer good.
-bool AttemptGate::MakeRoom(TimePoint now) {
+bool AttemptGate::EvictOldestRecord(TimePoint now) {
   for (std::size_t tried = ended_.size(); tried > 0; --tried) {
     const AttemptId oldest = ended_.front();
     ended_.pop_front();
     const AdmissionToken token = records_.at(oldest).token;
-    if (IsGood(token, now)) {
+    if (IsTokenValid(token, now)) {
       ended_.push_back(oldest);
       continue;
     }
     kept_bytes_ -= records_.at(oldest).outcome.body.value_or("").size();
     records_.erase(oldest);
-    forgotten_through_ = std::max(forgotten_through_.value_or(token), token);
+    newest_evicted_token_ =
+        std::max(newest_evicted_token_.value_or(token), token);
     return true;
   }
   return false;
@@ -187,15 +190,15 @@
   if (!body.has_value()) {
     return;
   }
-  if (body->size() > options_.max_kept_body) {
+  if (body->size() > options_.max_kept_body_bytes) {
     body.reset();
     return;
   }
   kept_bytes_ += body->size();
-  kept_.push_back(attempt);
-  while (kept_bytes_ > options_.max_kept_bytes) {
-    const auto oldest = records_.find(kept_.front());
-    kept_.pop_front();
+  kept_body_ids_.push_back(attempt);
+  while (kept_bytes_ > options_.max_kept_total_bytes) {
+    const auto oldest = records_.find(kept_body_ids_.front());
+    kept_body_ids_.pop_front();
     if (oldest == records_.end()) {
       continue;
     }
@@ -211,7 +214,7 @@
     case Phase::kFinished:
       return SettledFinished{record.outcome};
     case Phase::kForbidden:
-      return SettledNeverWill{};
+      return SettledNotRun{};
   }
   return SettledUnknown{};
 }
--- a/src/libs/attempts/attempt_gate.h
+++ b/src/libs/attempts/attempt_gate.h
@@ -26,14 +26,14 @@
   // Length of an epoch on the agent's clock.
   Duration epoch_length = Seconds(5);
   // A token is good in its own epoch and in this many after it.
-  std::uint64_t good_epochs = 3;
+  std::uint64_t token_validity_epochs = 3;
   // Attempts that run at the same time.
   std::size_t capacity = 64;
   // Attempts remembered, running or not.
   std::size_t max_records = 50000;
   // Largest answer kept for a later question, and all of them, in bytes.
-  std::size_t max_kept_body = 4096;
-  std::size_t max_kept_bytes = 8U << 20U;
+  std::size_t max_kept_body_bytes = 4096;
+  std::size_t max_kept_total_bytes = 8U << 20U;
   // How long new work is still taken after draining began.
   Duration leaving_grace = Seconds(3);
   // Hint to callers where the gate is over its capacity.
@@ -93,14 +93,14 @@
   };
 
   Epoch epoch(TimePoint now) const;
-  bool IsGood(const AdmissionToken& token, TimePoint now) const;
-  bool CanVouchFor(const AdmissionToken& token, TimePoint now) const;
+  bool IsTokenValid(const AdmissionToken& token, TimePoint now) const;
+  bool HasCompleteRecordsFor(const AdmissionToken& token, TimePoint now) const;
   std::optional<RefusalReason> ReasonToRefuse(TimePoint now) const;
   AttemptRefusal Refuse(const StartAttempt& start,
                         RefusalReason reason,
                         TimePoint now);
-  bool Remember(const AttemptRef& attempt, Phase phase, TimePoint now);
-  bool MakeRoom(TimePoint now);
+  bool AddRecord(const AttemptRef& attempt, Phase phase, TimePoint now);
+  bool EvictOldestRecord(TimePoint now);
   void KeepBody(const AttemptId& attempt, Record& record);
   static SettleState StateOf(const Record& record);
 
@@ -112,13 +112,13 @@
   // Grows to end all tokens at once, where memory is full.
   TokenGeneration generation_;
   // The newest token of which a record was dropped.
-  std::optional<AdmissionToken> forgotten_through_;
+  std::optional<AdmissionToken> newest_evicted_token_;
   std::size_t running_ = 0;
   std::unordered_map<AttemptId, Record> records_;
   // Ended records, oldest first.
   std::deque<AttemptId> ended_;
   // Attempts whose answer is kept, oldest first.
-  std::deque<AttemptId> kept_;
+  std::deque<AttemptId> kept_body_ids_;
   std::size_t kept_bytes_ = 0;
 };
 
--- a/src/libs/attempts/claim_holder.cc
+++ b/src/libs/attempts/claim_holder.cc
@@ -208,8 +208,8 @@
     return;
   }
   const std::size_t size = outcome.body->size();
-  if (size > options_.max_kept_body ||
-      kept_bytes_ + size > options_.max_kept_bytes) {
+  if (size > options_.max_kept_body_bytes ||
+      kept_bytes_ + size > options_.max_kept_total_bytes) {
     return;
   }
   entry.outcome.body = outcome.body;
--- a/src/libs/attempts/claim_holder.h
+++ b/src/libs/attempts/claim_holder.h
@@ -31,8 +31,8 @@
   // Keys remembered at the same time.
   std::size_t max_entries = 20000;
   // Largest answer kept, and all of them, in bytes.
-  std::size_t max_kept_body = 1024;
-  std::size_t max_kept_bytes = 8U << 20U;
+  std::size_t max_kept_body_bytes = 1024;
+  std::size_t max_kept_total_bytes = 8U << 20U;
 };
 
 // One key of the ledger.
--- a/src/libs/attempts/messages.h
+++ b/src/libs/attempts/messages.h
@@ -173,8 +173,8 @@
 };
 
 // It did not run and never will.
-struct SettledNeverWill {
-  bool operator==(const SettledNeverWill&) const = default;
+struct SettledNotRun {
+  bool operator==(const SettledNotRun&) const = default;
 };
 struct SettledRunning {
   bool operator==(const SettledRunning&) const = default;
@@ -193,7 +193,7 @@
   bool operator==(const SettledUnknown&) const = default;
 };
 
-using SettleState = std::variant<SettledNeverWill,
+using SettleState = std::variant<SettledNotRun,
                                  SettledRunning,
                                  SettledFinished,
                                  SettledNotSeen,
--- a/src/libs/attempts/messages_json.cc
+++ b/src/libs/attempts/messages_json.cc
@@ -22,8 +22,8 @@
     "memory_full",   "leaving",           "stopped"};
 
 // In microseconds; longer spans are taken for garbage.
-constexpr std::uint64_t kLongestSpan = 1ULL << 50U;
-constexpr std::uint64_t kHighestStatus = 999;
+constexpr std::uint64_t kMaxDurationUs = 1ULL << 50U;
+constexpr std::uint64_t kMaxStatus = 999;
 
 // Reads the fields of one object; after a first fault all that follows is
 // worthless and ok() is false.
@@ -73,7 +73,7 @@
 
   Duration Span(std::string_view name) {
     const std::uint64_t span = Number(name);
-    if (span > kLongestSpan) {
+    if (span > kMaxDurationUs) {
       Fail();
       return {};
     }
@@ -205,7 +205,7 @@
 std::optional<Outcome> ReadOutcome(const json::value& value) {
   Reader in(value);
   const std::uint64_t status = in.Number("status");
-  if (status > kHighestStatus) {
+  if (status > kMaxStatus) {
     in.Fail();
   }
   Outcome outcome{static_cast<int>(status), std::nullopt};
@@ -279,7 +279,7 @@
 
 json::object Write(const SettleState& state) {
   return std::visit(Overloaded{
-                        [](const SettledNeverWill&) {
+                        [](const SettledNotRun&) {
                           return json::object{{"is", "never_will"}};
                         },
                         [](const SettledRunning&) {
@@ -305,7 +305,7 @@
   const std::string is = in.Text("is");
   SettleState state;
   if (is == "never_will") {
-    state = SettledNeverWill{};
+    state = SettledNotRun{};
   } else if (is == "running") {
     state = SettledRunning{};
   } else if (is == "finished") {
--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -22,7 +22,7 @@
     : options_(options),
       spec_(std::move(spec)),
       claim_(spec_.key, spec_.fingerprint, spec_.claimant, spec_.holders),
-      stream_(options.max_kept_body) {}
+      stream_(options.max_kept_body_bytes) {}
 
 std::vector<RequestAction> RequestMachine::Handle(const RequestEvent& event,
                                                   TimePoint now) {
@@ -304,7 +304,7 @@
 
 void RequestMachine::OnSettled(const SettleState& state, TimePoint now) {
   std::visit(Overloaded{
-                 [&](const SettledNeverWill&) {
+                 [&](const SettledNotRun&) {
                    ProvenNotRun(true, options_.default_retry, now);
                  },
                  [&](const SettledRunning&) { Resume(now); },
--- a/src/libs/attempts/request_machine.h
+++ b/src/libs/attempts/request_machine.h
@@ -72,7 +72,7 @@
   // Hint where nothing better is known.
   Duration default_retry = Seconds(1);
   // Largest answer handed to the holders, in bytes.
-  std::size_t max_kept_body = 1024;
+  std::size_t max_kept_body_bytes = 1024;
 };
 
 class RequestMachine {
--- a/src/libs/attempts/request_machine_claims.cc
+++ b/src/libs/attempts/request_machine_claims.cc
@@ -107,7 +107,7 @@
                  },
                  // It may be under way: the timer asks again, and then forbids.
                  [](const SettledNotSeen&) {},
-                 [&](const SettledNeverWill&) { TakeOver(); },
+                 [&](const SettledNotRun&) { TakeOver(); },
              },
              state);
 }
--- a/tests/auto/attempts/attempt_gate_test.cc
+++ b/tests/auto/attempts/attempt_gate_test.cc
@@ -56,7 +56,7 @@
   CHECK(gate.running() == 0);
   const SettleAnswer settled =
       gate.Settle({start.attempt, false}, TimeAt(Seconds(1)));
-  CHECK(std::holds_alternative<SettledNeverWill>(settled.state));
+  CHECK(std::holds_alternative<SettledNotRun>(settled.state));
   CHECK(FinalRefusal(gate.Admit(start, TimeAt(Seconds(1)))) ==
         RefusalReason::kTombstone);
 }
@@ -86,7 +86,7 @@
   const SettleAnswer seen = gate.Settle({start.attempt, false}, TimeAt({}));
   CHECK(std::holds_alternative<SettledNotSeen>(seen.state));
   const SettleAnswer answer = gate.Settle({start.attempt, true}, TimeAt({}));
-  CHECK(std::holds_alternative<SettledNeverWill>(answer.state));
+  CHECK(std::holds_alternative<SettledNotRun>(answer.state));
   CHECK(FinalRefusal(gate.Admit(start, TimeAt({}))) ==
         RefusalReason::kTombstone);
 }
@@ -122,8 +122,8 @@
 }
 
 TEST_CASE("memory is bounded, and what it can't keep can't start") {
-  AttemptGate gate({.max_records = 2, .max_kept_bytes = 5}, Incarnation(1),
-                   TimeAt({}));
+  AttemptGate gate({.max_records = 2, .max_kept_total_bytes = 5},
+                   Incarnation(1), TimeAt({}));
   const AdmissionToken token = gate.token(TimeAt({}));
   for (const char* id : {"a", "b"}) {
     REQUIRE(IsAdmitted(gate.Admit(Start(id, token), TimeAt({}))));
--- a/tests/auto/attempts/messages_json_test.cc
+++ b/tests/auto/attempts/messages_json_test.cc
@@ -58,7 +58,7 @@
   CheckRoundTrip(AttemptRefusal{AttemptId("a"), RefusalReason::kLeaving, true,
                                 kAttempt.token, Seconds(1)});
   CheckRoundTrip(SettleRequest{kAttempt, true});
-  const std::vector<SettleState> states = {SettledNeverWill{}, SettledRunning{},
+  const std::vector<SettleState> states = {SettledNotRun{}, SettledRunning{},
                                            SettledFinished{kOutcome},
                                            SettledNotSeen{}, SettledUnknown{}};
   for (const SettleState& state : states) {
