--- a/src/libs/attempts/claim_coordinator.cc
+++ b/src/libs/attempts/claim_coordinator.cc
@@ -23,7 +23,7 @@
   votes_.clear();
 }
 
-bool ClaimCoordinator::LacksRoster() const {
+bool ClaimCoordinator::NeedsNewerRoster() const {
   return sets_.empty() ||
          std::any_of(votes_.begin(), votes_.end(), [](const auto& vote) {
            const auto* abstained = std::get_if<ClaimAbstained>(&vote.second);
@@ -46,7 +46,7 @@
   return {holders.begin(), holders.end()};
 }
 
-std::vector<NodeId> ClaimCoordinator::Silent() const {
+std::vector<NodeId> ClaimCoordinator::UnansweredHolders() const {
   std::vector<NodeId> silent = Holders();
   std::erase_if(silent,
                 [&](const NodeId& node) { return votes_.contains(node); });
@@ -89,14 +89,14 @@
   return known ? std::optional<bool>(true) : std::nullopt;
 }
 
-ClaimState ClaimCoordinator::State(bool final) const {
-  if (const auto* finished = First<ClaimFinished>(); finished != nullptr) {
+ClaimState ClaimCoordinator::State(bool timed_out) const {
+  if (const auto* finished = FirstVote<ClaimFinished>(); finished != nullptr) {
     return *finished;
   }
   bool won = !sets_.empty();
   bool possible = !sets_.empty();
   for (const HolderSet& set : sets_) {
-    const Count count = CountSet(set, final);
+    const Count count = CountSet(set, timed_out);
     won = won && count.granted >= set.majority();
     possible = possible && count.granted + count.open >= set.majority();
   }
@@ -114,12 +114,12 @@
 }
 
 ClaimCoordinator::Count ClaimCoordinator::CountSet(const HolderSet& set,
-                                                   bool final) const {
+                                                   bool timed_out) const {
   Count count;
   for (const NodeId& holder : set.holders) {
     const auto vote = votes_.find(holder);
     if (vote == votes_.end()) {
-      count.open += final ? 0 : 1;
+      count.open += timed_out ? 0 : 1;
       continue;
     }
     if (std::holds_alternative<ClaimGranted>(vote->second)) {
@@ -131,7 +131,7 @@
 
 // Why the claim can't be won any more, the most telling reason first.
 ClaimState ClaimCoordinator::LostState() const {
-  if (const auto* mismatch = First<ClaimMismatch>(); mismatch != nullptr) {
+  if (const auto* mismatch = FirstVote<ClaimMismatch>(); mismatch != nullptr) {
     return *mismatch;
   }
   if (const ClaimHeld* held = LatestHeld(); held != nullptr) {
@@ -163,7 +163,7 @@
 }
 
 template <typename Verdict>
-const Verdict* ClaimCoordinator::First() const {
+const Verdict* ClaimCoordinator::FirstVote() const {
   for (const auto& [holder, verdict] : votes_) {
     if (const auto* match = std::get_if<Verdict>(&verdict)) {
       return match;
--- a/src/libs/attempts/claim_coordinator.h
+++ b/src/libs/attempts/claim_coordinator.h
@@ -48,7 +48,7 @@
   void SetHolders(std::vector<HolderSet> sets) { sets_ = std::move(sets); }
   // Whether the claim lacks a newer roster: none is known here, or a holder
   // knows a newer one.
-  bool LacksRoster() const;
+  bool NeedsNewerRoster() const;
 
   // Starts the next round, for `attempt`, and forgets all votes.
   void StartRound(std::optional<AttemptRef> attempt,
@@ -60,14 +60,14 @@
   // All holders, each once.
   std::vector<NodeId> Holders() const;
   // Those that have not answered this round.
-  std::vector<NodeId> Silent() const;
+  std::vector<NodeId> UnansweredHolders() const;
 
   // Counts an answer; others' and other rounds' are ignored (false).
   bool Handle(const ClaimAnswer& answer);
 
   // What the votes so far mean. With `final` the silent holders are taken as
   // unreachable.
-  ClaimState State(bool final) const;
+  ClaimState State(bool timed_out) const;
 
   ReleaseClaim release(bool closing) const {
     return {key_, claimant_, round_, closing};
@@ -89,11 +89,11 @@
     std::size_t open = 0;
   };
 
-  Count CountSet(const HolderSet& set, bool final) const;
+  Count CountSet(const HolderSet& set, bool timed_out) const;
   ClaimState LostState() const;
   const ClaimHeld* LatestHeld() const;
   template <typename Verdict>
-  const Verdict* First() const;
+  const Verdict* FirstVote() const;
 
   RequestKey key_;
   Fingerprint fingerprint_;
--- a/src/libs/attempts/claim_holder.cc
+++ b/src/libs/attempts/claim_holder.cc
@@ -102,7 +102,7 @@
   return now < abstains_until_;
 }
 
-bool ClaimHolder::Votes(RosterVersion roster, TimePoint now) const {
+bool ClaimHolder::CanVote(RosterVersion roster, TimePoint now) const {
   return !ReasonToAbstain(roster, now).has_value();
 }
 
@@ -119,7 +119,7 @@
   LedgerEntry& entry = found->second.entry;
   const bool same_claimant = entry.claimant == request.claimant;
   if (entry.state == LedgerEntry::State::kReleased && !same_claimant) {
-    return Give(request, found->second, now);
+    return GrantClaim(request, found->second, now);
   }
   if (entry.fingerprint != request.fingerprint) {
     return ClaimMismatch{};
@@ -133,7 +133,7 @@
                           request.takeover->from == entry.claimant &&
                           request.takeover->through >= entry.round;
   if (taken_over) {
-    return Give(request, found->second, now);
+    return GrantClaim(request, found->second, now);
   }
   // A late frame of an older round, or of a claim that was given back, must
   // not count as a vote.
@@ -171,12 +171,12 @@
                          : touches_.front().at + options_.window - now;
     return ClaimAbstained{AbstainReason::kFull, until_oldest_expires};
   }
-  return Give(request, entries_[request.key], now);
+  return GrantClaim(request, entries_[request.key], now);
 }
 
-ClaimVerdict ClaimHolder::Give(const ClaimRequest& request,
-                               Stored& stored,
-                               TimePoint now) {
+ClaimVerdict ClaimHolder::GrantClaim(const ClaimRequest& request,
+                                     Stored& stored,
+                                     TimePoint now) {
   stored.entry = LedgerEntry{request.key, request.fingerprint, request.claimant,
                              request.round};
   stored.entry.attempt = request.attempt;
--- a/src/libs/attempts/claim_holder.h
+++ b/src/libs/attempts/claim_holder.h
@@ -88,7 +88,7 @@
   std::size_t kept_bytes() const { return kept_bytes_; }
   bool abstains(TimePoint now) const;
   // Whether it would vote on a claim made under that roster.
-  bool Votes(RosterVersion roster, TimePoint now) const;
+  bool CanVote(RosterVersion roster, TimePoint now) const;
 
  private:
   struct Stored {
@@ -104,7 +104,9 @@
   std::optional<ClaimAbstained> ReasonToAbstain(RosterVersion roster,
                                                 TimePoint now) const;
   ClaimVerdict Add(const ClaimRequest& request, TimePoint now);
-  ClaimVerdict Give(const ClaimRequest& request, Stored& stored, TimePoint now);
+  ClaimVerdict GrantClaim(const ClaimRequest& request,
+                          Stored& stored,
+                          TimePoint now);
   void Expire(TimePoint now);
   void TouchEntry(Stored& stored, TimePoint now);
   void KeepOutcome(LedgerEntry& entry, const Outcome& outcome);
--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -241,7 +241,7 @@
         JudgeClaim(true, now);
         return;
       }
-      AskSilentHolders(now);
+      RequestMissingVotes(now);
       return;
     case State::kAttempting:
       On(LinkLost{attempt_->attempt}, now);
--- a/src/libs/attempts/request_machine.h
+++ b/src/libs/attempts/request_machine.h
@@ -131,10 +131,10 @@
 
   void StartRouting();
   void StartClaim(TimePoint now);
-  void AskSilentHolders(TimePoint now);
-  void JudgeClaim(bool final, TimePoint now);
+  void RequestMissingVotes(TimePoint now);
+  void JudgeClaim(bool timed_out, TimePoint now);
   void OnClaimUnavailable(const ClaimUnavailable& unavailable,
-                          bool final,
+                          bool timed_out,
                           TimePoint now);
   void LookUp(const ClaimHeld& held, TimePoint now);
   void SendOwnAttempt(TimePoint now);
@@ -159,7 +159,7 @@
   void GiveUpAtOnce(FinalReason reason, Duration retry_after);
   FinalKind KindOfGivingUp() const;
   void CloseClaim(FinalReason reason, Duration retry_after, TimePoint now);
-  void JudgeClosing(bool final);
+  void JudgeClosing(bool timed_out);
   void AnswerFinally(AnswerCaller answer);
   void Release(bool closing);
 
--- a/src/libs/attempts/request_machine_claims.cc
+++ b/src/libs/attempts/request_machine_claims.cc
@@ -15,21 +15,21 @@
   awaits_roster_ = false;
   claim_.StartRound(attempt_, takeover_);
   claim_until_ = now + options_.claim_timeout;
-  AskSilentHolders(now);
+  RequestMissingVotes(now);
   JudgeClaim(false, now);
 }
 
-void RequestMachine::AskSilentHolders(TimePoint now) {
+void RequestMachine::RequestMissingVotes(TimePoint now) {
   if (awaits_roster_) {
     return;
   }
-  for (const NodeId& holder : claim_.Silent()) {
+  for (const NodeId& holder : claim_.UnansweredHolders()) {
     Emit(SendClaim{holder, claim_.request()});
   }
   timer_ = std::min(now + options_.claim_resend, claim_until_);
 }
 
-void RequestMachine::JudgeClaim(bool final, TimePoint now) {
+void RequestMachine::JudgeClaim(bool timed_out, TimePoint now) {
   std::visit(Overloaded{
                  [](const ClaimPending&) {},
                  [&](const ClaimWon&) {
@@ -48,19 +48,19 @@
                    GiveUp(FinalReason::kBodyMismatch, Duration{}, now);
                  },
                  [&](const ClaimUnavailable& unavailable) {
-                   OnClaimUnavailable(unavailable, final, now);
+                   OnClaimUnavailable(unavailable, timed_out, now);
                  },
              },
-             claim_.State(final));
+             claim_.State(timed_out));
 }
 
 // An entry that has just started, or a change of the control members, leaves a
 // moment in which the entry knows fewer rosters than the holders: the claim can
 // be won as soon as it has heard.
 void RequestMachine::OnClaimUnavailable(const ClaimUnavailable& unavailable,
-                                        bool final,
+                                        bool timed_out,
                                         TimePoint now) {
-  if (final || !claim_.LacksRoster()) {
+  if (timed_out || !claim_.NeedsNewerRoster()) {
     GiveUp(FinalReason::kClaimUnavailable, unavailable.retry_after, now);
     return;
   }
@@ -134,13 +134,13 @@
   timer_ = now + options_.claim_resend;
 }
 
-void RequestMachine::JudgeClosing(bool final) {
+void RequestMachine::JudgeClosing(bool timed_out) {
   const std::optional<bool> closed = claim_.IsClosed();
-  if (!closed.has_value() && !final) {
+  if (!closed.has_value() && !timed_out) {
     return;
   }
   // Too late an answer proves nothing: the holders close it for a short time.
-  if (final || stalled_ || !closed.value_or(false)) {
+  if (timed_out || stalled_ || !closed.value_or(false)) {
     pending_answer_.kind = FinalKind::kUnknown;
   }
   AnswerFinally(pending_answer_);
--- a/src/plugins/control/claim_service.cc
+++ b/src/plugins/control/claim_service.cc
@@ -64,7 +64,7 @@
   if (!roster.has_value()) {
     return std::nullopt;
   }
-  return Json(holder_.Votes(attempts::RosterVersion(*roster), SteadyNow()));
+  return Json(holder_.CanVote(attempts::RosterVersion(*roster), SteadyNow()));
 }
 
 }  // namespace bilberryspool::control
