--- a/src/libs/attempts/request_event.h
+++ b/src/libs/attempts/request_event.h
@@ -103,14 +103,14 @@
 };
 
 // The caller's connection ended.
-struct CallerLeft {};
+struct CallerDisconnected {};
 
 // The entry stood still for long (StallDetector): what the holders remember
 // proves nothing about this request any more.
 struct EntryStalled {};
 
 // The stated limit of a planned stop is reached: answer now.
-struct StopLimit {};
+struct StopDeadlineReached {};
 
 // The machine's next_deadline() has come.
 struct RequestTick {};
@@ -131,9 +131,9 @@
                                   LinkLost,
                                   SettleAnswered,
                                   SettleUnreachable,
-                                  CallerLeft,
+                                  CallerDisconnected,
                                   EntryStalled,
-                                  StopLimit,
+                                  StopDeadlineReached,
                                   RequestTick>;
 
 // The attempt that an event speaks of; null where it speaks of none.
--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -9,7 +9,7 @@
 namespace bilberryspool::attempts {
 namespace {
 
-AttemptId NameAttempt(const Claimant& claimant, std::size_t number) {
+AttemptId MakeAttemptId(const Claimant& claimant, std::size_t number) {
   return AttemptId(claimant.entry.value() + "-" +
                    std::to_string(claimant.incarnation.value()) + "-" +
                    std::to_string(claimant.number.value()) + "-" +
@@ -67,7 +67,7 @@
   if (state_ != State::kNew) {
     return;
   }
-  stalled_ = spec_.suspect;
+  stalled_ = spec_.may_predate_stall;
   StartRouting();
 }
 
@@ -78,9 +78,9 @@
   }
   // A new name even where the one before was never sent: other sends ask about
   // it by name, and a late answer about one must not be taken for the other.
-  ++named_;
-  attempt_ = AttemptRef{NameAttempt(spec_.claimant, named_), event.target,
-                        event.token};
+  ++issued_attempt_ids_;
+  attempt_ = AttemptRef{MakeAttemptId(spec_.claimant, issued_attempt_ids_),
+                        event.target, event.token};
   can_continue_ = event.can_continue;
   if (spec_.idempotent) {
     SendOwnAttempt(now);
@@ -109,7 +109,7 @@
     ++dropped_events_;
     return;
   }
-  JudgeClaim(false, now);
+  EvaluateClaim(false, now);
 }
 
 void RequestMachine::On(const HolderUnreachable& event, TimePoint now) {
@@ -136,11 +136,11 @@
     ++dropped_events_;
     return;
   }
-  JudgeClosing(now >= claim_until_);
+  EvaluateClosing(now >= claim_deadline_);
 }
 
 void RequestMachine::On(const AttemptAlive&, TimePoint now) {
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::On(const AttemptRefused& event, TimePoint now) {
@@ -151,17 +151,17 @@
                              event.reason == RefusalReason::kMemoryFull;
     // One that this entry took for fresh shows that its clock stood still.
     stalled_ = stalled_ || event.reason == RefusalReason::kExpiredToken;
-    ProvenNotRun(!stale_token, event.retry_after, now);
+    OnProvenNotRun(!stale_token, event.retry_after, now);
     return;
   }
-  LoseAttempt(FinalReason::kTargetLost, now);
+  OnAttemptLost(FinalReason::kTargetLost, now);
 }
 
 void RequestMachine::On(const AttemptHead& event, TimePoint now) {
   if (!head_relayed_) {
     status_ = event.status;
   }
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::On(const AttemptChunk& event, TimePoint now) {
@@ -178,7 +178,7 @@
 }
 
 void RequestMachine::On(const AttemptFailed&, TimePoint now) {
-  LoseAttempt(FinalReason::kFailedByTarget, now);
+  OnAttemptLost(FinalReason::kFailedByTarget, now);
 }
 
 void RequestMachine::On(const LinkLost&, TimePoint now) {
@@ -186,7 +186,7 @@
     return;
   }
   if (MayRetry() && stream_.relayed() == 0) {
-    LoseAttempt(FinalReason::kTargetLost, now);
+    OnAttemptLost(FinalReason::kTargetLost, now);
     return;
   }
   StartSettling(now);
@@ -209,8 +209,8 @@
   static_cast<void>(now);
 }
 
-void RequestMachine::On(const CallerLeft&, TimePoint now) {
-  caller_left_ = true;
+void RequestMachine::On(const CallerDisconnected&, TimePoint now) {
+  caller_disconnected_ = true;
   const bool under_way =
       state_ == State::kAttempting || state_ == State::kSettling;
   if (!spec_.idempotent && under_way) {
@@ -227,7 +227,7 @@
   }
 }
 
-void RequestMachine::On(const StopLimit&, TimePoint) {
+void RequestMachine::On(const StopDeadlineReached&, TimePoint) {
   GiveUpAtOnce(FinalReason::kStopping, options_.default_retry);
 }
 
@@ -237,8 +237,8 @@
   }
   switch (state_) {
     case State::kClaiming:
-      if (now >= claim_until_) {
-        JudgeClaim(true, now);
+      if (now >= claim_deadline_) {
+        EvaluateClaim(true, now);
         return;
       }
       RequestMissingVotes(now);
@@ -251,12 +251,12 @@
       OnSettleTimer(now);
       return;
     case State::kClosing:
-      if (now >= claim_until_) {
-        JudgeClosing(true);
+      if (now >= claim_deadline_) {
+        EvaluateClosing(true);
         return;
       }
       Release(true);
-      timer_ = std::min(now + options_.claim_resend, claim_until_);
+      timer_ = std::min(now + options_.claim_resend, claim_deadline_);
       return;
     case State::kNew:
     case State::kRouting:
@@ -276,7 +276,7 @@
 }
 
 void RequestMachine::SendOwnAttempt(TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(spec_.idempotent || unproven_ == 0,
+  BILBERRYSPOOL_INVARIANT(spec_.idempotent || unproven_attempts_ == 0,
                           "one unproven attempt of non-idempotent work");
   BILBERRYSPOOL_INVARIANT(spec_.idempotent || claim_won_,
                           "non-idempotent work runs under a claim");
@@ -284,20 +284,20 @@
                           "no new attempt after a stall");
   state_ = State::kAttempting;
   ++attempts_;
-  ++unproven_;
+  ++unproven_attempts_;
   Emit(SendAttempt{
       {*attempt_, spec_.key, spec_.claimant.entry, stream_.relayed()}});
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::StartSettling(TimePoint now) {
   state_ = State::kSettling;
-  settles_ = 0;
-  AskAgent(true, now);
+  settle_queries_ = 0;
+  SendSettleQuery(true, now);
 }
 
-void RequestMachine::AskAgent(bool forbid, TimePoint now) {
-  ++settles_;
+void RequestMachine::SendSettleQuery(bool forbid, TimePoint now) {
+  ++settle_queries_;
   Emit(SendSettle{{*attempt_, forbid}});
   timer_ = now + options_.settle_interval;
 }
@@ -305,14 +305,14 @@
 void RequestMachine::OnSettled(const SettleState& state, TimePoint now) {
   std::visit(Overloaded{
                  [&](const SettledNotRun&) {
-                   ProvenNotRun(true, options_.default_retry, now);
+                   OnProvenNotRun(true, options_.default_retry, now);
                  },
                  [&](const SettledRunning&) { Resume(now); },
                  [&](const SettledFinished& finished) {
                    const std::optional<std::string>& body =
                        finished.outcome.body;
                    if (!body.has_value() || body->size() < stream_.relayed()) {
-                     LoseAttempt(FinalReason::kAnswerNotKept, now);
+                     OnAttemptLost(FinalReason::kAnswerNotKept, now);
                      return;
                    }
                    status_ = head_relayed_ ? status_ : finished.outcome.status;
@@ -321,37 +321,37 @@
                  },
                  [](const SettledNotSeen&) {},
                  [&](const SettledUnknown&) {
-                   LoseAttempt(FinalReason::kTargetLost, now);
+                   OnAttemptLost(FinalReason::kTargetLost, now);
                  },
              },
              state);
 }
 
 void RequestMachine::OnSettleTimer(TimePoint now) {
-  if (settles_ < options_.max_settles) {
-    AskAgent(true, now);
+  if (settle_queries_ < options_.max_settle_queries) {
+    SendSettleQuery(true, now);
     return;
   }
   if (state_ == State::kLookingUp) {
     GiveUp(FinalReason::kInProgress, options_.default_retry, now);
     return;
   }
-  LoseAttempt(FinalReason::kTargetLost, now);
+  OnAttemptLost(FinalReason::kTargetLost, now);
 }
 
 void RequestMachine::Resume(TimePoint now) {
   if (resumes_ >= options_.max_resumes) {
-    LoseAttempt(FinalReason::kStreamBroken, now);
+    OnAttemptLost(FinalReason::kStreamBroken, now);
     return;
   }
   ++resumes_;
   Emit(ResumeAttempt{*attempt_, stream_.relayed()});
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
-void RequestMachine::Heard(TimePoint now) {
+void RequestMachine::RecordAttemptLiveness(TimePoint now) {
   state_ = State::kAttempting;
-  timer_ = now + options_.silence_limit;
+  timer_ = now + options_.silence_timeout;
 }
 
 void RequestMachine::Relay(std::uint64_t offset,
@@ -362,8 +362,8 @@
     StartSettling(now);
     return;
   }
-  Heard(now);
-  if (fresh->empty() || caller_left_) {
+  RecordAttemptLiveness(now);
+  if (fresh->empty() || caller_disconnected_) {
     return;
   }
   RelayHeadOnce();
@@ -377,16 +377,17 @@
   }
 }
 
-void RequestMachine::ProvenNotRun(bool exclude_target,
-                                  Duration retry_after,
-                                  TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(unproven_ > 0, "a proof is of an attempt sent");
-  --unproven_;
+void RequestMachine::OnProvenNotRun(bool exclude_target,
+                                    Duration retry_after,
+                                    TimePoint now) {
+  BILBERRYSPOOL_INVARIANT(unproven_attempts_ > 0,
+                          "a proof is of an attempt sent");
+  --unproven_attempts_;
   if (exclude_target) {
     excluded_.push_back(attempt_->target);
   }
   attempt_.reset();
-  if (caller_left_ || attempts_ >= options_.max_attempts) {
+  if (caller_disconnected_ || attempts_ >= options_.max_attempts) {
     GiveUp(FinalReason::kRefusedByTargets, retry_after, now);
     return;
   }
@@ -394,7 +395,7 @@
 }
 
 // What became of the attempt can't be found out, or its answer is lost.
-void RequestMachine::LoseAttempt(FinalReason reason, TimePoint now) {
+void RequestMachine::OnAttemptLost(FinalReason reason, TimePoint now) {
   const bool continues = stream_.relayed() == 0 || can_continue_;
   if (!MayRetry() || !continues) {
     GiveUp(stream_.relayed() > 0 ? FinalReason::kStreamBroken : reason,
--- a/src/libs/attempts/request_machine.h
+++ b/src/libs/attempts/request_machine.h
@@ -40,7 +40,7 @@
   bool first_send = false;
   TimePoint deadline;
   // It may have been sent before this entry stood still (StallDetector).
-  bool suspect = false;
+  bool may_predate_stall = false;
   // Who votes on a claim; only needed where it is not idempotent.
   std::vector<HolderSet> holders;
 };
@@ -55,16 +55,16 @@
   // Spreading one takes a second or two.
   Duration roster_wait = Seconds(3);
   // An attempt that shows no sign for this long has lost its link.
-  Duration silence_limit = Seconds(2);
+  Duration silence_timeout = Seconds(2);
   // Questions about an attempt: how many, and the time between them.
-  std::size_t max_settles = 4;
+  std::size_t max_settle_queries = 4;
   Duration settle_interval = Milliseconds(300);
   // Two sends of one key that came at one moment may each hold a vote of the
   // other's, and each take the other's claim over at the same time, again and
   // again, until both give up and nobody is served. The one with the greater
   // claimant waits this much longer. Longer than a claim takes, 2 ways of 30 ms
   // at most between failure domains.
-  Duration yield_time = Milliseconds(150);
+  Duration tie_break_delay = Milliseconds(150);
   // How often another send of the key is looked up.
   std::size_t max_lookups = 3;
   // How often a stream may be taken up again.
@@ -124,42 +124,42 @@
   void On(const LinkLost& event, TimePoint now);
   void On(const SettleAnswered& event, TimePoint now);
   void On(const SettleUnreachable& event, TimePoint now);
-  void On(const CallerLeft& event, TimePoint now);
+  void On(const CallerDisconnected& event, TimePoint now);
   void On(const EntryStalled& event, TimePoint now);
-  void On(const StopLimit& event, TimePoint now);
+  void On(const StopDeadlineReached& event, TimePoint now);
   void On(const RequestTick& event, TimePoint now);
 
   void StartRouting();
   void StartClaim(TimePoint now);
   void RequestMissingVotes(TimePoint now);
-  void JudgeClaim(bool timed_out, TimePoint now);
+  void EvaluateClaim(bool timed_out, TimePoint now);
   void OnClaimUnavailable(const ClaimUnavailable& unavailable,
                           bool timed_out,
                           TimePoint now);
-  void LookUp(const ClaimHeld& held, TimePoint now);
+  void LookUpOtherSend(const ClaimHeld& held, TimePoint now);
   void SendOwnAttempt(TimePoint now);
   void StartSettling(TimePoint now);
-  void AskAgent(bool forbid, TimePoint now);
+  void SendSettleQuery(bool forbid, TimePoint now);
   void OnSettled(const SettleState& state, TimePoint now);
   void OnLookedUp(const SettleState& state, TimePoint now);
   void TakeOver();
   void OnSettleTimer(TimePoint now);
   void Resume(TimePoint now);
 
-  void Heard(TimePoint now);
+  void RecordAttemptLiveness(TimePoint now);
   void Relay(std::uint64_t offset, const std::string& data, TimePoint now);
   void RelayHeadOnce();
-  void ProvenNotRun(bool exclude_target, Duration retry_after, TimePoint now);
-  void LoseAttempt(FinalReason reason, TimePoint now);
+  void OnProvenNotRun(bool exclude_target, Duration retry_after, TimePoint now);
+  void OnAttemptLost(FinalReason reason, TimePoint now);
   bool MayRetry() const;
 
   void Complete();
   void RepeatOutcome(const Outcome& outcome);
   void GiveUp(FinalReason reason, Duration retry_after, TimePoint now);
   void GiveUpAtOnce(FinalReason reason, Duration retry_after);
-  FinalKind KindOfGivingUp() const;
+  FinalKind FinalKindOnGiveUp() const;
   void CloseClaim(FinalReason reason, Duration retry_after, TimePoint now);
-  void JudgeClosing(bool timed_out);
+  void EvaluateClosing(bool timed_out);
   void AnswerFinally(AnswerCaller answer);
   void Release(bool closing);
 
@@ -176,17 +176,17 @@
   std::optional<AttemptRef> attempt_;
   bool can_continue_ = false;
   std::vector<TargetId> excluded_;
-  std::size_t named_ = 0;
+  std::size_t issued_attempt_ids_ = 0;
   std::size_t attempts_ = 0;
   // Attempts sent of which it is not proven that they did not run.
-  std::size_t unproven_ = 0;
+  std::size_t unproven_attempts_ = 0;
   bool claim_asked_ = false;
   bool claim_won_ = false;
-  TimePoint claim_until_;
+  TimePoint claim_deadline_;
   // The claim can't be won before another roster is heard of.
   bool awaits_roster_ = false;
   // The other send that is looked up, and what follows from it.
-  ClaimHeld other_;
+  ClaimHeld other_claim_;
   std::size_t lookups_ = 0;
   std::optional<Takeover> takeover_;
   // What is said once the claim is closed.
@@ -195,13 +195,13 @@
 
   int status_ = 0;
   bool head_relayed_ = false;
-  bool caller_left_ = false;
+  bool caller_disconnected_ = false;
   bool stalled_ = false;
-  std::size_t settles_ = 0;
+  std::size_t settle_queries_ = 0;
   std::size_t resumes_ = 0;
   // The next timer of the present state.
   std::optional<TimePoint> timer_;
-  std::size_t finals_ = 0;
+  std::size_t final_answers_ = 0;
   std::size_t dropped_events_ = 0;
 };
 
--- a/src/libs/attempts/request_machine_claims.cc
+++ b/src/libs/attempts/request_machine_claims.cc
@@ -14,9 +14,9 @@
   claim_asked_ = true;
   awaits_roster_ = false;
   claim_.StartRound(attempt_, takeover_);
-  claim_until_ = now + options_.claim_timeout;
+  claim_deadline_ = now + options_.claim_timeout;
   RequestMissingVotes(now);
-  JudgeClaim(false, now);
+  EvaluateClaim(false, now);
 }
 
 void RequestMachine::RequestMissingVotes(TimePoint now) {
@@ -26,32 +26,33 @@
   for (const NodeId& holder : claim_.UnansweredHolders()) {
     Emit(SendClaim{holder, claim_.request()});
   }
-  timer_ = std::min(now + options_.claim_resend, claim_until_);
+  timer_ = std::min(now + options_.claim_resend, claim_deadline_);
 }
 
-void RequestMachine::JudgeClaim(bool timed_out, TimePoint now) {
-  std::visit(Overloaded{
-                 [](const ClaimPending&) {},
-                 [&](const ClaimWon&) {
-                   claim_won_ = true;
-                   if (attempt_.has_value()) {
-                     SendOwnAttempt(now);
-                     return;
-                   }
-                   GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
-                 },
-                 [&](const ClaimLost& lost) { LookUp(lost.held, now); },
-                 [&](const ClaimFinished& finished) {
-                   RepeatOutcome(finished.outcome);
-                 },
-                 [&](const ClaimMismatch&) {
-                   GiveUp(FinalReason::kBodyMismatch, Duration{}, now);
-                 },
-                 [&](const ClaimUnavailable& unavailable) {
-                   OnClaimUnavailable(unavailable, timed_out, now);
-                 },
-             },
-             claim_.State(timed_out));
+void RequestMachine::EvaluateClaim(bool timed_out, TimePoint now) {
+  std::visit(
+      Overloaded{
+          [](const ClaimPending&) {},
+          [&](const ClaimWon&) {
+            claim_won_ = true;
+            if (attempt_.has_value()) {
+              SendOwnAttempt(now);
+              return;
+            }
+            GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
+          },
+          [&](const ClaimLost& lost) { LookUpOtherSend(lost.held, now); },
+          [&](const ClaimFinished& finished) {
+            RepeatOutcome(finished.outcome);
+          },
+          [&](const ClaimMismatch&) {
+            GiveUp(FinalReason::kBodyMismatch, Duration{}, now);
+          },
+          [&](const ClaimUnavailable& unavailable) {
+            OnClaimUnavailable(unavailable, timed_out, now);
+          },
+      },
+      claim_.State(timed_out));
 }
 
 // An entry that has just started, or a change of the control members, leaves a
@@ -66,16 +67,16 @@
   }
   if (!awaits_roster_) {
     awaits_roster_ = true;
-    claim_until_ = now + options_.roster_wait;
-    timer_ = claim_until_;
+    claim_deadline_ = now + options_.roster_wait;
+    timer_ = claim_deadline_;
   }
 }
 
 // Another send has the claim. Its entry may be dead, but the agent that it
 // chose can tell what became of the work.
-void RequestMachine::LookUp(const ClaimHeld& held, TimePoint now) {
+void RequestMachine::LookUpOtherSend(const ClaimHeld& held, TimePoint now) {
   attempt_ = held.attempt;
-  other_ = held;
+  other_claim_ = held;
   ++lookups_;
   if (lookups_ > options_.max_lookups) {
     GiveUp(FinalReason::kInProgress, options_.default_retry, now);
@@ -86,10 +87,10 @@
     return;
   }
   state_ = State::kLookingUp;
-  settles_ = 0;
-  AskAgent(false, now);
+  settle_queries_ = 0;
+  SendSettleQuery(false, now);
   if (spec_.claimant > held.claimant) {
-    timer_ = *timer_ + options_.yield_time;
+    timer_ = *timer_ + options_.tie_break_delay;
   }
 }
 
@@ -115,7 +116,7 @@
 // The other send did not run and, as far as its claim goes, never will: its
 // entry is dead, or about to find out. This send goes on in its place.
 void RequestMachine::TakeOver() {
-  takeover_ = Takeover{other_.claimant, other_.round};
+  takeover_ = Takeover{other_claim_.claimant, other_claim_.round};
   attempt_.reset();
   StartRouting();
 }
@@ -130,11 +131,11 @@
   state_ = State::kClosing;
   pending_answer_ = {FinalKind::kNotRun, reason, retry_after, {}};
   Release(true);
-  claim_until_ = now + options_.claim_timeout;
+  claim_deadline_ = now + options_.claim_timeout;
   timer_ = now + options_.claim_resend;
 }
 
-void RequestMachine::JudgeClosing(bool timed_out) {
+void RequestMachine::EvaluateClosing(bool timed_out) {
   const std::optional<bool> closed = claim_.IsClosed();
   if (!closed.has_value() && !timed_out) {
     return;
--- a/src/libs/attempts/request_machine_finals.cc
+++ b/src/libs/attempts/request_machine_finals.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::attempts {
 
 void RequestMachine::Complete() {
-  if (!caller_left_) {
+  if (!caller_disconnected_) {
     RelayHeadOnce();
   }
   if (!spec_.idempotent) {
@@ -34,8 +34,9 @@
 void RequestMachine::GiveUp(FinalReason reason,
                             Duration retry_after,
                             TimePoint now) {
-  const bool on_own_claim = !spec_.idempotent && claim_won_ && unproven_ == 0 &&
-                            !stalled_ && !caller_left_;
+  const bool on_own_claim = !spec_.idempotent && claim_won_ &&
+                            unproven_attempts_ == 0 && !stalled_ &&
+                            !caller_disconnected_;
   if (on_own_claim) {
     CloseClaim(reason, retry_after, now);
     return;
@@ -44,8 +45,8 @@
 }
 
 void RequestMachine::GiveUpAtOnce(FinalReason reason, Duration retry_after) {
-  const FinalKind kind = KindOfGivingUp();
-  if (unproven_ == 0) {
+  const FinalKind kind = FinalKindOnGiveUp();
+  if (unproven_attempts_ == 0) {
     Release(false);
   }
   const bool under_way =
@@ -56,8 +57,8 @@
   AnswerFinally({kind, reason, retry_after, {}});
 }
 
-FinalKind RequestMachine::KindOfGivingUp() const {
-  if (unproven_ > 0) {
+FinalKind RequestMachine::FinalKindOnGiveUp() const {
+  if (unproven_attempts_ > 0) {
     return FinalKind::kUnknown;
   }
   if (spec_.idempotent) {
@@ -74,11 +75,11 @@
 }
 
 void RequestMachine::AnswerFinally(AnswerCaller answer) {
-  ++finals_;
-  BILBERRYSPOOL_INVARIANT(finals_ == 1, "exactly one final answer");
+  ++final_answers_;
+  BILBERRYSPOOL_INVARIANT(final_answers_ == 1, "exactly one final answer");
   state_ = State::kDone;
   timer_.reset();
-  if (!caller_left_) {
+  if (!caller_disconnected_) {
     Emit(std::move(answer));
   }
 }
--- a/src/libs/attempts/stall_detector.cc
+++ b/src/libs/attempts/stall_detector.cc
@@ -30,35 +30,35 @@
   const Duration ahead =
       epochs * options_.epoch_length - now.time_since_epoch();
   const auto [found, fresh] =
-      leads_.try_emplace(target, Lead{token.incarnation, ahead, now});
-  Lead& lead = found->second;
+      leads_.try_emplace(target, EpochLead{token.incarnation, ahead, now});
+  EpochLead& lead = found->second;
   if (fresh || lead.incarnation < token.incarnation) {
-    lead = Lead{token.incarnation, ahead, now};
+    lead = EpochLead{token.incarnation, ahead, now};
     return false;
   }
   if (lead.incarnation != token.incarnation) {
     return false;
   }
-  const bool stalled = ahead > lead.usual + options_.limit;
+  const bool stalled = ahead > lead.baseline + options_.limit;
   if (stalled) {
-    lead.usual = ahead;
+    lead.baseline = ahead;
     NoteStall(now);
     return true;
   }
   // The usual lead follows slowly, as clocks drift. It must not follow the
   // tokens that piled up during a stall, which arrive one after the other.
   const Duration drift = (now - lead.observed) / kDriftDivisor;
-  lead.usual = std::clamp(ahead, lead.usual, lead.usual + drift);
+  lead.baseline = std::clamp(ahead, lead.baseline, lead.baseline + drift);
   lead.observed = now;
   return false;
 }
 
-bool StallDetector::suspects(TimePoint now) const {
-  return suspects_until_.has_value() && now < *suspects_until_;
+bool StallDetector::MayPredateStall(TimePoint now) const {
+  return grace_until_.has_value() && now < *grace_until_;
 }
 
 void StallDetector::NoteStall(TimePoint now) {
-  suspects_until_ = now + options_.grace;
+  grace_until_ = now + options_.grace;
 }
 
 }  // namespace bilberryspool::attempts
--- a/src/libs/attempts/stall_detector.h
+++ b/src/libs/attempts/stall_detector.h
@@ -40,13 +40,13 @@
   bool Observe(const TargetId& target, AdmissionToken token, TimePoint now);
 
   // Whether a request read now may have been sent before a stall.
-  bool suspects(TimePoint now) const;
+  bool MayPredateStall(TimePoint now) const;
 
  private:
-  struct Lead {
+  struct EpochLead {
     Incarnation incarnation;
     // How far the epochs are ahead of the own clock, as it should be.
-    Duration usual;
+    Duration baseline;
     TimePoint observed;
   };
 
@@ -54,8 +54,8 @@
 
   StallDetectorOptions options_;
   TimePoint last_beat_;
-  std::optional<TimePoint> suspects_until_;
-  std::map<TargetId, Lead> leads_;
+  std::optional<TimePoint> grace_until_;
+  std::map<TargetId, EpochLead> leads_;
 };
 
 }  // namespace bilberryspool::attempts
--- a/src/libs/scenario/request_host.cc
+++ b/src/libs/scenario/request_host.cc
@@ -146,7 +146,7 @@
   spec.idempotent = request.idempotent;
   spec.deadline =
       now + (service != nullptr ? service->deadline : kDeadlineOfUnknown);
-  spec.suspect = stall_.suspects(now);
+  spec.may_predate_stall = stall_.MayPredateStall(now);
   if (!request.idempotent) {
     spec.holders = rosters_.HoldersOf(spec.key, now);
   }
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -33,7 +33,7 @@
   spec.idempotent = context.is_idempotent;
   spec.first_send = context.is_first_send;
   spec.deadline = context.deadline;
-  spec.suspect = state.stall.suspects(SteadyNow());
+  spec.may_predate_stall = state.stall.MayPredateStall(SteadyNow());
   if (!context.is_idempotent) {
     spec.holders = state.rosters.HoldersOf(context.key, SteadyNow());
   }
@@ -53,10 +53,11 @@
 
 void RequestRunner::Run() {
   state_.runners.insert(this);
-  watch_->SetHandler(
-      [self = shared_from_this()] { self->Push(attempts::CallerLeft{}); });
+  watch_->SetHandler([self = shared_from_this()] {
+    self->Push(attempts::CallerDisconnected{});
+  });
   if (watch_->has_left()) {
-    Push(attempts::CallerLeft{});
+    Push(attempts::CallerDisconnected{});
   }
   Feed(attempts::RequestStarted{});
   while (!machine_.done()) {
@@ -74,7 +75,7 @@
 }
 
 void RequestRunner::Stop() {
-  Push(attempts::StopLimit{});
+  Push(attempts::StopDeadlineReached{});
 }
 
 void RequestRunner::NoteStall() {
@@ -247,7 +248,7 @@
   cancellations_[id] = cancellation;
   auto opened =
       state_.links.Open(*endpoint, MakeAttemptRequest(start),
-                        state_.machine_options.silence_limit, cancellation,
+                        state_.machine_options.silence_timeout, cancellation,
                         [this, &id] { Push(attempts::AttemptAlive{id}); });
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
     state_.links.DropIdle(*endpoint);
@@ -290,7 +291,7 @@
   auto cancellation = std::make_shared<net::Cancellation>();
   cancellations_[attempt.attempt] = cancellation;
   auto opened = state_.links.Open(
-      *endpoint, std::move(request), state_.machine_options.silence_limit,
+      *endpoint, std::move(request), state_.machine_options.silence_timeout,
       cancellation,
       [this, &attempt] { Push(attempts::AttemptAlive{attempt.attempt}); });
   if (std::holds_alternative<net::HttpError>(opened)) {
@@ -359,7 +360,7 @@
     // A silent stream is the machine's to judge; this bound only ends the
     // fiber should it judge otherwise.
     net::StreamPiece piece =
-        stream.Read(state_.machine_options.silence_limit * 2);
+        stream.Read(state_.machine_options.silence_timeout * 2);
     if (auto* bytes = std::get_if<std::string>(&piece)) {
       if (is_first) {
         state_.router.Handle(routing::FirstToken{attempt.attempt}, SteadyNow());
@@ -433,7 +434,7 @@
     return;
   }
   has_noted_left_ = true;
-  Push(attempts::CallerLeft{});
+  Push(attempts::CallerDisconnected{});
 }
 
 void RequestRunner::On(const attempts::AnswerCaller& action) {
--- a/tests/auto/attempts/cluster.cc
+++ b/tests/auto/attempts/cluster.cc
@@ -66,7 +66,7 @@
                      idempotent,
                      first,
                      now + kPatience,
-                     entry.stall.suspects(now),
+                     entry.stall.MayPredateStall(now),
                      entry.history.HoldersOf(KeyOf(key), now)};
     entry.machines.emplace(send, RequestMachine({}, std::move(spec)));
     Feed(name, send, RequestStarted{});
--- a/tests/auto/attempts/request_machine_test.cc
+++ b/tests/auto/attempts/request_machine_test.cc
@@ -238,7 +238,7 @@
                   "a caller that leaves ends only what may end") {
   Begin(true);
   Choose("t1");
-  Feed(CallerLeft{});
+  Feed(CallerDisconnected{});
   CHECK(Count<CancelAttempt>() == 1);
   CHECK(machine->done());
 
@@ -246,7 +246,7 @@
   other.Begin(false);
   other.Choose("t1");
   other.Vote(ClaimGranted{});
-  other.Feed(CallerLeft{});
+  other.Feed(CallerDisconnected{});
   CHECK_FALSE(other.machine->done());
   other.Feed(AttemptChunk{other.attempt(), 0, "done"});
   other.Feed(AttemptFinished{other.attempt(), 4});
--- a/tests/auto/attempts/stall_detector_test.cc
+++ b/tests/auto/attempts/stall_detector_test.cc
@@ -12,10 +12,10 @@
 TEST_CASE("a leap of the own clock is a stall") {
   StallDetector detector({}, TimeAt({}));
   CHECK_FALSE(detector.Beat(TimeAt(Seconds(60))));
-  CHECK_FALSE(detector.suspects(TimeAt(Seconds(60))));
+  CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(60))));
   CHECK(detector.Beat(TimeAt(Seconds(121))));
-  CHECK(detector.suspects(TimeAt(Seconds(122))));
-  CHECK_FALSE(detector.suspects(TimeAt(Seconds(123))));
+  CHECK(detector.MayPredateStall(TimeAt(Seconds(122))));
+  CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(123))));
 }
 
 // Symptom: a request read after a pause of the VM runs a second time.
@@ -34,7 +34,7 @@
     CHECK_FALSE(detector.Observe(target, Token(epoch), woken));
   }
   CHECK(detector.Observe(target, Token(113), woken));
-  CHECK(detector.suspects(woken));
+  CHECK(detector.MayPredateStall(woken));
 }
 
 TEST_CASE("late tokens and a restarted agent are no stall") {
