--- a/tests/auto/attempts/cluster.cc
+++ b/tests/auto/attempts/cluster.cc
@@ -9,7 +9,7 @@
 constexpr std::size_t kDomains = 3;
 constexpr int kOk = 200;
 // Size of a chunk.
-constexpr std::size_t kPiece = 7;
+constexpr std::size_t kChunkSize = 7;
 
 RequestKey KeyOf(const std::string& key) {
   return {Workspace("plants"), RequestId(key)};
@@ -36,7 +36,7 @@
   }
   ChangeRoster(names);
   for (const std::string& name : names) {
-    KeepBeating(name);
+    BeatPeriodically(name);
   }
   for (std::size_t i = 0; i < agents; ++i) {
     const std::string name = "a" + std::to_string(i);
@@ -65,7 +65,7 @@
                      {NodeId(name), entry.incarnation, ClaimNumber(send)},
                      idempotent,
                      first,
-                     now + kPatience,
+                     now + kRequestTimeout,
                      entry.stall.MayPredateStall(now),
                      entry.history.HoldersOf(KeyOf(key), now)};
     entry.machines.emplace(send, RequestMachine({}, std::move(spec)));
@@ -82,7 +82,7 @@
 }
 
 void Cluster::Disturb(const std::string& name) {
-  for (Sent& sent : sends_) {
+  for (SendRecord& sent : sends_) {
     sent.disturbed =
         sent.disturbed || (sent.entry == name && sent.finals.empty());
   }
@@ -99,7 +99,7 @@
   entry.stall = StallDetector({kStallLimit}, now);
   network_.Restart(name);
   AdoptRosters(name);
-  KeepBeating(name);
+  BeatPeriodically(name);
 }
 
 void Cluster::RestartAgent(const std::string& name) {
@@ -146,35 +146,35 @@
   const AdmissionToken token = gate(name).token(network_.ClockOf(name));
   for (const auto& [entry, unused] : entries_) {
     network_.Send(name, entry, [this, entry = entry, name, token](bool) {
-      Hear(entry, name, token);
+      ReceiveToken(entry, name, token);
     });
   }
   network_.After(name, Seconds(1), [this, name] { Announce(name); });
 }
 
-void Cluster::Hear(const std::string& name,
-                   const std::string& agent,
-                   AdmissionToken token) {
+void Cluster::ReceiveToken(const std::string& name,
+                           const std::string& agent,
+                           AdmissionToken token) {
   Entry& entry = entries_[name];
   AdmissionToken& known = entry.tokens[agent];
   known = std::max(known, token);
   if (entry.stall.Observe(TargetId(agent), token, network_.ClockOf(name))) {
-    TellStalled(name);
+    ReportStall(name);
   }
 }
 
 void Cluster::Beat(const std::string& name) {
   if (entries_[name].stall.Beat(network_.ClockOf(name))) {
-    TellStalled(name);
+    ReportStall(name);
   }
 }
 
-void Cluster::KeepBeating(const std::string& name) {
+void Cluster::BeatPeriodically(const std::string& name) {
   Beat(name);
-  network_.After(name, Seconds(1), [this, name] { KeepBeating(name); });
+  network_.After(name, Seconds(1), [this, name] { BeatPeriodically(name); });
 }
 
-void Cluster::TellStalled(const std::string& name) {
+void Cluster::ReportStall(const std::string& name) {
   std::vector<std::size_t> open;
   for (const auto& [send, machine] : entries_[name].machines) {
     open.push_back(send);
@@ -209,7 +209,7 @@
     if (!network_.alive(name)) {
       return;
     }
-    Do(name, send, std::move(action));
+    ScheduleAction(name, send, std::move(action));
   }
   ScheduleTick(name, send);
 }
@@ -228,71 +228,73 @@
 }
 
 // A frozen entry carries out what it had decided only after it woke up.
-void Cluster::Do(const std::string& name,
-                 std::size_t send,
-                 RequestAction action) {
+void Cluster::ScheduleAction(const std::string& name,
+                             std::size_t send,
+                             RequestAction action) {
   network_.After(name, Microseconds(10), [=, this] {
-    const auto carry = [&](const auto& what) { Carry(name, send, what); };
+    const auto carry = [&](const auto& what) {
+      ExecuteAction(name, send, what);
+    };
     std::visit(carry, action);
   });
 }
 
-void Cluster::Ask(const std::string& from,
-                  const std::string& to,
-                  std::size_t send,
-                  std::function<RequestEvent(TimePoint)> answer) {
+void Cluster::SendQuery(const std::string& from,
+                        const std::string& to,
+                        std::size_t send,
+                        std::function<RequestEvent(TimePoint)> answer) {
   network_.Send(from, to, [=, this](bool) {
     Reply(to, from, send, answer(network_.ClockOf(to)));
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t send,
-                    const SendClaim& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t send,
+                            const SendClaim& what) {
   const std::string to = what.holder.value();
-  Ask(name, to, send, [=, this](TimePoint now) {
+  SendQuery(name, to, send, [=, this](TimePoint now) {
     return ClaimAnswered{entries_[to].holder->Claim(what.request, now)};
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t send,
-                    const SendRelease& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t send,
+                            const SendRelease& what) {
   const std::string to = what.holder.value();
-  Ask(name, to, send, [=, this](TimePoint now) {
+  SendQuery(name, to, send, [=, this](TimePoint now) {
     return ReleaseAnswered{entries_[to].holder->Release(what.release, now)};
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t send,
-                    const SendSettle& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t send,
+                            const SendSettle& what) {
   const std::string to = what.request.attempt.target.value();
-  Ask(name, to, send, [=, this](TimePoint now) {
+  SendQuery(name, to, send, [=, this](TimePoint now) {
     return SettleAnswered{gate(to).Settle(what.request, now)};
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t,
-                    const SendFinish& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t,
+                            const SendFinish& what) {
   const std::string to = what.holder.value();
   network_.Send(name, to, [=, this](bool) {
     entries_[to].holder->Finish(what.finish, network_.ClockOf(to));
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t send,
-                    const SendAttempt& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t send,
+                            const SendAttempt& what) {
   network_.Send(name, what.start.attempt.target.value(), [=, this](bool sole) {
-    ArriveAttempt(what.start, send, sole);
+    ReceiveAttempt(what.start, send, sole);
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t,
-                    const ResumeAttempt& what) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t,
+                            const ResumeAttempt& what) {
   const std::string to = what.attempt.target.value();
   network_.Send(name, to, [=, this](bool) {
     const auto job = agents_[to].jobs.find(what.attempt.attempt);
@@ -301,14 +303,14 @@
     }
     job->second.offset = what.offset;
     if (job->second.finished) {
-      Stream(to, job->second);
+      StreamAnswer(to, job->second);
     }
   });
 }
 
-void Cluster::Carry(const std::string& name,
-                    std::size_t send,
-                    const Route& route) {
+void Cluster::ExecuteAction(const std::string& name,
+                            std::size_t send,
+                            const Route& route) {
   std::vector<TargetChosen> choices;
   for (const auto& [agent, token] : entries_[name].tokens) {
     const TargetId target(agent);
@@ -324,9 +326,9 @@
   Feed(name, send, choices[network_.random().Below(choices.size())]);
 }
 
-void Cluster::ArriveAttempt(const StartAttempt& start,
-                            std::size_t send,
-                            bool sole) {
+void Cluster::ReceiveAttempt(const StartAttempt& start,
+                             std::size_t send,
+                             bool sole) {
   const std::string name = start.attempt.target.value();
   const std::string entry = start.entry.value();
   const AttemptId& id = start.attempt.attempt;
@@ -335,7 +337,7 @@
     const bool proven =
         refusal->never_ran || (sole && options_.transport_knows_copies);
     network_.Send(name, entry, [=, this, token = refusal->token](bool) {
-      Hear(entry, name, token);
+      ReceiveToken(entry, name, token);
     });
     Reply(name, entry, send,
           AttemptRefused{id, refusal->reason, proven, refusal->retry_after});
@@ -349,24 +351,24 @@
   agents_[name].jobs[id] = {start, send, start.offset};
   const Duration work =
       network_.random().Between(options_.work / 2, options_.work * 2);
-  network_.After(name, work, [=, this] { Work(name, id); });
+  network_.After(name, work, [=, this] { FinishJob(name, id); });
 }
 
-void Cluster::Work(const std::string& name, const AttemptId& id) {
+void Cluster::FinishJob(const std::string& name, const AttemptId& id) {
   Job& job = agents_[name].jobs[id];
   job.finished = true;
   gate(name).Finish(id, {kOk, AnswerTo(job.start.key.request.value())});
-  Stream(name, job);
+  StreamAnswer(name, job);
 }
 
-void Cluster::Stream(const std::string& name, const Job& job) {
+void Cluster::StreamAnswer(const std::string& name, const Job& job) {
   const std::string whole = AnswerTo(job.start.key.request.value());
   const std::string entry = job.start.entry.value();
   const AttemptId& id = job.start.attempt.attempt;
   Reply(name, entry, job.send, AttemptHead{id, kOk});
-  for (std::size_t at = job.offset; at < whole.size(); at += kPiece) {
+  for (std::size_t at = job.offset; at < whole.size(); at += kChunkSize) {
     Reply(name, entry, job.send,
-          AttemptChunk{id, at, whole.substr(at, kPiece)});
+          AttemptChunk{id, at, whole.substr(at, kChunkSize)});
   }
   Reply(name, entry, job.send, AttemptFinished{id, whole.size()});
 }
@@ -383,10 +385,10 @@
   });
 }
 
-void Cluster::Carry(const std::string&,
-                    std::size_t send,
-                    const AnswerCaller& answer) {
-  Sent& sent = sends_[send];
+void Cluster::ExecuteAction(const std::string&,
+                            std::size_t send,
+                            const AnswerCaller& answer) {
+  SendRecord& sent = sends_[send];
   sent.finals.push_back(answer);
   sent.answered_at = network_.now();
   Check(sent.finals.size() == 1, "one final answer", send);
@@ -432,10 +434,10 @@
 
 void Cluster::CheckAtEnd() {
   for (std::size_t send = 0; send < sends_.size(); ++send) {
-    const Sent& sent = sends_[send];
+    const SendRecord& sent = sends_[send];
     if (!sent.disturbed) {
       Check(!sent.finals.empty(), "an answer", send);
-      Check(sent.answered_at <= sent.at + kPatience + Milliseconds(1),
+      Check(sent.answered_at <= sent.at + kRequestTimeout + Milliseconds(1),
             "an answer in time", send);
     }
     const auto& runs = runs_[sent.key];
--- a/tests/auto/attempts/cluster.h
+++ b/tests/auto/attempts/cluster.h
@@ -21,7 +21,7 @@
 
 inline constexpr Duration kWindow = Seconds(60);
 inline constexpr Duration kStallLimit = Seconds(10);
-inline constexpr Duration kPatience = Seconds(5);
+inline constexpr Duration kRequestTimeout = Seconds(5);
 // An attempt starts this long after its claim at most.
 inline constexpr Duration kTokenValidity = Seconds(20);
 
@@ -35,7 +35,7 @@
 };
 
 // One send of a request by a caller, and all that came of it.
-struct Sent {
+struct SendRecord {
   std::string key;
   std::string entry;
   bool idempotent = false;
@@ -63,7 +63,7 @@
           std::uint64_t seed);
 
   FakeNetwork& network() { return network_; }
-  const std::vector<Sent>& sends() const { return sends_; }
+  const std::vector<SendRecord>& sends() const { return sends_; }
   const std::vector<EngineRun>& runs(const std::string& key) {
     return runs_[key];
   }
@@ -125,47 +125,55 @@
 
   void Disturb(const std::string& entry);
   void Announce(const std::string& agent);
-  void Hear(const std::string& entry,
-            const std::string& agent,
-            AdmissionToken token);
+  void ReceiveToken(const std::string& entry,
+                    const std::string& agent,
+                    AdmissionToken token);
   void Beat(const std::string& entry);
-  void KeepBeating(const std::string& entry);
-  void TellStalled(const std::string& entry);
+  void BeatPeriodically(const std::string& entry);
+  void ReportStall(const std::string& entry);
   void AdoptRosters(const std::string& entry);
   void Feed(const std::string& entry, std::size_t send, RequestEvent event);
-  void Do(const std::string& entry, std::size_t send, RequestAction action);
-  void Carry(const std::string& entry, std::size_t send, const SendClaim& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendRelease& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendSettle& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendFinish& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendAttempt& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const ResumeAttempt& what);
-  void Carry(const std::string& entry, std::size_t send, const Route& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const AnswerCaller& what);
-  void Carry(const std::string&, std::size_t, const RelayHead&) {}
-  void Carry(const std::string&, std::size_t, const CancelAttempt&) {}
-  void Carry(const std::string&, std::size_t send, const RelayChunk& chunk) {
+  void ScheduleAction(const std::string& entry,
+                      std::size_t send,
+                      RequestAction action);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendClaim& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendRelease& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendSettle& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendFinish& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendAttempt& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const ResumeAttempt& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const Route& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const AnswerCaller& what);
+  void ExecuteAction(const std::string&, std::size_t, const RelayHead&) {}
+  void ExecuteAction(const std::string&, std::size_t, const CancelAttempt&) {}
+  void ExecuteAction(const std::string&,
+                     std::size_t send,
+                     const RelayChunk& chunk) {
     sends_[send].text += chunk.data;
   }
-  void Ask(const std::string& from,
-           const std::string& to,
-           std::size_t send,
-           std::function<RequestEvent(TimePoint)> answer);
-  void ArriveAttempt(const StartAttempt& start, std::size_t send, bool sole);
-  void Work(const std::string& agent, const AttemptId& attempt);
-  void Stream(const std::string& agent, const Job& job);
+  void SendQuery(const std::string& from,
+                 const std::string& to,
+                 std::size_t send,
+                 std::function<RequestEvent(TimePoint)> answer);
+  void ReceiveAttempt(const StartAttempt& start, std::size_t send, bool sole);
+  void FinishJob(const std::string& agent, const AttemptId& attempt);
+  void StreamAnswer(const std::string& agent, const Job& job);
   void Reply(const std::string& agent,
              const std::string& entry,
              std::size_t send,
@@ -178,7 +186,7 @@
   std::map<std::string, Entry> entries_;
   std::map<std::string, Agent> agents_;
   std::vector<Roster> rosters_;
-  std::vector<Sent> sends_;
+  std::vector<SendRecord> sends_;
   std::map<std::string, std::vector<EngineRun>> runs_;
   std::vector<std::string> faults_;
 };
--- a/tests/auto/attempts/doubled_send_test.cc
+++ b/tests/auto/attempts/doubled_send_test.cc
@@ -29,7 +29,7 @@
 constexpr char kOrder[] = "order";
 constexpr std::uint64_t kSeeds = 1000;
 // Every patience in the machine is over by then.
-constexpr Duration kLongEnough = Seconds(8);
+constexpr Duration kTestDuration = Seconds(8);
 
 struct Row {
   const char* name;
@@ -41,7 +41,7 @@
                          {"three entries", 3, "e1"},
                          {"five entries", 5, "e1"}};
 
-bool WasServed(const Sent& sent) {
+bool WasServed(const SendRecord& sent) {
   return std::any_of(sent.finals.begin(), sent.finals.end(),
                      [](const AnswerCaller& answer) {
                        return answer.kind == FinalKind::kAnswered;
@@ -58,8 +58,8 @@
       const auto two = cluster.Send(kOrder, row.other_entry, false, false);
       REQUIRE(one.has_value());
       REQUIRE(two.has_value());
-      cluster.Advance(kLongEnough);
-      const std::vector<Sent>& sends = cluster.sends();
+      cluster.Advance(kTestDuration);
+      const std::vector<SendRecord>& sends = cluster.sends();
       CHECK((WasServed(sends[*one]) || WasServed(sends[*two])));
       CHECK(cluster.runs(kOrder).size() == 1);
       cluster.CheckAtEnd();
--- a/tests/auto/attempts/fake_network.cc
+++ b/tests/auto/attempts/fake_network.cc
@@ -4,7 +4,7 @@
 
 TimePoint FakeNetwork::ClockOf(const std::string& name) const {
   const auto found = nodes_.find(name);
-  return found == nodes_.end() ? now_ : now_ - found->second.clock_lost;
+  return found == nodes_.end() ? now_ : now_ - found->second.clock_lag;
 }
 
 void FakeNetwork::Send(const std::string& from,
@@ -24,9 +24,9 @@
 void FakeNetwork::After(const std::string& name,
                         Duration delay,
                         std::function<void()> act) {
-  const std::uint64_t life = nodes_[name].life;
-  At(delay, [this, name, life, act = std::move(act)] {
-    if (nodes_[name].life == life) {
+  const std::uint64_t incarnation = nodes_[name].incarnation;
+  At(delay, [this, name, incarnation, act = std::move(act)] {
+    if (nodes_[name].incarnation == incarnation) {
       Arrive(name, act);
     }
   });
@@ -50,7 +50,7 @@
   node.alive = false;
   node.frozen = false;
   node.waiting.clear();
-  ++node.life;
+  ++node.incarnation;
 }
 
 void FakeNetwork::Freeze(const std::string& name, bool clock_stops) {
@@ -70,7 +70,7 @@
   }
   node.frozen = false;
   if (node.clock_stops) {
-    node.clock_lost += now_ - node.frozen_at;
+    node.clock_lag += now_ - node.frozen_at;
   }
   std::vector<std::function<void()>> waiting = std::move(node.waiting);
   node.waiting.clear();
@@ -86,7 +86,7 @@
 Duration FakeNetwork::Delay() {
   const bool slow = random_.Chance(options_.slow);
   return random_.Between(Microseconds(200),
-                         slow ? options_.longest_delay : Milliseconds(3));
+                         slow ? options_.max_delay : Milliseconds(3));
 }
 
 void FakeNetwork::Arrive(const std::string& name, std::function<void()> act) {
--- a/tests/auto/attempts/fake_network.h
+++ b/tests/auto/attempts/fake_network.h
@@ -19,9 +19,9 @@
 struct NetworkOptions {
   double loss = 0;
   double duplication = 0;
-  // A slow frame takes up to `longest_delay`, the others a few milliseconds.
+  // A slow frame takes up to `max_delay`, the others a few milliseconds.
   double slow = 0;
-  Duration longest_delay = Seconds(30);
+  Duration max_delay = Seconds(30);
 };
 
 class FakeNetwork {
@@ -46,7 +46,7 @@
   void RunUntil(TimePoint end);
 
   void Cut(const std::string& a, const std::string& b) { cuts_.insert({a, b}); }
-  void Mend(const std::string& a, const std::string& b) { cuts_.erase({a, b}); }
+  void Heal(const std::string& a, const std::string& b) { cuts_.erase({a, b}); }
 
   void Kill(const std::string& node);
   void Restart(const std::string& node) { nodes_[node].alive = true; }
@@ -61,11 +61,11 @@
  private:
   struct Node {
     bool alive = true;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool frozen = false;
     bool clock_stops = false;
     TimePoint frozen_at;
-    Duration clock_lost{};
+    Duration clock_lag{};
     std::vector<std::function<void()>> waiting;
   };
 
--- a/tests/auto/attempts/randomised_test.cc
+++ b/tests/auto/attempts/randomised_test.cc
@@ -31,7 +31,7 @@
 
   Cluster& cluster() { return cluster_; }
 
-  void Play() {
+  void Run() {
     const std::size_t keys = 2 + random_.Below(5);
     for (std::size_t key = 0; key < keys; ++key) {
       PlanSends("k" + std::to_string(key));
@@ -39,7 +39,7 @@
     const std::size_t faults = random_.Below(8);
     for (std::size_t i = 0; i < faults; ++i) {
       cluster_.network().At(random_.Between({}, Seconds(25)),
-                            [this] { Break(); });
+                            [this] { InjectFault(); });
     }
     cluster_.Advance(Seconds(310));
     cluster_.CheckAtEnd();
@@ -81,7 +81,7 @@
     }
   }
 
-  void Break() {
+  void InjectFault() {
     FakeNetwork& network = cluster_.network();
     const std::string entry = AnyEntry();
     const std::string agent = AnyAgent();
@@ -129,7 +129,7 @@
   void CutFor(Duration time, const std::string& a, const std::string& b) {
     FakeNetwork& network = cluster_.network();
     network.Cut(a, b);
-    network.At(time, [&network, a, b] { network.Mend(a, b); });
+    network.At(time, [&network, a, b] { network.Heal(a, b); });
   }
 
   void ChangeRosterOnce() {
@@ -157,9 +157,9 @@
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     current_seed = seed;
     RandomRun run(seed);
-    run.Play();
+    run.Run();
     sends += run.cluster().sends().size();
-    for (const Sent& sent : run.cluster().sends()) {
+    for (const SendRecord& sent : run.cluster().sends()) {
       if (!sent.finals.empty()) {
         ++kinds[static_cast<std::size_t>(sent.finals[0].kind)];
       }
@@ -183,7 +183,7 @@
     cluster.Advance(Seconds(10));
     cluster.CheckAtEnd();
     CHECK(cluster.faults().empty());
-    for (const Sent& sent : cluster.sends()) {
+    for (const SendRecord& sent : cluster.sends()) {
       REQUIRE(sent.finals.size() == 1);
       CHECK(sent.finals[0].kind == FinalKind::kAnswered);
     }
--- a/tests/auto/attempts/scenario_test.cc
+++ b/tests/auto/attempts/scenario_test.cc
@@ -169,7 +169,7 @@
   scenario.cluster.network().Cut("a0", "e0");
   scenario.cluster.RestartAgent("a0");
   scenario.cluster.Advance(Milliseconds(10));
-  scenario.cluster.network().Mend("a0", "e0");
+  scenario.cluster.network().Heal("a0", "e0");
   const std::size_t send = scenario.Send("e0");
   scenario.cluster.Advance(Seconds(5));
   CHECK(scenario.Final(send).kind == FinalKind::kAnswered);
@@ -273,7 +273,7 @@
     for (const char* agent : {"a0", "a1"}) {
       scenario.cluster.network().Cut("e0", agent);
       scenario.cluster.network().At(Seconds(heals ? 2 : 100), [&, agent] {
-        scenario.cluster.network().Mend("e0", agent);
+        scenario.cluster.network().Heal("e0", agent);
       });
     }
     scenario.cluster.Advance(Seconds(10));
