--- a/src/libs/attempts/attempt_gate.cc
+++ b/src/libs/attempts/attempt_gate.cc
@@ -128,7 +128,7 @@
     return RefusalReason::kStopped;
   }
   if (draining_since_.has_value() &&
-      now - *draining_since_ >= options_.leaving_grace) {
+      now - *draining_since_ >= options_.drain_grace_period) {
     return RefusalReason::kLeaving;
   }
   if (running_ >= options_.capacity) {
--- a/src/libs/attempts/attempt_gate.h
+++ b/src/libs/attempts/attempt_gate.h
@@ -35,7 +35,7 @@
   std::size_t max_kept_body_bytes = 4096;
   std::size_t max_kept_total_bytes = 8U << 20U;
   // How long new work is still taken after draining began.
-  Duration leaving_grace = Seconds(3);
+  Duration drain_grace_period = Seconds(3);
   // Hint to callers where the gate is over its capacity.
   Duration over_capacity_retry = Milliseconds(500);
 };
--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -269,7 +269,7 @@
   const TimePoint started = SteadyNow();
   const TimePoint limit = started + settings_.drain_grace;
   const TimePoint earliest =
-      started + attempts::AttemptGateOptions().leaving_grace;
+      started + attempts::AttemptGateOptions().drain_grace_period;
   while (SteadyNow() < limit) {
     const bool is_told =
         announcer_.leaving_confirmed() || SteadyNow() >= earliest;
--- a/tests/auto/attempts/attempt_gate_test.cc
+++ b/tests/auto/attempts/attempt_gate_test.cc
@@ -109,7 +109,8 @@
 }
 
 TEST_CASE("an agent that leaves takes work for its grace only") {
-  AttemptGate gate({.leaving_grace = Seconds(3)}, Incarnation(1), TimeAt({}));
+  AttemptGate gate({.drain_grace_period = Seconds(3)}, Incarnation(1),
+                   TimeAt({}));
   const AdmissionToken token = gate.token(TimeAt({}));
   gate.StartDraining(TimeAt({}));
   gate.StartDraining(TimeAt(Seconds(2)));
