--- a/src/libs/attempts/attempt_gate.cc
+++ b/src/libs/attempts/attempt_gate.cc
@@ -36,7 +36,7 @@
   const std::optional<RefusalReason> reason = ReasonToRefuse(now);
   if (reason.has_value()) {
     // The refusal must be final: a second copy of the frame may arrive when
-    // there is room again, after the entry was told "not run".
+    // there is capacity again, after the entry reported "not run".
     AddRecord(attempt, Phase::kForbidden, now);
     return Refuse(start, *reason, now);
   }
@@ -87,8 +87,8 @@
     return {attempt.attempt, SettledNotSeen{}};
   }
 #if !defined(BILBERRYSPOOL_MUTATION_FORGET_TOMBSTONE)
-  // The frame may still be under way: the entry is about to say "not run" or
-  // to try elsewhere, so its arrival must be refused.
+  // The frame may still be in transit. The entry is about to report "not run"
+  // or to try another target, so the frame must be refused on arrival.
   AddRecord(attempt, Phase::kForbidden, now);
 #endif
   return {attempt.attempt, SettledNotRun{}};
@@ -114,7 +114,7 @@
              present.value();
 }
 
-// Whether the absence of a record proves that nothing with this token ran.
+// Whether the absence of a record proves that no attempt with this token ran.
 bool AttemptGate::HasCompleteRecordsFor(const AdmissionToken& token,
                                         TimePoint now) const {
   if (token.incarnation != incarnation_ || token.epoch > epoch(now)) {
@@ -140,8 +140,8 @@
 AttemptRefusal AttemptGate::Refuse(const StartAttempt& start,
                                    RefusalReason reason,
                                    TimePoint now) {
-  // Another incarnation, or this one before it dropped the record, may have
-  // run an earlier copy of the frame.
+  // Another incarnation, or this one before it evicted the record, may have run
+  // an earlier copy of the frame.
   const bool never_ran = HasCompleteRecordsFor(start.attempt.token, now);
   const Duration retry_after = reason == RefusalReason::kOverCapacity
                                    ? options_.over_capacity_retry
@@ -149,8 +149,8 @@
   return {start.attempt.attempt, reason, never_ran, token(now), retry_after};
 }
 
-// False where there was no room. Then all tokens out there have been ended, so
-// that the attempt can't start later either.
+// Returns false if the records are full. In that case all issued tokens have
+// been invalidated, so that the attempt can't start later either.
 bool AttemptGate::AddRecord(const AttemptRef& attempt,
                             Phase phase,
                             TimePoint now) {
@@ -165,7 +165,7 @@
   return true;
 }
 
-// Drops the oldest ended record whose token is no longer good.
+// Evicts the oldest ended record whose token is no longer valid.
 bool AttemptGate::EvictOldestRecord(TimePoint now) {
   for (std::size_t tried = ended_.size(); tried > 0; --tried) {
     const AttemptId oldest = ended_.front();
@@ -184,7 +184,7 @@
   return false;
 }
 
-// Large answers and the oldest ones give way, so that memory stays bounded.
+// Drops answers that are too large, then the oldest ones, to bound memory use.
 void AttemptGate::KeepBody(const AttemptId& attempt, Record& record) {
   std::optional<std::string>& body = record.outcome.body;
   if (!body.has_value()) {
--- a/src/libs/attempts/attempt_gate.h
+++ b/src/libs/attempts/attempt_gate.h
@@ -1,12 +1,14 @@
-// The agent's gate: the only giver of work to the engine behind the agent.
+// Admission control of an agent: only attempts that the gate admits are handed
+// to the engine behind the agent.
 //
-// It guards against work that starts twice or too late: a duplicated or
-// delayed frame, an entry that was frozen for minutes and sends what it had
-// prepared, an agent that restarted and forgot. Nothing is written to a disk;
-// in its place the gate issues admission tokens (its incarnation and an epoch
-// of its own clock) and only starts attempts that carry a recent one. An
-// attempt id is remembered at least as long as its token is good, so that it
-// starts at most once, and each refusal of this incarnation is final.
+// It prevents work from starting twice or too late, which can come from a
+// duplicated or delayed frame, from an entry that was frozen for minutes and
+// then sends what it had prepared, or from an agent that restarted and lost its
+// state. Nothing is written to disk. Instead the gate issues admission tokens
+// (its incarnation and an epoch of its own clock) and only starts attempts that
+// carry a recent one. An attempt id is remembered at least as long as its token
+// is valid, so that the attempt starts at most once, and each refusal by this
+// incarnation is final.
 
 #ifndef LIBS_ATTEMPTS_ATTEMPT_GATE_H_
 #define LIBS_ATTEMPTS_ATTEMPT_GATE_H_
@@ -25,24 +27,25 @@
 struct AttemptGateOptions {
   // Length of an epoch on the agent's clock.
   Duration epoch_length = Seconds(5);
-  // A token is good in its own epoch and in this many after it.
+  // Number of epochs after its own in which a token stays valid.
   std::uint64_t token_validity_epochs = 3;
-  // Attempts that run at the same time.
+  // Maximum number of attempts that run at the same time.
   std::size_t capacity = 64;
-  // Attempts remembered, running or not.
+  // Maximum number of attempt records, running or not.
   std::size_t max_records = 50000;
-  // Largest answer kept for a later question, and all of them, in bytes.
+  // Maximum size of one answer kept for later settle requests, and of all kept
+  // answers together, in bytes.
   std::size_t max_kept_body_bytes = 4096;
   std::size_t max_kept_total_bytes = 8U << 20U;
-  // How long new work is still taken after draining began.
+  // Time after the start of draining during which new work is still admitted.
   Duration drain_grace_period = Seconds(3);
-  // Hint to callers where the gate is over its capacity.
+  // Retry hint in refusals because of capacity.
   Duration over_capacity_retry = Milliseconds(500);
 };
 
-// The attempt may be handed to the engine, this once.
+// The attempt may be handed to the engine, exactly once.
 struct Admitted {};
-// Another copy of the attempt got here first.
+// Another copy of the attempt was admitted before.
 struct AlreadyAdmitted {
   SettleState state;
 };
@@ -54,28 +57,29 @@
               Incarnation incarnation,
               TimePoint started);
 
-  // The token to announce at `now`.
+  // Returns the token to announce at `now`.
   AdmissionToken token(TimePoint now) const;
 
-  // Decides on one arrival of an attempt. Only after Admitted may the engine
-  // get it, and before `now` moves on.
+  // Decides on one received copy of an attempt. The attempt may be handed to
+  // the engine only after Admitted, and only before `now` advances.
   Admission Admit(const StartAttempt& start, TimePoint now);
 
-  // The engine ended the attempt, well or badly.
+  // Records that the engine ended the attempt, successfully or not.
   void Finish(const AttemptId& attempt, Outcome outcome);
 
-  // The admitted attempt never reached the engine, which is proven: it counts
-  // as not run, and no copy of it starts later.
+  // Records that the admitted attempt provably never reached the engine: it
+  // counts as not run, and no copy of it starts later.
   void Withdraw(const AttemptId& attempt);
 
-  // Answers a question about an attempt; see SettleRequest.
+  // Answers a settle request; see SettleRequest.
   SettleAnswer Settle(const SettleRequest& request, TimePoint now);
 
-  // The agent leaves: new work is taken for the grace only, whether or not
-  // anyone heard of it. Calling it again changes nothing.
+  // Starts draining: new work is admitted only for `drain_grace_period`,
+  // whether or not the entries have learned of the draining. Later calls have
+  // no effect.
   void StartDraining(TimePoint now);
 
-  // Refuses all new work at once.
+  // Refuses all new work from now on.
   void Stop() { stopped_ = true; }
 
   void set_capacity(std::size_t capacity) { options_.capacity = capacity; }
@@ -92,6 +96,7 @@
     Outcome outcome;
   };
 
+  // The epoch of this gate's clock, counted from 1 at its start.
   Epoch epoch(TimePoint now) const;
   bool IsTokenValid(const AdmissionToken& token, TimePoint now) const;
   bool HasCompleteRecordsFor(const AdmissionToken& token, TimePoint now) const;
@@ -109,13 +114,13 @@
   TimePoint started_;
   bool stopped_ = false;
   std::optional<TimePoint> draining_since_;
-  // Grows to end all tokens at once, where memory is full.
+  // Incremented to invalidate all issued tokens when the records are full.
   TokenGeneration generation_;
-  // The newest token of which a record was dropped.
+  // The newest token whose record was evicted.
   std::optional<AdmissionToken> newest_evicted_token_;
   std::size_t running_ = 0;
   std::unordered_map<AttemptId, Record> records_;
-  // Ended records, oldest first.
+  // Attempts that have finished or must not start, oldest first.
   std::deque<AttemptId> ended_;
   // Attempts whose answer is kept, oldest first.
   std::deque<AttemptId> kept_body_ids_;
--- a/src/libs/attempts/attempt_ids.h
+++ b/src/libs/attempts/attempt_ids.h
@@ -1,4 +1,4 @@
-// The ids and counters that claims and attempts are told apart by.
+// Ids and counters that identify claims and attempts.
 
 #ifndef LIBS_ATTEMPTS_ATTEMPT_IDS_H_
 #define LIBS_ATTEMPTS_ATTEMPT_IDS_H_
@@ -11,21 +11,21 @@
 
 namespace bilberryspool::attempts {
 
-// Digest of a request's method, path and body: the same id with another body
-// is a mistake of the caller, not a resend.
+// Digest of a request's method, path and body. The same request id with another
+// body is an error of the caller, not a resend.
 using Fingerprint = StrongType<struct FingerprintTag, std::uint64_t>;
 // Period of an agent's own clock; tokens of old epochs are refused.
 using Epoch = StrongNumber<struct EpochTag>;
-// Grows when an agent ends all its tokens at once.
+// Incremented when an agent invalidates all its tokens at once.
 using TokenGeneration = StrongNumber<struct TokenGenerationTag>;
 // Counts the claims of one incarnation of an entry.
 using ClaimNumber = StrongNumber<struct ClaimNumberTag>;
-// Counts the rounds of one claim: each attempt has a round of its own.
+// Counts the rounds of one claim; each attempt is made in a round of its own.
 using ClaimRound = StrongNumber<struct ClaimRoundTag>;
-// Version of the roster of entries that holders are picked from.
+// Version of the roster of entries from which holders are chosen.
 using RosterVersion = StrongNumber<struct RosterVersionTag>;
 
-// What a caller means by one request: resends carry the same key.
+// Identifies a request of a caller; all resends of it carry the same key.
 struct RequestKey {
   Workspace workspace;
   RequestId request;
@@ -37,7 +37,8 @@
   }
 };
 
-// The entry's request that asks for a claim.
+// Identifies one send of a request, on behalf of which an entry asks for a
+// claim.
 struct Claimant {
   NodeId entry;
   Incarnation incarnation;
@@ -47,7 +48,7 @@
 };
 
 // Permission to start attempts, issued by the agent itself. It proves that the
-// sender heard from this incarnation of the agent not long ago.
+// sender recently received a message from this incarnation of the agent.
 struct AdmissionToken {
   Incarnation incarnation;
   TokenGeneration generation;
@@ -61,7 +62,7 @@
   }
 };
 
-// One attempt and where it goes.
+// One attempt, its target and the token to start it with.
 struct AttemptRef {
   AttemptId attempt;
   TargetId target;
--- a/src/libs/attempts/claim_coordinator.cc
+++ b/src/libs/attempts/claim_coordinator.cc
@@ -129,7 +129,8 @@
   return count;
 }
 
-// Why the claim can't be won any more, the most telling reason first.
+// Why the claim can no longer be won; the most specific reason takes
+// precedence.
 ClaimState ClaimCoordinator::LostState() const {
   if (const auto* mismatch = FirstVote<ClaimMismatch>(); mismatch != nullptr) {
     return *mismatch;
@@ -146,7 +147,8 @@
   return ClaimUnavailable{retry_after};
 }
 
-// The other send's newest round: its earlier attempts are settled.
+// Returns the newest round of the other send: its attempts in earlier rounds
+// are already settled.
 const ClaimHeld* ClaimCoordinator::LatestHeld() const {
   const ClaimHeld* latest = nullptr;
   for (const auto& [holder, verdict] : votes_) {
--- a/src/libs/attempts/claim_coordinator.h
+++ b/src/libs/attempts/claim_coordinator.h
@@ -1,7 +1,8 @@
-// One claim of one send of a request: asks the holders, counts their votes.
+// The claim of one send of a request: builds the messages to the holders and
+// counts their votes.
 //
-// It guards against a claim that is thought to be won on votes of another
-// round, of another send, or counted twice.
+// It prevents a claim from being considered won on votes of another round or
+// another send, or on votes that were counted twice.
 
 #ifndef LIBS_ATTEMPTS_CLAIM_COORDINATOR_H_
 #define LIBS_ATTEMPTS_CLAIM_COORDINATOR_H_
@@ -18,15 +19,16 @@
 
 namespace bilberryspool::attempts {
 
-// Too few votes are in.
+// Too few votes have arrived to decide.
 struct ClaimPending {};
 // A majority of each holder set granted this round.
 struct ClaimWon {};
-// Another send of the key has it, or had it.
+// Another send of the key has the claim, or had it.
 struct ClaimLost {
   ClaimHeld held;
 };
-// No majority can be had: holders abstain, are cut off, or voted for several.
+// No majority is possible: holders abstain, are unreachable, or voted for
+// different sends.
 struct ClaimUnavailable {
   Duration retry_after;
 };
@@ -44,46 +46,49 @@
                    Claimant claimant,
                    std::vector<HolderSet> sets);
 
-  // Other holders, for the rounds to come.
+  // Replaces the holder sets for the following rounds.
   void SetHolders(std::vector<HolderSet> sets) { sets_ = std::move(sets); }
-  // Whether the claim lacks a newer roster: none is known here, or a holder
+  // Whether the claim needs a newer roster: none is known here, or a holder
   // knows a newer one.
   bool NeedsNewerRoster() const;
 
-  // Starts the next round, for `attempt`, and forgets all votes.
+  // Starts the next round, for `attempt`, and discards all votes.
   void StartRound(std::optional<AttemptRef> attempt,
                   std::optional<Takeover> takeover);
 
-  // The message of the present round; the same for each holder.
+  // The message of the current round, identical for all holders.
   ClaimRequest request() const;
 
-  // All holders, each once.
+  // All holders, without duplicates.
   std::vector<NodeId> Holders() const;
-  // Those that have not answered this round.
+  // Holders that have not answered in this round.
   std::vector<NodeId> UnansweredHolders() const;
 
-  // Counts an answer; others' and other rounds' are ignored (false).
+  // Counts an answer. Returns false and ignores it if it belongs to another
+  // claim or round.
   bool Handle(const ClaimAnswer& answer);
 
-  // What the votes so far mean. With `final` the silent holders are taken as
-  // unreachable.
+  // The state of the claim by the votes so far. With `timed_out`, holders that
+  // have not answered count as unreachable.
   ClaimState State(bool timed_out) const;
 
   ReleaseClaim release(bool closing) const {
     return {key_, claimant_, round_, closing};
   }
 
-  // Counts an answer to a release that is closing; others are ignored (false).
+  // Counts an answer to a closing release. Returns false and ignores all
+  // others.
   bool Handle(const ReleaseAnswer& answer);
-  // Whether the claim is known to be this send's and closed: then nothing ran
-  // under another one, or will for a short time. None while answers are
-  // missing.
+  // Whether the holders confirmed that this send still had the claim and that
+  // it is closed. If true, nothing ran under another claim of the key, nor will
+  // for a short time. None while too few answers have arrived to decide.
   std::optional<bool> IsClosed() const;
 
   FinishClaim finish(Outcome outcome) const;
 
  private:
-  // Votes of one holder set.
+  // Votes of one holder set. `open` counts the holders that have not answered
+  // yet.
   struct Count {
     std::size_t granted = 0;
     std::size_t open = 0;
--- a/src/libs/attempts/claim_holder.cc
+++ b/src/libs/attempts/claim_holder.cc
@@ -25,8 +25,8 @@
     return false;
   }
   for (const LedgerEntry& entry : ledger.entries) {
-    // The time between stopping and starting again is not known, so the age
-    // starts anew: remembering for too long is harmless.
+    // The time between the stop and the restart is unknown, so the age restarts
+    // at zero: remembering an entry for too long is harmless.
     Stored& stored = entries_[entry.key];
     stored.entry = entry;
     kept_bytes_ += entry.outcome.body.value_or("").size();
@@ -40,7 +40,8 @@
   stopped_ = true;
   LedgerExport ledger{self_, incarnation_, {}};
   if (abstains(now)) {
-    // An incomplete ledger must not end the next incarnation's abstaining.
+    // An incomplete ledger must not end the abstaining of the next incarnation;
+    // incarnation 0 makes its import fail.
     ledger.incarnation = Incarnation(0);
     return ledger;
   }
@@ -135,8 +136,8 @@
   if (taken_over) {
     return GrantClaim(request, found->second, now);
   }
-  // A late frame of an older round, or of a claim that was given back, must
-  // not count as a vote.
+  // A late frame of an older round, or of a claim that was released, must not
+  // count as a vote.
   if (!same_claimant || entry.state != LedgerEntry::State::kClaimed ||
       request.round < entry.round) {
     return ClaimHeld{entry.claimant, entry.round, entry.attempt};
--- a/src/libs/attempts/claim_holder.h
+++ b/src/libs/attempts/claim_holder.h
@@ -1,11 +1,12 @@
 // The ledger of claims on an entry that holds votes for some request keys.
 //
-// It guards against a non-idempotent request that runs twice because its caller
+// It prevents a non-idempotent request from running twice because its caller
 // sent it again through another entry: the first claim of a key is granted, and
-// every other one is told who has it or what came of it. The ledger is in
-// memory only. A holder that restarted has forgotten its votes, so it abstains
-// until everything that it may have granted before is past its window; a
-// holder that is full refuses new claims and never forgets inside the window.
+// every other one is answered with the current claimant or the outcome. The
+// ledger is in memory only. A holder that restarted has lost its votes, so it
+// abstains until everything that it may have granted before is past its window.
+// A holder that is full refuses new claims and never drops an entry inside the
+// window.
 
 #ifndef LIBS_ATTEMPTS_CLAIM_HOLDER_H_
 #define LIBS_ATTEMPTS_CLAIM_HOLDER_H_
@@ -23,21 +24,22 @@
 
 struct ClaimHolderOptions {
   // How long a key is remembered after it was last touched. It must exceed the
-  // longest deadline of a request plus the validity of an admission token.
+  // maximum deadline of a request plus the validity of an admission token.
   Duration window = Seconds(600);
-  // How long a claim that is closing goes to no other send. It must exceed the
-  // entries' claim timeout.
+  // How long a closing claim is withheld from all other sends. It must exceed
+  // the entries' claim timeout.
   Duration closing_limit = Seconds(2);
-  // Keys remembered at the same time.
+  // Maximum number of keys remembered at the same time.
   std::size_t max_entries = 20000;
-  // Largest answer kept, and all of them, in bytes.
+  // Maximum size of one kept answer, and of all kept answers together, in
+  // bytes.
   std::size_t max_kept_body_bytes = 1024;
   std::size_t max_kept_total_bytes = 8U << 20U;
 };
 
-// One key of the ledger.
+// The ledger's entry for one key.
 struct LedgerEntry {
-  // kClosing: nothing will run, and the caller is being told so.
+  // kClosing: nothing will run, and the caller is being answered so.
   enum class State { kClaimed, kClosing, kReleased, kFinished };
 
   RequestKey key;
@@ -47,11 +49,11 @@
   State state = State::kClaimed;
   std::optional<AttemptRef> attempt;
   Outcome outcome;
-  // Time since it was last touched; only meaningful in an export.
+  // Time since it was last touched; only set in an export.
   Duration age{};
 };
 
-// What a holder that is stopped on purpose hands to its next incarnation.
+// The state that a holder hands to its next incarnation at a planned stop.
 struct LedgerExport {
   NodeId holder;
   Incarnation incarnation;
@@ -60,34 +62,36 @@
 
 class ClaimHolder {
  public:
-  // `first_start` says that the deployment has never run, so that there is
-  // nothing to have forgotten.
+  // `first_start` says that the deployment has never run before, so that no
+  // votes can have been lost and the holder need not abstain.
   ClaimHolder(ClaimHolderOptions options,
               NodeId self,
               Incarnation incarnation,
               bool first_start,
               TimePoint started);
 
-  // Takes over the ledger of the incarnation right before this one and ends
-  // the abstaining. False, and nothing changes, where the export is another's
-  // or an incarnation lies between.
+  // Loads the ledger of the incarnation right before this one and ends the
+  // abstaining. Returns false and changes nothing if the export is from another
+  // holder or if an incarnation lies in between.
   bool Import(const LedgerExport& ledger, TimePoint now);
 
-  // Stops granting for good and returns the ledger: after a vote that the
-  // export lacks, the next incarnation would vote twice.
+  // Stops granting permanently and returns the ledger. Granting must end here:
+  // after a vote that is missing in the export, the next incarnation would vote
+  // a second time.
   LedgerExport StopAndExport(TimePoint now);
 
   ClaimAnswer Claim(const ClaimRequest& request, TimePoint now);
   ReleaseAnswer Release(const ReleaseClaim& release, TimePoint now);
   void Finish(const FinishClaim& finish, TimePoint now);
 
-  // A newer roster is in force: claims made under an older one are refused.
+  // Notifies the holder of a newer roster: claims made under an older one are
+  // refused.
   void AdoptRoster(RosterVersion version);
 
   std::size_t size() const { return entries_.size(); }
   std::size_t kept_bytes() const { return kept_bytes_; }
   bool abstains(TimePoint now) const;
-  // Whether it would vote on a claim made under that roster.
+  // Whether it votes on a claim that is made under that roster.
   bool CanVote(RosterVersion roster, TimePoint now) const;
 
  private:
@@ -118,7 +122,8 @@
   bool stopped_ = false;
   RosterVersion roster_;
   std::map<RequestKey, Stored> entries_;
-  // One for each touch, oldest first; an entry expires with its last one.
+  // One element for each touch, oldest first; an entry expires with its last
+  // one.
   std::deque<Touch> touches_;
   std::size_t kept_bytes_ = 0;
 };
--- a/src/libs/attempts/ledger_json.cc
+++ b/src/libs/attempts/ledger_json.cc
@@ -15,7 +15,7 @@
     static_cast<std::uint64_t>(LedgerEntry::State::kFinished);
 
 json::value EntryToJson(const LedgerEntry& entry) {
-  // Key, claimant and outcome together are what a finish message holds.
+  // A FinishClaim message carries key, claimant and outcome.
   json::object object{
       {"finish", ToJson(FinishClaim{entry.key, entry.claimant, entry.outcome})},
       {"fingerprint", entry.fingerprint.value()},
--- a/src/libs/attempts/ledger_json.h
+++ b/src/libs/attempts/ledger_json.h
@@ -1,4 +1,5 @@
-// JSON form of an exported ledger, as a holder hands it to its next start.
+// JSON form of an exported ledger, which a holder hands to its next
+// incarnation.
 
 #ifndef LIBS_ATTEMPTS_LEDGER_JSON_H_
 #define LIBS_ATTEMPTS_LEDGER_JSON_H_
@@ -12,8 +13,8 @@
 
 boost::json::value ToJson(const LedgerExport& ledger);
 
-// None where anything in it is missing or malformed: an incomplete ledger must
-// not be taken for a whole one.
+// Returns none if any part is missing or malformed: an incomplete ledger must
+// not be taken for a complete one.
 std::optional<LedgerExport> LedgerFromJson(const boost::json::value& json);
 
 }  // namespace bilberryspool::attempts
--- a/src/libs/attempts/messages.h
+++ b/src/libs/attempts/messages.h
@@ -1,5 +1,5 @@
 // Messages between entries and holders (claims) and between entries and agents
-// (attempts, settling). Their JSON form is in messages_json.h.
+// (attempts and settling). Their JSON form is in messages_json.h.
 
 #ifndef LIBS_ATTEMPTS_MESSAGES_H_
 #define LIBS_ATTEMPTS_MESSAGES_H_
@@ -14,7 +14,7 @@
 
 namespace bilberryspool::attempts {
 
-// The end of work that ran. `body` is absent where the answer was too large or
+// The result of work that ran. `body` is absent if the answer was too large or
 // is no longer kept.
 struct Outcome {
   int status = 0;
@@ -23,9 +23,9 @@
   bool operator==(const Outcome&) const = default;
 };
 
-// The agent has settled that the last attempt of `from`, made in round
-// `through`, did not run and never will; all before it were settled by `from`
-// itself. So its claim may pass to another send.
+// Proof that the claim of `from` may pass to another send: the agent has
+// settled that the last attempt of `from`, made in round `through`, did not run
+// and never will. All earlier attempts were settled by `from` itself.
 struct Takeover {
   Claimant from;
   ClaimRound through;
@@ -33,8 +33,8 @@
   bool operator==(const Takeover&) const = default;
 };
 
-// Entry to holder: asks for the right to run `key`. Repeating it is harmless.
-// Without `attempt` the claim only proves that nothing ran so far.
+// Entry to holder: asks for the claim on `key`. Repeating it has no further
+// effect. Without `attempt` the claim only proves that nothing has run so far.
 struct ClaimRequest {
   RequestKey key;
   Fingerprint fingerprint;
@@ -51,8 +51,8 @@
   bool operator==(const ClaimGranted&) const = default;
 };
 
-// Another send of the same key has the claim; `attempt` is what it last tried,
-// in `round`.
+// Another send of the same key has the claim; `attempt` is its last attempt,
+// made in `round`.
 struct ClaimHeld {
   Claimant claimant;
   ClaimRound round;
@@ -69,7 +69,7 @@
 
 enum class AbstainReason { kRestarted, kFull, kStaleRoster, kStopped };
 
-// The holder has no vote, for `retry_after` at least.
+// The holder does not vote, for `retry_after` at least.
 struct ClaimAbstained {
   AbstainReason reason = AbstainReason::kRestarted;
   Duration retry_after{};
@@ -77,7 +77,7 @@
   bool operator==(const ClaimAbstained&) const = default;
 };
 
-// The key is known with another body.
+// The key is already known with another fingerprint.
 struct ClaimMismatch {
   bool operator==(const ClaimMismatch&) const = default;
 };
@@ -88,7 +88,7 @@
                                   ClaimAbstained,
                                   ClaimMismatch>;
 
-// Holder to entry. `claimant` and `round` repeat the request's.
+// Holder to entry. `claimant` and `round` are copied from the request.
 struct ClaimAnswer {
   RequestKey key;
   Claimant claimant;
@@ -101,7 +101,7 @@
 
 // Entry to holder: nothing ran under this claim and nothing will. With
 // `closing` no other send gets the claim for a short time, in which the caller
-// is told so; without it the claim is free.
+// is answered; without it the claim is free.
 struct ReleaseClaim {
   RequestKey key;
   Claimant claimant;
@@ -111,7 +111,8 @@
   bool operator==(const ReleaseClaim&) const = default;
 };
 
-// Holder to entry: whether the claim was the claimant's until it was released.
+// Holder to entry: whether the claimant still had the claim when it was
+// released.
 struct ReleaseAnswer {
   ReleaseClaim release;
   NodeId holder;
@@ -120,7 +121,7 @@
   bool operator==(const ReleaseAnswer&) const = default;
 };
 
-// Entry to holder: the work under this claim ran to its end.
+// Entry to holder: the work under this claim has finished.
 struct FinishClaim {
   RequestKey key;
   Claimant claimant;
@@ -129,8 +130,8 @@
   bool operator==(const FinishClaim&) const = default;
 };
 
-// Entry to agent: run this once. `offset` is where the answer goes on; 0 for
-// a whole answer.
+// Entry to agent: run this once. `offset` is the byte offset at which the
+// answer continues; 0 for a complete answer.
 struct StartAttempt {
   AttemptRef attempt;
   RequestKey key;
@@ -150,9 +151,9 @@
   kStopped,
 };
 
-// Agent to entry: this copy of the attempt was not started. Only where
-// `never_ran` holds is it proof that no copy ever ran or will run. `token` is
-// the agent's present one, for attempts to come.
+// Agent to entry: this copy of the attempt was not started. It is proof that no
+// copy ever ran or will run only if `never_ran` is set. `token` is the agent's
+// current one, for further attempts.
 struct AttemptRefusal {
   AttemptId attempt;
   RefusalReason reason = RefusalReason::kStopped;
@@ -163,8 +164,8 @@
   bool operator==(const AttemptRefusal&) const = default;
 };
 
-// Entry to agent: what became of this attempt? With `forbid` a later arrival
-// of the attempt is refused; without it the question changes nothing.
+// Entry to agent: asks for the state of an attempt. With `forbid` a later
+// arrival of the attempt is refused; without it the request changes nothing.
 struct SettleRequest {
   AttemptRef attempt;
   bool forbid = true;
@@ -184,11 +185,11 @@
 
   bool operator==(const SettledFinished&) const = default;
 };
-// Not seen so far; only said to a question that forbids nothing.
+// Not received so far; only sent in answer to a request without `forbid`.
 struct SettledNotSeen {
   bool operator==(const SettledNotSeen&) const = default;
 };
-// This incarnation can't tell.
+// This incarnation can't determine the state.
 struct SettledUnknown {
   bool operator==(const SettledUnknown&) const = default;
 };
--- a/src/libs/attempts/messages_json.cc
+++ b/src/libs/attempts/messages_json.cc
@@ -21,12 +21,12 @@
     "expired_token", "other_incarnation", "tombstone", "over_capacity",
     "memory_full",   "leaving",           "stopped"};
 
-// In microseconds; longer spans are taken for garbage.
+// Longer durations are rejected as malformed.
 constexpr std::uint64_t kMaxDurationUs = 1ULL << 50U;
 constexpr std::uint64_t kMaxStatus = 999;
 
-// Reads the fields of one object; after a first fault all that follows is
-// worthless and ok() is false.
+// Reads the fields of one object. After the first error ok() is false and all
+// values read are meaningless.
 class Reader {
  public:
   explicit Reader(const json::value& value) : object_(value.if_object()) {
@@ -93,7 +93,7 @@
     return {};
   }
 
-  // Reads a nested object with `read`, which returns none for a fault.
+  // Reads a nested object with `read`, which returns none on error.
   template <typename Read>
   auto Nested(std::string_view name, Read read) {
     const json::value* value = Find(name);
--- a/src/libs/attempts/messages_json.h
+++ b/src/libs/attempts/messages_json.h
@@ -1,4 +1,5 @@
-// JSON form of the messages; kept apart so that decisions don't include JSON.
+// JSON form of the messages, separate so that the decision logic does not
+// depend on the JSON library.
 
 #ifndef LIBS_ATTEMPTS_MESSAGES_JSON_H_
 #define LIBS_ATTEMPTS_MESSAGES_JSON_H_
@@ -21,11 +22,11 @@
 boost::json::value ToJson(const SettleRequest& message);
 boost::json::value ToJson(const SettleAnswer& message);
 
-// As it is written in messages and logs.
+// The name of the reason in messages and logs.
 std::string_view ToString(AbstainReason reason);
 
-// Reads a message of the type asked for; none where a field is missing, of the
-// wrong type or out of range. Defined for the message types above.
+// Parses a message of type `Message`. Returns none if a field is missing, of
+// the wrong type or out of range. Defined for the message types above.
 template <typename Message>
 std::optional<Message> FromJson(const boost::json::value& json);
 
--- a/src/libs/attempts/request_action.h
+++ b/src/libs/attempts/request_action.h
@@ -1,4 +1,4 @@
-// What the machine of one request asks the entry to do.
+// Actions that a RequestMachine asks its entry to carry out.
 
 #ifndef LIBS_ATTEMPTS_REQUEST_ACTION_H_
 #define LIBS_ATTEMPTS_REQUEST_ACTION_H_
@@ -19,7 +19,8 @@
 };
 
 // Choose a target that is not excluded; answered by TargetChosen or NoTarget.
-// With an `offset` above 0 only a target that can continue there will do.
+// With an `offset` above 0 only a target that can continue an answer there is
+// suitable.
 struct Route {
   std::vector<TargetId> excluded;
   std::uint64_t offset = 0;
@@ -29,66 +30,68 @@
   StartAttempt start;
 };
 
-// Begins the answer towards the caller.
+// Starts the answer to the caller.
 struct RelayHead {
   int status = 0;
 };
 
-// Passes bytes on to the caller; they follow exactly on those before.
+// Sends bytes to the caller; they directly follow those sent before.
 struct RelayChunk {
   std::string data;
 };
 
-// Ask the agent over a new connection.
+// Sends a settle request to the agent over a new connection.
 struct SendSettle {
   SettleRequest request;
 };
 
-// Ask the agent, over a new connection, for the rest of a running or finished
-// attempt's answer from `offset` on.
+// Requests from the agent, over a new connection, the remaining answer of a
+// running or finished attempt from `offset` on.
 struct ResumeAttempt {
   AttemptRef attempt;
   std::uint64_t offset = 0;
 };
 
-// The caller no longer needs the attempt; only for idempotent requests.
+// Cancels an attempt that the caller no longer needs; only for idempotent
+// requests.
 struct CancelAttempt {
   AttemptRef attempt;
 };
 
 enum class FinalKind {
-  // The whole answer was, or with this action is, given.
+  // The complete answer was sent, or is sent with this action.
   kAnswered,
-  // Proven: it did not run. Safe to send again, also under a new id.
+  // Proven that it did not run. It is safe to send again, also under a new id.
   kNotRun,
-  // It may have run. Only the same id is safe to send again.
+  // It may have run. It is safe to send again only under the same id.
   kUnknown,
 };
 
 enum class FinalReason {
   kFinished,
-  // Answered with what an earlier send of the same id got.
+  // Answered with the answer to an earlier send of the same id.
   kEarlierAnswer,
-  // An earlier send was answered; its answer is no longer kept.
+  // An earlier send was answered, but its answer is no longer kept.
   kAnswerNotKept,
-  // Another send of the same id is at work.
+  // Another send of the same id is in progress.
   kInProgress,
   kNoTarget,
   kRefusedByTargets,
   kClaimUnavailable,
-  // The id is known with another body.
+  // The id is already known with another body.
   kBodyMismatch,
   kTargetLost,
   kFailedByTarget,
   kStreamBroken,
   kDeadline,
-  // The entry stood still for so long that it can't tell.
+  // The entry was stalled for so long that it can't determine the outcome.
   kEntryStalled,
   kStopping,
 };
 
-// The final answer; exactly one for each request. `outcome` is set where an
-// earlier answer is repeated. `retry_after` is a hint from the actual state.
+// The final answer, sent exactly once for each request. `outcome` is set if an
+// earlier answer is repeated. `retry_after` is a hint derived from the current
+// state.
 struct AnswerCaller {
   FinalKind kind = FinalKind::kUnknown;
   FinalReason reason = FinalReason::kFinished;
--- a/src/libs/attempts/request_event.h
+++ b/src/libs/attempts/request_event.h
@@ -1,4 +1,4 @@
-// What can happen to one request on its entry.
+// Events that a RequestMachine handles.
 
 #ifndef LIBS_ATTEMPTS_REQUEST_EVENT_H_
 #define LIBS_ATTEMPTS_REQUEST_EVENT_H_
@@ -17,16 +17,16 @@
 // The request has passed the filters before routing.
 struct RequestStarted {};
 
-// Routing chose a target. `token` is the newest that this entry has heard from
-// the target's agent, recently by its own clock. `can_continue` says that the
-// engine can take up an answer at an offset.
+// Routing chose a target. `token` is the newest one that this entry has
+// received from the target's agent, and recent by the entry's own clock.
+// `can_continue` says that the engine can continue an answer at an offset.
 struct TargetChosen {
   TargetId target;
   AdmissionToken token;
   bool can_continue = false;
 };
 
-// Routing has no target now; also where retries are out of budget.
+// Routing has no target at the moment, or the retry budget is exhausted.
 struct NoTarget {
   Duration retry_after{};
 };
@@ -40,8 +40,8 @@
   ClaimRound round;
 };
 
-// The entry has learned of another roster; the holders of the request's key
-// under each one that counts.
+// The entry has received another roster. `holders` are the holder sets of the
+// request's key under each roster that is still in effect.
 struct HoldersChanged {
   std::vector<HolderSet> holders;
 };
@@ -51,13 +51,15 @@
   ReleaseAnswer answer;
 };
 
-// The agent handed the attempt to its engine, or says that it is still at it.
+// The agent handed the attempt to its engine, or reports that it is still
+// running.
 struct AttemptAlive {
   AttemptId attempt;
 };
 
-// The agent refused the attempt. `proven` holds where the agent vouches for
-// it, or where the transport proves that no other process got a copy.
+// The agent refused the attempt. `proven` is set if the agent confirms that the
+// attempt never ran, or if the transport proves that no other process received
+// a copy.
 struct AttemptRefused {
   AttemptId attempt;
   RefusalReason reason = RefusalReason::kStopped;
@@ -65,13 +67,13 @@
   Duration retry_after{};
 };
 
-// The answer begins; `status` is the engine's.
+// The start of the answer; `status` is the engine's.
 struct AttemptHead {
   AttemptId attempt;
   int status = 0;
 };
 
-// A part of the answer; `offset` counts bytes from its beginning.
+// A part of the answer; `offset` is its position in the answer in bytes.
 struct AttemptChunk {
   AttemptId attempt;
   std::uint64_t offset = 0;
@@ -84,17 +86,18 @@
   std::uint64_t size = 0;
 };
 
-// The engine took the attempt and failed it; it may have had effects.
+// The engine accepted the attempt and failed; it may have had effects.
 struct AttemptFailed {
   AttemptId attempt;
 };
 
-// The link of the attempt broke, or carried nothing for too long.
+// The attempt's link broke, or carried nothing until the timeout.
 struct LinkLost {
   AttemptId attempt;
 };
 
-// The agent answered a question (Settle), or the call to it failed.
+// The agent answered a settle request, or (`SettleUnreachable`) the call to it
+// failed.
 struct SettleAnswered {
   SettleAnswer answer;
 };
@@ -102,17 +105,18 @@
   AttemptId attempt;
 };
 
-// The caller's connection ended.
+// The caller closed its connection.
 struct CallerDisconnected {};
 
-// The entry stood still for long (StallDetector): what the holders remember
-// proves nothing about this request any more.
+// The entry was stalled for a long time (StallDetector): the state of the
+// holders no longer proves anything about this request.
 struct EntryStalled {};
 
-// The stated limit of a planned stop is reached: answer now.
+// The time limit of a planned stop is reached: the request must be answered
+// now.
 struct StopDeadlineReached {};
 
-// The machine's next_deadline() has come.
+// The machine's next_deadline() has been reached.
 struct RequestTick {};
 
 using RequestEvent = std::variant<RequestStarted,
@@ -136,7 +140,7 @@
                                   StopDeadlineReached,
                                   RequestTick>;
 
-// The attempt that an event speaks of; null where it speaks of none.
+// Returns the attempt that an event refers to; null if it refers to none.
 const AttemptId* AttemptOf(const RequestEvent& event);
 
 }  // namespace bilberryspool::attempts
--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -30,10 +30,12 @@
     ++dropped_events_;
     return {};
   }
-  // Before the deadline, which such a request has mostly missed.
+  // Evaluated before the deadline check: a request on a stalled entry has
+  // usually missed its deadline, and its final answer depends on `stalled_`.
   stalled_ = stalled_ || std::holds_alternative<EntryStalled>(event);
   if (now >= spec_.deadline) {
-    // Before the event: a request that slept must not start work any more.
+    // Checked before the event is handled: a request that was delayed past its
+    // deadline must not start work.
     GiveUpAtOnce(FinalReason::kDeadline, options_.default_retry);
   } else {
     std::visit([&](const auto& what) { On(what, now); }, event);
@@ -76,8 +78,9 @@
     ++dropped_events_;
     return;
   }
-  // A new name even where the one before was never sent: other sends ask about
-  // it by name, and a late answer about one must not be taken for the other.
+  // A new id even if the previous attempt was never sent: other sends ask about
+  // an attempt by its id, and a late answer about one must not be attributed to
+  // the other.
   ++issued_attempt_ids_;
   attempt_ = AttemptRef{MakeAttemptId(spec_.claimant, issued_attempt_ids_),
                         event.target, event.token};
@@ -100,7 +103,7 @@
     GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
     return;
   }
-  // An earlier send of the id may have run: only the holders can tell.
+  // An earlier send of the id may have run; only the holders know.
   StartClaim(now);
 }
 
@@ -121,8 +124,8 @@
 
 void RequestMachine::On(const HoldersChanged& event, TimePoint now) {
   const bool is_awaited = state_ == State::kClaiming && awaits_roster_;
-  // A claim that is being decided, or was, belongs to the holders it was asked
-  // of.
+  // A claim that is in progress or decided stays with the holders that were
+  // asked.
   if (is_awaited || state_ == State::kNew || state_ == State::kRouting) {
     claim_.SetHolders(event.holders);
   }
@@ -145,11 +148,13 @@
 
 void RequestMachine::On(const AttemptRefused& event, TimePoint now) {
   if (event.proven) {
-    // A token that is too old says nothing against the target.
+    // An expired or foreign token, or a full record table, is no fault of the
+    // target.
     const bool stale_token = event.reason == RefusalReason::kExpiredToken ||
                              event.reason == RefusalReason::kOtherIncarnation ||
                              event.reason == RefusalReason::kMemoryFull;
-    // One that this entry took for fresh shows that its clock stood still.
+    // An expired token that this entry considered valid shows that its clock
+    // was stalled.
     stalled_ = stalled_ || event.reason == RefusalReason::kExpiredToken;
     OnProvenNotRun(!stale_token, event.retry_after, now);
     return;
@@ -170,7 +175,7 @@
 
 void RequestMachine::On(const AttemptFinished& event, TimePoint now) {
   if (event.size != stream_.relayed()) {
-    // A part is missing: what the caller has is not the whole answer.
+    // A part is missing: the caller has not received the complete answer.
     StartSettling(now);
     return;
   }
@@ -205,7 +210,7 @@
 }
 
 void RequestMachine::On(const SettleUnreachable&, TimePoint now) {
-  // The timer asks again; one failed call proves nothing.
+  // The timer repeats the request; a single failed call proves nothing.
   static_cast<void>(now);
 }
 
@@ -214,7 +219,7 @@
   const bool under_way =
       state_ == State::kAttempting || state_ == State::kSettling;
   if (!spec_.idempotent && under_way) {
-    // It goes on, so that a resend gets this answer.
+    // The attempt continues, so that a resend gets this answer.
     return;
   }
   GiveUp(FinalReason::kInProgress, Duration{}, now);
@@ -276,12 +281,13 @@
 }
 
 void RequestMachine::SendOwnAttempt(TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(spec_.idempotent || unproven_attempts_ == 0,
-                          "one unproven attempt of non-idempotent work");
+  BILBERRYSPOOL_INVARIANT(
+      spec_.idempotent || unproven_attempts_ == 0,
+      "at most one unproven attempt of a non-idempotent request");
   BILBERRYSPOOL_INVARIANT(spec_.idempotent || claim_won_,
-                          "non-idempotent work runs under a claim");
+                          "a non-idempotent attempt is sent under a won claim");
   BILBERRYSPOOL_INVARIANT(spec_.idempotent || !stalled_,
-                          "no new attempt after a stall");
+                          "no new non-idempotent attempt after a stall");
   state_ = State::kAttempting;
   ++attempts_;
   ++unproven_attempts_;
@@ -381,7 +387,7 @@
                                     Duration retry_after,
                                     TimePoint now) {
   BILBERRYSPOOL_INVARIANT(unproven_attempts_ > 0,
-                          "a proof is of an attempt sent");
+                          "a proof refers to an attempt that was sent");
   --unproven_attempts_;
   if (exclude_target) {
     excluded_.push_back(attempt_->target);
@@ -394,7 +400,7 @@
   StartRouting();
 }
 
-// What became of the attempt can't be found out, or its answer is lost.
+// Handles an attempt whose state can't be determined or whose answer is lost.
 void RequestMachine::OnAttemptLost(FinalReason reason, TimePoint now) {
   const bool continues = stream_.relayed() == 0 || can_continue_;
   if (!MayRetry() || !continues) {
--- a/src/libs/attempts/request_machine.h
+++ b/src/libs/attempts/request_machine.h
@@ -1,15 +1,17 @@
-// The life of one request on its entry, from routing to its final answer.
+// State machine of one request on its entry, from routing to the final answer.
 //
-// It guards against a non-idempotent request that runs twice, an answer that
-// belongs to another request or is doubled midway, a caller that never hears
-// back, and a "not run" that is not true. The rules:
-// - Events are matched by attempt id; late and foreign ones are dropped.
+// It prevents a non-idempotent request from running twice, an answer that
+// belongs to another request or that repeats a part, a caller that never gets
+// an answer, and a wrong "not run". The rules:
+// - Events are matched by attempt id; late ones and those of other attempts are
+//   dropped.
 // - A non-idempotent request is claimed at a majority of its holders before
-//   each attempt, for that attempt, with a token that is older than the claim;
-//   so a request that slept since then finds its token refused.
-// - Another target is tried only where the request is idempotent, or where it
-//   is proven that the attempt before did not run and never will.
-// - The final answer goes out as soon as it is known, exactly once, and says
+//   each attempt and for that attempt, with a token that is older than the
+//   claim. If the entry is frozen between claim and attempt, the token expires
+//   and the agent refuses the attempt.
+// - Another target is tried only if the request is idempotent, or if it is
+//   proven that the previous attempt did not run and never will.
+// - The final answer is sent as soon as it is known, exactly once, and says
 //   "not run" only on proof.
 
 #ifndef LIBS_ATTEMPTS_REQUEST_MACHINE_H_
@@ -29,49 +31,54 @@
 
 namespace bilberryspool::attempts {
 
-// One send of a request, as the filters before have read it.
+// One send of a request, as parsed by the request filters.
 struct RequestSpec {
   RequestKey key;
   Fingerprint fingerprint;
-  // Identifies this send among all of all entries; also without a claim.
+  // Identifies this send among all sends of all entries; also used without a
+  // claim.
   Claimant claimant;
   bool idempotent = true;
-  // The caller vouches that it never sent this id before.
+  // The caller asserts that it never sent this id before.
   bool first_send = false;
   TimePoint deadline;
-  // It may have been sent before this entry stood still (StallDetector).
+  // It may have been sent before this entry was stalled (StallDetector).
   bool may_predate_stall = false;
-  // Who votes on a claim; only needed where it is not idempotent.
+  // The holders that vote on a claim; only needed if it is not idempotent.
   std::vector<HolderSet> holders;
 };
 
 struct RequestMachineOptions {
-  // Attempts of one request, the first included.
+  // Maximum number of attempts of one request, including the first.
   std::size_t max_attempts = 3;
-  // How long holders have to answer, and when those silent are asked again.
+  // Time in which holders must answer, and interval at which those that have
+  // not answered are asked again.
   Duration claim_timeout = Milliseconds(400);
   Duration claim_resend = Milliseconds(100);
-  // How long a claim waits for a roster that this entry has not heard of yet.
-  // Spreading one takes a second or two.
+  // How long a claim waits for a roster that this entry has not received yet.
+  // Distributing one takes one to two seconds.
   Duration roster_wait = Seconds(3);
-  // An attempt that shows no sign for this long has lost its link.
+  // An attempt from which nothing is received for this time counts as having
+  // lost its link.
   Duration silence_timeout = Seconds(2);
-  // Questions about an attempt: how many, and the time between them.
+  // Maximum number of settle requests about an attempt, and the interval
+  // between them.
   std::size_t max_settle_queries = 4;
   Duration settle_interval = Milliseconds(300);
-  // Two sends of one key that came at one moment may each hold a vote of the
-  // other's, and each take the other's claim over at the same time, again and
-  // again, until both give up and nobody is served. The one with the greater
-  // claimant waits this much longer. Longer than a claim takes, 2 ways of 30 ms
-  // at most between failure domains.
+  // Additional wait of the send with the greater claimant before it asks again
+  // about another send's attempt. Without it, two simultaneous sends of one key
+  // may each hold a vote that the other needs and repeatedly take over each
+  // other's claim at the same time, until both give up and neither is served.
+  // It must exceed the time to make a claim, which takes two network trips of
+  // at most 30 ms each between failure domains.
   Duration tie_break_delay = Milliseconds(150);
-  // How often another send of the key is looked up.
+  // Maximum number of lookups of another send of the key.
   std::size_t max_lookups = 3;
-  // How often a stream may be taken up again.
+  // Maximum number of times that a stream may be resumed.
   std::size_t max_resumes = 4;
-  // Hint where nothing better is known.
+  // Retry hint if no better one is known.
   Duration default_retry = Seconds(1);
-  // Largest answer handed to the holders, in bytes.
+  // Maximum size of an answer reported to the holders, in bytes.
   std::size_t max_kept_body_bytes = 1024;
 };
 
@@ -79,16 +86,17 @@
  public:
   RequestMachine(RequestMachineOptions options, RequestSpec spec);
 
-  // The first event is RequestStarted.
+  // Handles an event and returns the resulting actions. The first event must be
+  // RequestStarted.
   std::vector<RequestAction> Handle(const RequestEvent& event, TimePoint now);
 
-  // When to send RequestTick; none once it is done.
+  // Time of the next RequestTick; none once the request is done.
   std::optional<TimePoint> next_deadline() const;
 
   bool done() const { return state_ == State::kDone; }
-  // Events that came too late or spoke of another attempt.
+  // Number of events that arrived too late or belonged to another attempt.
   std::size_t dropped_events() const { return dropped_events_; }
-  // Attempts sent so far.
+  // Number of attempts sent so far.
   std::size_t attempts() const { return attempts_; }
 
  private:
@@ -97,11 +105,11 @@
     kRouting,
     kClaiming,
     kAttempting,
-    // Finding out what became of the own attempt.
+    // Asking the agent for the state of this send's own attempt.
     kSettling,
-    // Finding out what became of another send's attempt.
+    // Asking the agent for the state of another send's attempt.
     kLookingUp,
-    // Nothing ran; making sure that nothing could run elsewhere meanwhile.
+    // Nothing ran here; confirming that nothing could run elsewhere meanwhile.
     kClosing,
     kDone,
   };
@@ -140,6 +148,8 @@
   void SendOwnAttempt(TimePoint now);
   void StartSettling(TimePoint now);
   void SendSettleQuery(bool forbid, TimePoint now);
+  // Handle the agent's answer about this send's own attempt, or about the
+  // attempt of the other send that is looked up.
   void OnSettled(const SettleState& state, TimePoint now);
   void OnLookedUp(const SettleState& state, TimePoint now);
   void TakeOver();
@@ -149,12 +159,17 @@
   void RecordAttemptLiveness(TimePoint now);
   void Relay(std::uint64_t offset, const std::string& data, TimePoint now);
   void RelayHeadOnce();
+  // The current attempt provably did not run: tries another target, or gives up
+  // if no attempt is left.
   void OnProvenNotRun(bool exclude_target, Duration retry_after, TimePoint now);
   void OnAttemptLost(FinalReason reason, TimePoint now);
   bool MayRetry() const;
 
   void Complete();
   void RepeatOutcome(const Outcome& outcome);
+  // Ends the request without an answer from a target. GiveUp first closes a
+  // claim that this send has won, so that "not run" is proven; GiveUpAtOnce
+  // answers immediately.
   void GiveUp(FinalReason reason, Duration retry_after, TimePoint now);
   void GiveUpAtOnce(FinalReason reason, Duration retry_after);
   FinalKind FinalKindOnGiveUp() const;
@@ -172,24 +187,25 @@
   State state_ = State::kNew;
   std::vector<RequestAction> actions_;
 
-  // The attempt chosen or under way, or the one that is looked up.
+  // The attempt chosen or in progress, or the one that is looked up.
   std::optional<AttemptRef> attempt_;
   bool can_continue_ = false;
   std::vector<TargetId> excluded_;
   std::size_t issued_attempt_ids_ = 0;
   std::size_t attempts_ = 0;
-  // Attempts sent of which it is not proven that they did not run.
+  // Number of attempts sent that are not proven not to have run.
   std::size_t unproven_attempts_ = 0;
   bool claim_asked_ = false;
   bool claim_won_ = false;
   TimePoint claim_deadline_;
-  // The claim can't be won before another roster is heard of.
+  // The claim can't be won before another roster is received.
   bool awaits_roster_ = false;
-  // The other send that is looked up, and what follows from it.
+  // The claim of the other send that is looked up, the number of lookups, and
+  // the takeover that results.
   ClaimHeld other_claim_;
   std::size_t lookups_ = 0;
   std::optional<Takeover> takeover_;
-  // What is said once the claim is closed.
+  // The answer to send once the claim is closed.
   AnswerCaller pending_answer_;
   Duration no_target_retry_{};
 
@@ -199,7 +215,7 @@
   bool stalled_ = false;
   std::size_t settle_queries_ = 0;
   std::size_t resumes_ = 0;
-  // The next timer of the present state.
+  // The next timer of the current state.
   std::optional<TimePoint> timer_;
   std::size_t final_answers_ = 0;
   std::size_t dropped_events_ = 0;
--- a/src/libs/attempts/request_machine_claims.cc
+++ b/src/libs/attempts/request_machine_claims.cc
@@ -1,4 +1,4 @@
-// The part of RequestMachine that deals with holders and with other sends.
+// The part of RequestMachine that handles claims and other sends of the key.
 
 #include <algorithm>
 #include <utility>
@@ -55,9 +55,9 @@
       claim_.State(timed_out));
 }
 
-// An entry that has just started, or a change of the control members, leaves a
-// moment in which the entry knows fewer rosters than the holders: the claim can
-// be won as soon as it has heard.
+// After the start of an entry, or a change of the control members, the entry
+// may briefly know fewer rosters than the holders: the claim can be won as soon
+// as it receives the missing one.
 void RequestMachine::OnClaimUnavailable(const ClaimUnavailable& unavailable,
                                         bool timed_out,
                                         TimePoint now) {
@@ -72,8 +72,8 @@
   }
 }
 
-// Another send has the claim. Its entry may be dead, but the agent that it
-// chose can tell what became of the work.
+// Another send has the claim. Its entry may be dead, but the agent of its
+// target can report the state of its attempt.
 void RequestMachine::LookUpOtherSend(const ClaimHeld& held, TimePoint now) {
   attempt_ = held.attempt;
   other_claim_ = held;
@@ -106,25 +106,28 @@
                    GiveUp(FinalReason::kInProgress, options_.default_retry,
                           now);
                  },
-                 // It may be under way: the timer asks again, and then forbids.
+                 // It may be in transit: the timer asks again, then with
+                 // `forbid`.
                  [](const SettledNotSeen&) {},
                  [&](const SettledNotRun&) { TakeOver(); },
              },
              state);
 }
 
-// The other send did not run and, as far as its claim goes, never will: its
-// entry is dead, or about to find out. This send goes on in its place.
+// Takes over the claim of the other send, which did not run and never will
+// under that claim: its entry is dead, or will learn of it when its attempt is
+// refused.
 void RequestMachine::TakeOver() {
   takeover_ = Takeover{other_claim_.claimant, other_claim_.round};
   attempt_.reset();
   StartRouting();
 }
 
-// Another send may have taken the claim over, or the holders may have forgotten
-// it, and the request may have run there. One notices by a caller that was told
-// "not run" of work that ran. The holders' answers rule it out, and keep others
-// from running it while the caller is told.
+// Closes the claim before "not run" is reported. Another send may have taken
+// the claim over, or the holders may have dropped it, and the request may have
+// run there; its caller would then be told "not run" about work that ran. The
+// holders' answers rule this out, and they keep other sends from running it
+// while the caller is answered.
 void RequestMachine::CloseClaim(FinalReason reason,
                                 Duration retry_after,
                                 TimePoint now) {
@@ -140,7 +143,8 @@
   if (!closed.has_value() && !timed_out) {
     return;
   }
-  // Too late an answer proves nothing: the holders close it for a short time.
+  // A confirmation that arrives too late proves nothing, as holders keep the
+  // claim closed for a short time only.
   if (timed_out || stalled_ || !closed.value_or(false)) {
     pending_answer_.kind = FinalKind::kUnknown;
   }
--- a/src/libs/attempts/request_machine_finals.cc
+++ b/src/libs/attempts/request_machine_finals.cc
@@ -1,4 +1,4 @@
-// The part of RequestMachine that ends a request.
+// The part of RequestMachine that completes a request.
 
 #include <utility>
 
@@ -21,7 +21,7 @@
 }
 
 void RequestMachine::RepeatOutcome(const Outcome& outcome) {
-  // Votes that this send got must not stand in the way of the next one.
+  // Votes granted to this send must not block the next one.
   Release(false);
   if (!outcome.body.has_value()) {
     AnswerFinally({FinalKind::kUnknown, FinalReason::kAnswerNotKept, {}, {}});
@@ -67,8 +67,8 @@
   if (stalled_) {
     return FinalKind::kUnknown;
   }
-  // Nothing of this send ran; of an earlier send only the holders, or a caller
-  // that says that there is none, can tell.
+  // Nothing of this send ran. Whether an earlier send did, only the holders
+  // know, or a caller that asserts that there was none.
   const bool met_another = lookups_ > 0;
   return spec_.first_send && !met_another ? FinalKind::kNotRun
                                           : FinalKind::kUnknown;
--- a/src/libs/attempts/request_stream.h
+++ b/src/libs/attempts/request_stream.h
@@ -1,7 +1,7 @@
-// The answer of one request on its way to the caller.
+// Relays the answer of one request to the caller.
 //
-// It guards against text that is doubled, torn or from two answers after a
-// broken link: bytes are passed on in order of their offset, each once.
+// It prevents text that is duplicated, incomplete or mixed from two answers
+// after a broken link: bytes are passed on in order of their offset, each once.
 
 #ifndef LIBS_ATTEMPTS_REQUEST_STREAM_H_
 #define LIBS_ATTEMPTS_REQUEST_STREAM_H_
@@ -18,15 +18,15 @@
   // Keeps a copy of the first `max_kept` bytes.
   explicit RequestStream(std::size_t max_kept) : max_kept_(max_kept) {}
 
-  // The bytes of `data` that the caller lacks, now counted as relayed. None
-  // where bytes before `offset` are missing.
+  // Returns the bytes of `data` that the caller has not received and counts
+  // them as relayed. Returns none if bytes before `offset` are missing.
   std::optional<std::string> Take(std::uint64_t offset,
                                   const std::string& data);
 
-  // Bytes passed on to the caller.
+  // Number of bytes passed on to the caller.
   std::uint64_t relayed() const { return relayed_; }
 
-  // The whole answer so far; absent where it was too large to keep.
+  // The complete answer so far; none if it was too large to keep.
   std::optional<std::string> kept() const;
 
  private:
--- a/src/libs/attempts/roster.cc
+++ b/src/libs/attempts/roster.cc
@@ -9,8 +9,8 @@
 namespace bilberryspool::attempts {
 namespace {
 
-// FNV-1a with a final mix. Not std::hash, whose value may differ between
-// builds: all entries must agree.
+// FNV-1a with a final mix. std::hash is unsuitable, as its values may differ
+// between builds: all entries must compute the same holders.
 class StableHash {
  public:
   void Add(std::string_view text) {
--- a/src/libs/attempts/roster.h
+++ b/src/libs/attempts/roster.h
@@ -1,9 +1,9 @@
-// Which entries hold the votes for a request key.
+// Determines which entries hold the votes for a request key.
 //
-// It guards against two sends of one request that ask disjoint sets of holders
+// It prevents two sends of one request from asking disjoint sets of holders
 // because the set of entries changed in between: until everything granted under
 // an older roster is past its window, a claim needs a majority of the holders
-// of each roster that may still count.
+// of each roster that may still be in effect.
 
 #ifndef LIBS_ATTEMPTS_ROSTER_H_
 #define LIBS_ATTEMPTS_ROSTER_H_
@@ -23,14 +23,15 @@
   FailureDomain domain;
 };
 
-// The entries that may hold votes; part of the accepted configuration, so that
-// a version means the same list everywhere.
+// The entries that may hold votes. It is part of the accepted configuration, so
+// that a version denotes the same list everywhere.
 struct Roster {
   RosterVersion version;
   std::vector<RosterMember> members;
 };
 
-// The holders of one key under one roster. A majority of them must grant.
+// The holders of one key under one roster. A claim needs grants from a majority
+// of them.
 struct HolderSet {
   RosterVersion version;
   std::vector<NodeId> holders;
@@ -42,26 +43,26 @@
 // of distinct failure domains first, then the highest of the rest.
 HolderSet PickHolders(const RequestKey& key, const Roster& roster);
 
-// The present roster and those that it replaced less than a window ago.
+// The current roster and those that were replaced less than a window ago.
 class RosterHistory {
  public:
-  // `window` is that of the holders' ledgers.
+  // `window` is the one of the holders' ledgers.
   explicit RosterHistory(Duration window) : window_(window) {}
 
-  // Takes a newer roster; older and equal versions are ignored. The replaced
-  // one counts for a window from now on, by this entry's own clock.
+  // Adopts a newer roster; older and equal versions are ignored. The replaced
+  // one stays in effect for one window from now on, by this entry's own clock.
   void Adopt(Roster roster, TimePoint now);
 
-  // The holders of `key` under each roster that counts, newest last.
+  // The holders of `key` under each roster in effect, newest last.
   std::vector<HolderSet> HoldersOf(const RequestKey& key, TimePoint now) const;
 
-  // Version of the newest roster; 0 where none is known.
+  // Version of the newest roster; 0 if none is known.
   RosterVersion version() const;
 
  private:
   struct Known {
     Roster roster;
-    // When the next one was adopted; the last has none.
+    // When the next roster was adopted; not meaningful for the newest one.
     TimePoint replaced;
   };
 
--- a/src/libs/attempts/stall_detector.cc
+++ b/src/libs/attempts/stall_detector.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Clocks drift by less than one part in this many.
+// Clocks drift by less than 1/kDriftDivisor of the elapsed time.
 constexpr int kDriftDivisor = 1000;
 
 }  // namespace
@@ -45,8 +45,8 @@
     NoteStall(now);
     return true;
   }
-  // The usual lead follows slowly, as clocks drift. It must not follow the
-  // tokens that piled up during a stall, which arrive one after the other.
+  // The baseline follows at the rate of clock drift only. It must not follow
+  // the tokens that queued up during a stall, which arrive one after the other.
   const Duration drift = (now - lead.observed) / kDriftDivisor;
   lead.baseline = std::clamp(ahead, lead.baseline, lead.baseline + drift);
   lead.observed = now;
--- a/src/libs/attempts/stall_detector.h
+++ b/src/libs/attempts/stall_detector.h
@@ -1,11 +1,12 @@
-// Notices that this process, or the VM under it, stood still.
+// Detects that this process, or the VM under it, was stalled.
 //
-// It guards against a request that lay unread, or half handled, while the entry
-// was frozen for longer than the holders remember claims: its caller sent it
-// again elsewhere, it ran, the holders forgot it, and now it would be granted
-// as new. Two signs are watched. The own clock leaps between two beats of the
-// event loop (the process was stopped); or the agents' epochs run ahead of the
-// own clock (the whole VM was paused, its clock with it).
+// It prevents a second run of a request that was unread, or partly handled,
+// while the entry was frozen for longer than the holders remember claims: its
+// caller sent it again through another entry, it ran, the holders dropped it,
+// and it would now be granted as new. Two signs are monitored. Either the
+// entry's own clock jumps between two beats of the event loop (the process was
+// stopped), or the agents' epochs get ahead of the own clock (the whole VM was
+// paused, including its clock).
 
 #ifndef LIBS_ATTEMPTS_STALL_DETECTOR_H_
 #define LIBS_ATTEMPTS_STALL_DETECTOR_H_
@@ -19,11 +20,13 @@
 namespace bilberryspool::attempts {
 
 struct StallDetectorOptions {
-  // Shorter stalls are harmless: the holders still remember.
+  // Maximum duration of a stall that is ignored: the holders still remember
+  // claims that long.
   Duration limit = Seconds(60);
-  // How long after a stall what is read may have been sent before it.
+  // Time after a stall during which a request that is read may have been sent
+  // before the stall.
   Duration grace = Seconds(2);
-  // The agents' epoch length.
+  // Length of an epoch of the agents; see AttemptGateOptions.
   Duration epoch_length = Seconds(5);
 };
 
@@ -31,12 +34,14 @@
  public:
   StallDetector(StallDetectorOptions options, TimePoint started);
 
-  // Each pass of the event loop, before anything that was read is handled, and
-  // at least every few seconds. True where a stall has just been noticed: tell
-  // each open request (EntryStalled).
+  // To be called in each iteration of the event loop, before any received data
+  // is handled, and at least every few seconds. Returns true if a stall has
+  // just been detected: each open request must then be notified with
+  // EntryStalled.
   bool Beat(TimePoint now);
 
-  // A token heard from a target's agent. True as for Beat.
+  // Processes a token received from a target's agent. Returns true as Beat
+  // does.
   bool Observe(const TargetId& target, AdmissionToken token, TimePoint now);
 
   // Whether a request read now may have been sent before a stall.
@@ -45,7 +50,7 @@
  private:
   struct EpochLead {
     Incarnation incarnation;
-    // How far the epochs are ahead of the own clock, as it should be.
+    // The lead of the agent's epochs over the own clock without a stall.
     Duration baseline;
     TimePoint observed;
   };
