--- a/tests/auto/attempts/attempt_gate_test.cc
+++ b/tests/auto/attempts/attempt_gate_test.cc
@@ -14,7 +14,7 @@
           0};
 }
 
-// The reason of a refusal that is final; fails on everything else.
+// Returns the reason of a final refusal; fails on any other admission.
 RefusalReason FinalRefusal(const Admission& admission) {
   const auto* refusal = std::get_if<AttemptRefusal>(&admission);
   REQUIRE(refusal != nullptr);
@@ -26,7 +26,7 @@
   return std::holds_alternative<Admitted>(admission);
 }
 
-TEST_CASE("an attempt starts once, with a token that is recent") {
+TEST_CASE("an attempt starts once and only with a valid token") {
   struct Row {
     Duration age;
     bool admitted;
@@ -45,10 +45,11 @@
   }
 }
 
-// Symptom: callers are told "unknown" while the engine is down, though nothing
-// of theirs ran. Sequence: the gate admits; the agent can't connect to the
-// engine. Cause: no way to say that an admitted attempt was not handed over.
-TEST_CASE("an attempt that never reached the engine did not run") {
+// Guards against callers being told "unknown" while the engine is down although
+// nothing ran. It comes about if an agent that admitted an attempt, but can't
+// connect to its engine, has no way to report that the attempt was not handed
+// over.
+TEST_CASE("a withdrawn attempt counts as not run") {
   AttemptGate gate({.capacity = 1}, Incarnation(1), TimeAt({}));
   const StartAttempt start = Start("a", gate.token(TimeAt({})));
   REQUIRE(IsAdmitted(gate.Admit(start, TimeAt({}))));
@@ -61,11 +62,10 @@
         RefusalReason::kTombstone);
 }
 
-// Symptom: work runs although its caller was told "not run".
-// Sequence: the gate refuses an attempt for want of capacity; the entry says
-// "not run"; a second copy of the frame arrives when there is room again.
-// Cause: a refusal that is not remembered.
-TEST_CASE("a refusal is final, also when its cause has gone") {
+// Guards against work that runs although its caller was told "not run". It
+// comes about if the gate does not remember a refusal for lack of capacity: a
+// second copy of the frame arrives when there is capacity again.
+TEST_CASE("a refusal stays final when its cause no longer applies") {
   AttemptGate gate({.capacity = 1}, Incarnation(1), TimeAt({}));
   const AdmissionToken token = gate.token(TimeAt({}));
   REQUIRE(IsAdmitted(gate.Admit(Start("a", token), TimeAt({}))));
@@ -76,10 +76,9 @@
         RefusalReason::kTombstone);
 }
 
-// Symptom: the entry tries elsewhere and the request runs twice.
-// Sequence: the link is lost, the entry asks what became of the attempt, hears
-// that it never came, and tries another target; then the frame arrives.
-// Cause: an answer "never will" that nothing enforces.
+// Guards against a request that runs twice after a lost link. It comes about if
+// the gate reports that an attempt never arrived and does not enforce it: the
+// entry tries another target, and then the frame arrives.
 TEST_CASE("an attempt that was settled before it arrived is refused") {
   AttemptGate gate({}, Incarnation(1), TimeAt({}));
   const StartAttempt start = Start("a", gate.token(TimeAt({})));
@@ -91,11 +90,11 @@
         RefusalReason::kTombstone);
 }
 
-// Symptom: "not run" for work that ran.
-// Sequence: an attempt runs, the agent restarts, a second copy of the frame
-// reaches the new incarnation, which knows nothing and refuses.
-// Cause: a refusal taken as proof about an incarnation that it can't speak for.
-TEST_CASE("a new incarnation vouches for nothing that came before") {
+// Guards against "not run" for work that ran. It comes about if a refusal by a
+// new incarnation of the agent, which has no records, counts as proof: the
+// attempt ran before the agent restarted, and a second copy of the frame
+// reaches the new incarnation.
+TEST_CASE("a new incarnation proves nothing about earlier attempts") {
   AttemptGate before({}, Incarnation(1), TimeAt({}));
   const StartAttempt start = Start("a", before.token(TimeAt({})));
   REQUIRE(IsAdmitted(before.Admit(start, TimeAt({}))));
@@ -122,7 +121,7 @@
         RefusalReason::kStopped);
 }
 
-TEST_CASE("memory is bounded, and what it can't keep can't start") {
+TEST_CASE("records are bounded, and attempts without a record can't start") {
   AttemptGate gate({.max_records = 2, .max_kept_total_bytes = 5},
                    Incarnation(1), TimeAt({}));
   const AdmissionToken token = gate.token(TimeAt({}));
@@ -137,7 +136,8 @@
   const AdmissionToken fresh = gate.token(TimeAt({}));
   CHECK(IsAdmitted(gate.Admit(Start("d", fresh), TimeAt({}))));
   CHECK(gate.records() == 2);
-  // "a" was dropped, so its absence proves nothing; "b" kept its answer.
+  // The record of "a" was evicted, so its absence proves nothing; "b" kept its
+  // answer.
   const auto settled = [&](const char* id) {
     return gate.Settle({Start(id, token).attempt, true}, TimeAt({})).state;
   };
--- a/tests/auto/attempts/claim_holder_test.cc
+++ b/tests/auto/attempts/claim_holder_test.cc
@@ -35,7 +35,7 @@
                      TimeAt({})};
 };
 
-TEST_CASE_FIXTURE(HolderFixture, "one claimant has a key for the window") {
+TEST_CASE_FIXTURE(HolderFixture, "one claimant holds a key for the window") {
   CHECK(Gives<ClaimGranted>(ClaimBy("e1"), Seconds(0)));
   CHECK(Gives<ClaimGranted>(ClaimBy("e1"), Seconds(1)));
   CHECK(Gives<ClaimHeld>(ClaimBy("e2"), Seconds(1)));
@@ -56,11 +56,11 @@
   CHECK(Gives<ClaimGranted>(ClaimBy("e2", 1, 8), {}));
 }
 
-// Symptom: "not run" for a request that ran a moment before the answer.
-// Sequence: a send gives its claim back and, before its caller is told, another
-// send of the key gets the claim and runs.
-// Cause: a claim that is free before the answer is out.
-TEST_CASE_FIXTURE(HolderFixture, "a claim that is closing goes to nobody") {
+// Guards against "not run" for a request that ran a moment before the answer.
+// It comes about if a claim is free before its caller is answered: another send
+// of the key gets the claim and runs.
+TEST_CASE_FIXTURE(HolderFixture,
+                  "a closing claim is granted to no other send") {
   const Claimant first = ClaimBy("e1").claimant;
   ClaimRequest takeover = ClaimBy("e2");
   takeover.takeover = Takeover{first, ClaimRound(1)};
@@ -86,7 +86,8 @@
   CHECK(holder.kept_bytes() == 0);
 }
 
-TEST_CASE_FIXTURE(HolderFixture, "a full holder refuses and never forgets") {
+TEST_CASE_FIXTURE(HolderFixture,
+                  "a full holder refuses new claims and keeps its entries") {
   for (const char* id : {"r1", "r2", "r3"}) {
     ClaimRequest request = ClaimBy("e1");
     request.key.request = RequestId(id);
@@ -97,18 +98,18 @@
   CHECK(holder.size() == 2);
 }
 
-// Symptom: one request runs twice, through two entries.
-// Sequence: a roster is replaced; an entry that has not heard of it claims at
-// the old holders, another at the new ones.
-// Cause: two disjoint majorities.
-TEST_CASE_FIXTURE(HolderFixture, "a claim under an older roster has no vote") {
+// Guards against a request that runs twice, through two entries, on two
+// disjoint majorities. It comes about after a change of the roster: an entry
+// that has not received the new roster claims at the old holders, another one
+// at the new holders.
+TEST_CASE_FIXTURE(HolderFixture,
+                  "a holder abstains from a claim under an older roster") {
   holder.AdoptRoster(RosterVersion(2));
   CHECK(Gives<ClaimAbstained>(ClaimBy("e1"), {}));
 }
 
-// Symptom: one request runs twice after a holder was restarted.
-// Sequence: the holder grants, restarts with an empty memory, grants again.
-// Cause: a vote that was forgotten.
+// Guards against a request that runs twice after a holder restarted. It comes
+// about if a holder that lost its ledger grants the same claim a second time.
 TEST_CASE("a restarted holder abstains unless it gets its ledger back") {
   const ClaimHolderOptions options{.window = Seconds(60)};
   const auto next = [&](std::uint64_t incarnation) {
--- a/tests/auto/attempts/cluster.cc
+++ b/tests/auto/attempts/cluster.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kDomains = 3;
 constexpr int kOk = 200;
-// Size of a chunk.
+// In bytes.
 constexpr std::size_t kChunkSize = 7;
 
 RequestKey KeyOf(const std::string& key) {
@@ -227,7 +227,8 @@
   }
 }
 
-// A frozen entry carries out what it had decided only after it woke up.
+// Executes an action through a timer of the entry, so that a frozen entry
+// executes it only after it resumes.
 void Cluster::ScheduleAction(const std::string& name,
                              std::size_t send,
                              RequestAction action) {
@@ -393,21 +394,23 @@
   sent.answered_at = network_.now();
   Check(sent.finals.size() == 1, "one final answer", send);
   const std::string whole = AnswerTo(sent.key);
-  Check(whole.starts_with(sent.text), "text of its own answer", send);
+  Check(whole.starts_with(sent.text), "text is a prefix of the own answer",
+        send);
   if (answer.kind == FinalKind::kAnswered) {
     const std::string text =
         answer.outcome ? answer.outcome->body.value_or("") : sent.text;
-    Check(text == whole, "whole answer", send);
+    Check(text == whole, "complete answer", send);
   }
   if (answer.kind != FinalKind::kNotRun || sent.idempotent) {
     return;
   }
-  // "Not run" holds for every send within the window; a caller's word that it
-  // is the first covers only those before it.
+  // "Not run" must hold for every send within the window. If the caller
+  // asserted that this was the first send, it only covers the sends before it.
   for (const EngineRun& run : runs_[sent.key]) {
     const bool recent = run.at > sent.at - (kWindow - kTokenValidity);
     const bool covered = !sent.first || sends_[run.send].at < sent.at;
-    Check(!recent || !covered, "not run, yet it ran before", send);
+    Check(!recent || !covered, "answered not run, but a covered send ran",
+          send);
   }
 }
 
@@ -436,15 +439,15 @@
   for (std::size_t send = 0; send < sends_.size(); ++send) {
     const SendRecord& sent = sends_[send];
     if (!sent.disturbed) {
-      Check(!sent.finals.empty(), "an answer", send);
+      Check(!sent.finals.empty(), "a final answer", send);
       Check(sent.answered_at <= sent.at + kRequestTimeout + Milliseconds(1),
-            "an answer in time", send);
+            "an answer before the timeout", send);
     }
     const auto& runs = runs_[sent.key];
     const bool not_run =
         !sent.finals.empty() && sent.finals[0].kind == FinalKind::kNotRun;
     for (const EngineRun& run : runs) {
-      Check(!not_run || run.send != send, "not run, yet it ran", send);
+      Check(!not_run || run.send != send, "answered not run, but it ran", send);
     }
     for (std::size_t i = 1; i < runs.size() && !sent.idempotent; ++i) {
       const TimePoint forgotten = runs[i - 1].at + kWindow - kTokenValidity;
--- a/tests/auto/attempts/cluster.h
+++ b/tests/auto/attempts/cluster.h
@@ -1,4 +1,5 @@
-// Entries, agents and a witness engine on a fake network.
+// Simulated entries and agents on a fake network, with an engine that records
+// each run.
 
 #ifndef AUTO_ATTEMPTS_CLUSTER_H_
 #define AUTO_ATTEMPTS_CLUSTER_H_
@@ -22,33 +23,33 @@
 inline constexpr Duration kWindow = Seconds(60);
 inline constexpr Duration kStallLimit = Seconds(10);
 inline constexpr Duration kRequestTimeout = Seconds(5);
-// An attempt starts this long after its claim at most.
+// Maximum time between the claim and the start of an attempt.
 inline constexpr Duration kTokenValidity = Seconds(20);
 
 struct ClusterOptions {
   NetworkOptions network;
-  // The transport tells when no other process can have got a frame.
+  // The transport reports when no other process can have received a frame.
   bool transport_knows_copies = false;
   std::size_t agent_capacity = 64;
   std::size_t agent_records = 50000;
   Duration work = Milliseconds(50);
 };
 
-// One send of a request by a caller, and all that came of it.
+// One send of a request by a caller, with its answers.
 struct SendRecord {
   std::string key;
   std::string entry;
   bool idempotent = false;
   bool first = false;
   TimePoint at;
-  // The entry died or froze before the deadline.
+  // The entry died or froze before the request was answered.
   bool disturbed = false;
   std::string text;
   std::vector<AnswerCaller> finals;
   TimePoint answered_at;
 };
 
-// One run that the witness engine saw.
+// One run recorded by the engine. `send` is the index of the send in sends().
 struct EngineRun {
   std::size_t send;
   TimePoint at;
@@ -56,7 +57,8 @@
 
 class Cluster {
  public:
-  // Entries "e0".. in three failure domains, agents "a0"...
+  // Creates entries "e0", "e1", ... in three failure domains and agents "a0",
+  // "a1", ...
   Cluster(ClusterOptions options,
           std::size_t entries,
           std::size_t agents,
@@ -69,7 +71,8 @@
   }
   const std::vector<std::string>& faults() const { return faults_; }
 
-  // Sends a request now; the number of the send, none if the entry is down.
+  // Sends a request now. Returns the index of the send; none if the entry is
+  // down.
   std::optional<std::size_t> Send(const std::string& key,
                                   const std::string& entry,
                                   bool idempotent,
@@ -87,19 +90,22 @@
   ClaimHolder& holder(const std::string& entry) {
     return *entries_[entry].holder;
   }
-  // The entries in the roster from now on; each entry hears of it in time.
+  // Replaces the members of the roster; each entry receives the new roster
+  // after a random delay.
   void ChangeRoster(const std::vector<std::string>& members);
-  // The holders of a key under the present roster.
+  // The holders of a key under the current roster.
   std::vector<std::string> HoldersOf(const std::string& key) const;
 
-  // Called before each frame leaves, so that a scenario can act right there.
+  // Called before each action is executed, so that a scenario can inject a
+  // fault at this point.
   std::function<void(const RequestAction&, std::size_t send)> on_action;
 
   static std::string AnswerTo(const std::string& key) {
     return "the whole answer to " + key;
   }
 
-  // Checks all that must hold at the end; faults are collected.
+  // Checks all conditions that must hold at the end; violations are collected
+  // in faults().
   void CheckAtEnd();
 
  private:
--- a/tests/auto/attempts/doubled_send_test.cc
+++ b/tests/auto/attempts/doubled_send_test.cc
@@ -1,17 +1,17 @@
-// Two sends of one order at one moment, to two entries, without any fault.
+// Two simultaneous sends of one request, to two entries, without any fault.
 //
-// Symptom: nobody is served; both callers are told "in progress", or that no
-// majority of holders can be had, and the order does not run.
+// Guards against neither send being served: both callers are told "in
+// progress", or that no majority of holders is possible, and the request does
+// not run.
 //
-// Sequence, with two holders: each entry's own holder votes for its send, so
-// each send has one vote of two and is told who holds the other one. Each asks
-// the agent about the other's attempt, which never came; 300 ms later each
-// forbids it and takes the other's claim over, at the same time. Each takeover
-// finds a newer round than it knew of, and all begins anew, three times.
-//
-// Cause: both sends do the same at the same time, and nothing breaks the tie.
-// Of 3,000 pairs at two entries 11 ended so; the other ways that the delays
-// went broke the tie by luck.
+// How it comes about with two holders: the holder on each entry votes for that
+// entry's send, so each send has one of two votes and learns who holds the
+// other. Each asks the agent about the other's attempt, which never arrived;
+// 300 ms later each forbids it and takes the other's claim over, at the same
+// time. Each takeover then finds a newer round than it names, and all starts
+// again, up to three times. Both sends act at the same time, so that without a
+// tie-break only random network delays separate them: with two entries, 11 of
+// 3,000 pairs were not served.
 
 #include <doctest/doctest.h>
 
@@ -28,7 +28,7 @@
 
 constexpr char kOrder[] = "order";
 constexpr std::uint64_t kSeeds = 1000;
-// Every patience in the machine is over by then.
+// Longer than all timeouts of a request together.
 constexpr Duration kTestDuration = Seconds(8);
 
 struct Row {
@@ -48,7 +48,7 @@
                      });
 }
 
-TEST_CASE("of two sends at one moment one is served, and one run is made") {
+TEST_CASE("of two simultaneous sends one is served, with a single run") {
   for (const Row& row : kRows) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(row.name);
--- a/tests/auto/attempts/fake_network.h
+++ b/tests/auto/attempts/fake_network.h
@@ -1,4 +1,5 @@
-// Nodes, their clocks, and links that lose, double, delay and cut.
+// Simulated nodes with clocks of their own, and links that lose, duplicate,
+// delay and cut frames.
 
 #ifndef AUTO_ATTEMPTS_FAKE_NETWORK_H_
 #define AUTO_ATTEMPTS_FAKE_NETWORK_H_
@@ -19,14 +20,15 @@
 struct NetworkOptions {
   double loss = 0;
   double duplication = 0;
-  // A slow frame takes up to `max_delay`, the others a few milliseconds.
+  // Probability of a slow frame, which takes up to `max_delay`; other frames
+  // take a few milliseconds.
   double slow = 0;
   Duration max_delay = Seconds(30);
 };
 
 class FakeNetwork {
  public:
-  // Runs at its destination; `sole_copy` is false where the frame was doubled.
+  // Runs at its destination; `sole_copy` is false if the frame was duplicated.
   using Frame = std::function<void(bool sole_copy)>;
 
   FakeNetwork(NetworkOptions options, std::uint64_t seed)
@@ -37,11 +39,11 @@
   TimePoint ClockOf(const std::string& node) const;
 
   void Send(const std::string& from, const std::string& to, Frame frame);
-  // A timer of a node; it dies with the node.
+  // Starts a timer of a node, which is discarded when the node dies.
   void After(const std::string& node,
              Duration delay,
              std::function<void()> act);
-  // Something outside of all nodes.
+  // Schedules an action that belongs to no node.
   void At(Duration delay, std::function<void()> act);
   void RunUntil(TimePoint end);
 
@@ -53,8 +55,8 @@
   bool alive(const std::string& node) { return nodes_[node].alive; }
   bool frozen(const std::string& node) { return nodes_[node].frozen; }
 
-  // While frozen a node handles nothing; what arrives waits for it. Its clock
-  // stands still too where `clock_stops`.
+  // A frozen node handles nothing; what arrives is queued for it. With
+  // `clock_stops` its clock stops as well.
   void Freeze(const std::string& node, bool clock_stops);
   void Thaw(const std::string& node);
 
--- a/tests/auto/attempts/ledger_json_test.cc
+++ b/tests/auto/attempts/ledger_json_test.cc
@@ -19,10 +19,11 @@
           {}};
 }
 
-// Symptom: an order runs twice around a planned restart of its holders.
-// Sequence: a claim is granted; the holder stops and starts; the caller sends
-// the order again. Cause: the votes are lost, or read back in part.
-TEST_CASE("a ledger that was stored keeps its votes") {
+// Guards against a request that runs twice around a planned restart of its
+// holders. It comes about if the votes are lost, or only partly read back,
+// between the stop and the start of the holder, and the caller sends the
+// request again.
+TEST_CASE("a stored ledger keeps its votes") {
   ClaimHolder before({}, NodeId("h"), Incarnation(1), true, TimeAt({}));
   before.Claim(Request("r1"), TimeAt({}));
   before.Claim(Request("r2"), TimeAt({}));
@@ -40,7 +41,7 @@
   CHECK(std::holds_alternative<ClaimHeld>(answer.verdict));
 }
 
-TEST_CASE("a damaged ledger is none") {
+TEST_CASE("a damaged ledger is rejected") {
   ClaimHolder holder({}, NodeId("h"), Incarnation(1), true, TimeAt({}));
   holder.Claim(Request("r1"), TimeAt({}));
   const std::string text =
--- a/tests/auto/attempts/messages_json_test.cc
+++ b/tests/auto/attempts/messages_json_test.cc
@@ -17,8 +17,9 @@
     AdmissionToken{Incarnation(2), TokenGeneration(1), Epoch(9)}};
 const Outcome kOutcome{200, "done"};
 
-// Through text and back; then each field is taken away in turn, and the rest
-// must be refused or, where the field is optional, differ.
+// Checks the round trip through text. Then removes each field in turn: parsing
+// must fail or, if the field is optional, give a different message. A field of
+// the wrong type must make parsing fail.
 template <typename Message>
 void CheckRoundTrip(const Message& message) {
   const boost::json::value json =
@@ -34,7 +35,7 @@
   CHECK_FALSE(FromJson<Message>(boost::json::value(7)).has_value());
 }
 
-TEST_CASE("messages survive JSON, broken ones are refused") {
+TEST_CASE("messages round-trip through JSON, malformed ones are rejected") {
   CheckRoundTrip(ClaimRequest{kKey, Fingerprint(1), kClaimant, ClaimRound(2),
                               kAttempt, RosterVersion(4),
                               Takeover{kClaimant, ClaimRound(1)}});
--- a/tests/auto/attempts/randomised_test.cc
+++ b/tests/auto/attempts/randomised_test.cc
@@ -11,6 +11,8 @@
 
 constexpr std::size_t kEntries = 5;
 constexpr std::size_t kAgents = 3;
+// Used unless BILBERRYSPOOL_SEEDS is set; BILBERRYSPOOL_FIRST_SEED sets the
+// first seed.
 constexpr std::uint64_t kSeedsInCi = 300;
 std::uint64_t current_seed = 0;
 
@@ -24,6 +26,8 @@
                      << " with seed " << current_seed);
 }
 
+// One run of a cluster with random sends, options and faults, all derived from
+// the seed.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -173,7 +177,7 @@
                 << ", unknown " << kinds[2]);
 }
 
-TEST_CASE("where nothing fails, everything is answered") {
+TEST_CASE("without faults all requests are answered") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Cluster cluster({}, kEntries, kAgents, seed);
     for (int i = 0; i < 20; ++i) {
--- a/tests/auto/attempts/request_machine_test.cc
+++ b/tests/auto/attempts/request_machine_test.cc
@@ -10,7 +10,7 @@
 
 const AdmissionToken kToken{Incarnation(1), TokenGeneration(0), Epoch(1)};
 
-// Drives one machine and remembers what it asked for.
+// Drives one machine and records its actions.
 class MachineFixture {
  public:
   void Begin(bool idempotent, bool first_send = false) {
@@ -94,11 +94,11 @@
   std::string text;
 };
 
-// Symptom: the caller's text has a part twice, or one missing.
-// Sequence: the stream's link breaks midway; the attempt goes on; the stream is
-// taken up again while the last chunks of the old link still arrive.
-// Cause: a restart from the beginning, or chunks taken without their offset.
-TEST_CASE_FIXTURE(MachineFixture, "a broken stream goes on where it was") {
+// Guards against an answer with a duplicated or missing part. It comes about if
+// a stream whose link broke is restarted from the beginning, or if chunks are
+// accepted without regard to their offset: the last chunks of the old link
+// still arrive after the stream was resumed.
+TEST_CASE_FIXTURE(MachineFixture, "a broken stream resumes at its offset") {
   Begin(true);
   Choose("t1");
   Feed(AttemptHead{attempt(), 200});
@@ -115,7 +115,8 @@
   CHECK(Ended(FinalKind::kAnswered, FinalReason::kFinished));
 }
 
-TEST_CASE_FIXTURE(MachineFixture, "an answer with a gap is not whole") {
+TEST_CASE_FIXTURE(MachineFixture,
+                  "an answer with a missing part is completed by settling") {
   Begin(true);
   Choose("t1");
   Feed(AttemptChunk{attempt(), 0, "one "});
@@ -132,7 +133,7 @@
 }
 
 TEST_CASE_FIXTURE(MachineFixture,
-                  "a stream without continuation ends as such") {
+                  "a broken stream that can't be continued ends as broken") {
   Begin(true);
   Choose("t1", false);
   Feed(AttemptChunk{attempt(), 0, "one "});
@@ -142,10 +143,10 @@
   CHECK(Count<SendAttempt>() == 1);
 }
 
-// Symptom: a caller gets another attempt's words.
-// Sequence: the first attempt's link is silent, a second one answers, then the
-// first one's chunks arrive late.
-// Cause: answers matched by request, not by attempt.
+// Guards against a caller that gets text of another attempt. It comes about if
+// answers are matched by request instead of by attempt: the link of the first
+// attempt is silent, a second one answers, then chunks of the first arrive
+// late.
 TEST_CASE_FIXTURE(MachineFixture,
                   "late answers of another attempt are dropped") {
   Begin(true);
@@ -179,7 +180,8 @@
       {"proven", AttemptRefused{id, RefusalReason::kLeaving, true}, true},
       {"not proven",
        AttemptRefused{id, RefusalReason::kOtherIncarnation, false}, false},
-      {"slept", AttemptRefused{id, RefusalReason::kExpiredToken, true}, false},
+      {"expired token", AttemptRefused{id, RefusalReason::kExpiredToken, true},
+       false},
       {"failed", AttemptFailed{id}, false}};
   const MachineFixture before = *this;
   for (const Row& row : rows) {
@@ -196,8 +198,8 @@
   CHECK(Count<SendAttempt>() == 2);
 }
 
-// What a caller is told when it can't be served now; "not run" takes proof.
-TEST_CASE_FIXTURE(MachineFixture, "a refusal says no more than is known") {
+// Answers to a caller that can't be served now; "not run" requires proof.
+TEST_CASE_FIXTURE(MachineFixture, "not run is answered only on proof") {
   struct Row {
     bool first_send;
     ClaimVerdict verdict;
@@ -235,7 +237,7 @@
 }
 
 TEST_CASE_FIXTURE(MachineFixture,
-                  "a caller that leaves ends only what may end") {
+                  "a disconnected caller cancels only idempotent attempts") {
   Begin(true);
   Choose("t1");
   Feed(CallerDisconnected{});
@@ -254,8 +256,9 @@
   CHECK(other.Count<AnswerCaller>() == 0);
 }
 
-// Guards against orders refused by an entry that has just started, or while
-// the control members change: the holders are reached, but not known yet.
+// Guards against requests that are refused by an entry that has just started,
+// or while the control members change, although the holders are reachable: they
+// are not known yet.
 TEST_CASE("a claim waits for a roster that is not known yet") {
   struct Row {
     const char* name;
@@ -280,7 +283,7 @@
   }
 }
 
-TEST_CASE("a claim that waits in vain for a roster is given up in time") {
+TEST_CASE("a claim whose roster does not arrive fails after the roster wait") {
   MachineFixture fixture;
   fixture.Begin(/*idempotent=*/false, /*first_send=*/true);
   fixture.Feed(HoldersChanged{{}});
@@ -293,8 +296,8 @@
   CHECK(fixture.Last<AnswerCaller>()->reason == FinalReason::kClaimUnavailable);
 }
 
-// Guards against a wait for holders that can't vote before their window ends.
-TEST_CASE("a claim that holders abstain from is given up at once") {
+// Guards against waiting for holders that can't vote before their window ends.
+TEST_CASE("a claim that holders abstain from fails at once") {
   MachineFixture fixture;
   fixture.Begin(/*idempotent=*/false, /*first_send=*/true);
   fixture.Choose("t");
--- a/tests/auto/attempts/roster_test.cc
+++ b/tests/auto/attempts/roster_test.cc
@@ -52,7 +52,8 @@
   }
 }
 
-TEST_CASE("a replaced roster counts for a window, an older one is ignored") {
+TEST_CASE(
+    "a replaced roster stays in effect for a window, an older one is ignored") {
   RosterHistory history(Seconds(60));
   CHECK(history.HoldersOf(Key(1), TimeAt({})).empty());
   history.Adopt(MakeRoster(2, 9, 3), TimeAt({}));
--- a/tests/auto/attempts/scenario_test.cc
+++ b/tests/auto/attempts/scenario_test.cc
@@ -19,7 +19,7 @@
     return *cluster.Send(kKey, entry, false, first);
   }
 
-  // What a send was told in the end.
+  // Returns the final answer to a send.
   AnswerCaller Final(std::size_t send) {
     REQUIRE(cluster.sends()[send].finals.size() == 1);
     return cluster.sends()[send].finals[0];
@@ -30,7 +30,8 @@
     CHECK(Final(send).reason == reason);
   }
 
-  // Acts in place of the first action of a type, just before it is carried out.
+  // Calls `act` once, right before the first action of type `Action` is
+  // executed.
   template <typename Action>
   void Before(std::function<void()> act) {
     cluster.on_action = [=, this](const RequestAction& action, std::size_t) {
@@ -57,10 +58,10 @@
   return options;
 }
 
-// Symptom: a second run, or a caller without the first one's answer.
-// Sequence: the caller loses the answer and sends the same id to another entry.
-// Cause: entries that don't know of each other's requests.
-TEST_CASE("a resend gets the answer of the send before") {
+// Guards against a second run, or a caller without the answer to its first
+// send. It comes about if the caller loses the answer and sends the same id to
+// another entry, which does not know of the first entry's request.
+TEST_CASE("a resend gets the answer to the previous send") {
   ScenarioFixture scenario(SlowWork());
   const std::size_t first = scenario.Send("e0");
   scenario.cluster.Advance(Milliseconds(200));
@@ -75,11 +76,11 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: the request runs again, or its answer is lost for good.
-// Sequence: the entry forwards the request and dies; the caller sends it again
-// through another entry, while it runs and later.
-// Cause: what was forwarded was known to the dead entry only.
-TEST_CASE("the entry dies after forwarding") {
+// Guards against a second run, or a permanently lost answer, after an entry
+// forwarded a request and died. It comes about if only the dead entry knew what
+// it had forwarded: the caller sends the request again through another entry,
+// while it runs and later.
+TEST_CASE("an entry dies after forwarding") {
   ScenarioFixture scenario(SlowWork());
   scenario.Send("e0");
   scenario.cluster.Advance(Milliseconds(100));
@@ -93,11 +94,10 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: a request that never ran can't be sent for the whole window.
-// Sequence: the entry has its claim and dies before it forwards; the caller
-// sends again through another entry.
-// Cause: a claim whose owner is gone, and nobody who may take it over.
-TEST_CASE("the entry dies before forwarding") {
+// Guards against a request that never ran and can't be sent again for the whole
+// window. It comes about if an entry dies between its claim and the forwarding,
+// and no other send may take over the claim.
+TEST_CASE("an entry dies before forwarding") {
   ScenarioFixture scenario;
   scenario.Before<SendAttempt>([&] { scenario.cluster.KillEntry("e0"); });
   scenario.Send("e0");
@@ -108,12 +108,12 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: "not run" for a request that ran.
-// Sequence: the entry has its claim and freezes for seconds; another one takes
-// the claim over and runs the request; the first one wakes up, is refused by
-// the agent and has no other target.
-// Cause: the agent's refusal is proof for the attempt, not for the request.
-TEST_CASE("a claim that was taken over is no proof any more") {
+// Guards against "not run" for a request that ran. It comes about if the
+// agent's refusal of an attempt counts as proof for the request: an entry
+// freezes for seconds after its claim, another one takes the claim over and
+// runs the request, then the first entry resumes, is refused by the agent and
+// has no other target.
+TEST_CASE("a claim that was taken over proves nothing") {
   ScenarioFixture scenario;
   scenario.Before<SendAttempt>(
       [&] { scenario.cluster.FreezeEntry("e0", true); });
@@ -128,10 +128,10 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: a request runs on two targets, or is said not to have run.
-// Sequence: the agent dies before the attempt arrives, or while it runs, and
-// restarts with an empty memory.
-// Cause: an agent that has forgotten says "not run", or nobody asks.
+// Guards against a request that runs on two targets or is wrongly reported as
+// not run. It comes about if an agent dies before an attempt arrives, or while
+// it runs, and after its restart reports "not run" without any records, or is
+// not asked at all.
 TEST_CASE("the agent dies before or after handing over") {
   struct Row {
     Duration after_start;
@@ -156,11 +156,10 @@
   }
 }
 
-// Symptom: callers are told "unknown" each time an agent restarts.
-// Sequence: the agent restarts; the entry still has its old token; the new
-// incarnation refuses.
-// Cause: the refusal alone proves nothing about the old incarnation. But where
-// the transport knows that there was no other copy, it does.
+// Guards against callers being told "unknown" at each restart of an agent. It
+// comes about as the new incarnation refuses the entry's old token, and this
+// refusal alone proves nothing about the old incarnation. If the transport
+// knows that there was no other copy, it is proof.
 TEST_CASE("a restarted agent is tried again with a new token") {
   ClusterOptions options;
   options.transport_knows_copies = true;
@@ -176,10 +175,10 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: work starts minutes after its caller gave up and sent it again.
-// Sequence: an entry has its claim and freezes right before it sends; the
-// caller sends again after the window and is served; the entry wakes up.
-// Cause: a frozen process does not know that time has passed.
+// Guards against work that starts minutes after its caller gave up and sent it
+// again. It comes about if an entry freezes between its claim and the sending,
+// as a frozen process does not notice that time has passed: the caller sends
+// again after the window and is served, then the entry resumes.
 TEST_CASE("an entry that was frozen for minutes can't start work") {
   for (const bool clock_stops : {false, true}) {
     ScenarioFixture scenario;
@@ -196,11 +195,11 @@
   }
 }
 
-// Symptom: the same, for a request that the entry had not even read.
-// Sequence: the entry freezes; the caller's request waits in its socket; the
-// caller sends it again elsewhere; after the window the entry reads it.
-// Cause: the holders have forgotten, so the claim looks new.
-TEST_CASE("a request that lay unread while its entry was frozen") {
+// Guards against a second run of a request that the entry had not read before
+// it froze. It comes about as the request waits in the entry's socket while the
+// caller sends it again elsewhere: after the window the holders have dropped
+// it, so that the claim of the resumed entry looks new.
+TEST_CASE("a request that was unread while its entry was frozen") {
   for (const bool clock_stops : {false, true}) {
     ScenarioFixture scenario;
     scenario.cluster.FreezeEntry("e0", clock_stops);
@@ -215,11 +214,11 @@
   }
 }
 
-// Symptom: one request runs through two entries.
-// Sequence: the first claim has two of three votes, the third holder being cut
-// off; one of the two restarts with an empty memory; the caller sends again
-// through another entry, which reaches the restarted and the third holder.
-// Cause: a vote that was forgotten is given again.
+// Guards against a request that runs through two entries after a holder gave
+// its vote twice. It comes about as the first claim has two of three votes
+// while the third holder is cut off, one of the two restarts and loses its
+// ledger, and the caller sends again through an entry that reaches the
+// restarted and the third holder.
 TEST_CASE("a holder that restarted does not vote again") {
   ScenarioFixture scenario(SlowWork());
   const std::vector<std::string> holders = scenario.cluster.HoldersOf(kKey);
@@ -238,12 +237,11 @@
   scenario.CheckRuns(1);
 }
 
-// Symptom: a failure domain that is cut off refuses everything, or runs work
-// that runs on the other side too.
-// Sequence: an entry reaches its agent but no other entry; requests of both
-// kinds arrive.
-// Cause: votes asked for where none are needed, or not where they are.
-TEST_CASE("an entry that reaches no other serves what may be repeated") {
+// Guards against a cut-off failure domain that refuses everything, or that runs
+// work which runs on the other side too. It comes about if votes are required
+// for idempotent requests, or are not required for others, while an entry
+// reaches its agent but no other entry.
+TEST_CASE("an isolated entry serves idempotent requests") {
   ScenarioFixture scenario;
   for (const char* other : {"e1", "e2", "e3", "e4"}) {
     scenario.cluster.network().Cut("e0", other);
@@ -261,10 +259,10 @@
   scenario.CheckRuns(0);
 }
 
-// Symptom: a caller hangs, or its request runs on a second target.
-// Sequence: the link between entry and agent is cut once the attempt has been
-// forwarded; it heals, or not, before the questions run out.
-// Cause: silence taken for "not run".
+// Guards against a caller that gets no answer, or a request that runs on a
+// second target. It comes about if silence counts as "not run": the link
+// between entry and agent is cut after the attempt was forwarded, and heals, or
+// not, before the settle requests are exhausted.
 TEST_CASE("the link to the agent is cut after forwarding") {
   for (const bool heals : {true, false}) {
     ScenarioFixture scenario(SlowWork(), 2);
@@ -284,10 +282,10 @@
   }
 }
 
-// Symptom: one request runs twice around a change of the roster.
-// Sequence: a request runs under one roster; the roster is replaced by one with
-// other holders; the caller sends it again.
-// Cause: the new holders have never heard of the key.
+// Guards against a second run after a change of the roster. It comes about if a
+// request runs under one roster, the roster is replaced by one with other
+// holders, and the caller sends the request again: the new holders do not know
+// the key.
 TEST_CASE("a request is known across a change of the roster") {
   ScenarioFixture scenario;
   scenario.cluster.ChangeRoster({"e0", "e1", "e2"});
--- a/tests/auto/attempts/stall_detector_test.cc
+++ b/tests/auto/attempts/stall_detector_test.cc
@@ -9,7 +9,7 @@
   return {Incarnation(1), TokenGeneration(0), Epoch(epoch)};
 }
 
-TEST_CASE("a leap of the own clock is a stall") {
+TEST_CASE("a jump of the own clock is a stall") {
   StallDetector detector({}, TimeAt({}));
   CHECK_FALSE(detector.Beat(TimeAt(Seconds(60))));
   CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(60))));
@@ -18,11 +18,11 @@
   CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(123))));
 }
 
-// Symptom: a request read after a pause of the VM runs a second time.
-// Sequence: the VM is paused for minutes, its clock with it; the agents' tokens
-// pile up and are read one after the other.
-// Cause: each step between two tokens is small.
-TEST_CASE("epochs that run ahead of the own clock are a stall") {
+// Guards against a second run of a request that is read after a pause of the
+// VM. It comes about if each token is compared with the previous one only: the
+// VM is paused for minutes together with its clock, the agents' tokens queue up
+// and are read one after the other, and each step between two tokens is small.
+TEST_CASE("epochs that get ahead of the own clock are a stall") {
   StallDetector detector({}, TimeAt({}));
   const TargetId target("t");
   for (std::int64_t epoch = 1; epoch <= 100; ++epoch) {
