--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -216,9 +216,9 @@
 
 void RequestMachine::On(const CallerDisconnected&, TimePoint now) {
   caller_disconnected_ = true;
-  const bool under_way =
+  const bool in_progress =
       state_ == State::kAttempting || state_ == State::kSettling;
-  if (!spec_.idempotent && under_way) {
+  if (!spec_.idempotent && in_progress) {
     // The attempt continues, so that a resend gets this answer.
     return;
   }
@@ -363,17 +363,17 @@
 void RequestMachine::Relay(std::uint64_t offset,
                            const std::string& data,
                            TimePoint now) {
-  const std::optional<std::string> fresh = stream_.Take(offset, data);
-  if (!fresh.has_value()) {
+  const std::optional<std::string> unrelayed = stream_.Take(offset, data);
+  if (!unrelayed.has_value()) {
     StartSettling(now);
     return;
   }
   RecordAttemptLiveness(now);
-  if (fresh->empty() || caller_disconnected_) {
+  if (unrelayed->empty() || caller_disconnected_) {
     return;
   }
   RelayHeadOnce();
-  Emit(RelayChunk{*fresh});
+  Emit(RelayChunk{*unrelayed});
 }
 
 void RequestMachine::RelayHeadOnce() {
--- a/src/libs/attempts/request_machine_finals.cc
+++ b/src/libs/attempts/request_machine_finals.cc
@@ -34,10 +34,10 @@
 void RequestMachine::GiveUp(FinalReason reason,
                             Duration retry_after,
                             TimePoint now) {
-  const bool on_own_claim = !spec_.idempotent && claim_won_ &&
-                            unproven_attempts_ == 0 && !stalled_ &&
-                            !caller_disconnected_;
-  if (on_own_claim) {
+  const bool can_close_claim = !spec_.idempotent && claim_won_ &&
+                               unproven_attempts_ == 0 && !stalled_ &&
+                               !caller_disconnected_;
+  if (can_close_claim) {
     CloseClaim(reason, retry_after, now);
     return;
   }
@@ -49,9 +49,9 @@
   if (unproven_attempts_ == 0) {
     Release(false);
   }
-  const bool under_way =
+  const bool in_progress =
       state_ == State::kAttempting || state_ == State::kSettling;
-  if (spec_.idempotent && under_way && attempt_.has_value()) {
+  if (spec_.idempotent && in_progress && attempt_.has_value()) {
     Emit(CancelAttempt{*attempt_});
   }
   AnswerFinally({kind, reason, retry_after, {}});
@@ -69,9 +69,9 @@
   }
   // Nothing of this send ran. Whether an earlier send did, only the holders
   // know, or a caller that asserts that there was none.
-  const bool met_another = lookups_ > 0;
-  return spec_.first_send && !met_another ? FinalKind::kNotRun
-                                          : FinalKind::kUnknown;
+  const bool found_other_send = lookups_ > 0;
+  return spec_.first_send && !found_other_send ? FinalKind::kNotRun
+                                               : FinalKind::kUnknown;
 }
 
 void RequestMachine::AnswerFinally(AnswerCaller answer) {
--- a/src/libs/attempts/request_stream.cc
+++ b/src/libs/attempts/request_stream.cc
@@ -11,12 +11,12 @@
   if (known >= data.size()) {
     return std::string();
   }
-  std::string fresh = data.substr(known);
-  relayed_ += fresh.size();
+  std::string unrelayed = data.substr(known);
+  relayed_ += unrelayed.size();
   if (relayed_ <= max_kept_) {
-    kept_ += fresh;
+    kept_ += unrelayed;
   }
-  return fresh;
+  return unrelayed;
 }
 
 std::optional<std::string> RequestStream::kept() const {
--- a/src/libs/attempts/stall_detector.cc
+++ b/src/libs/attempts/stall_detector.cc
@@ -29,10 +29,10 @@
   const auto epochs = static_cast<Duration::rep>(token.epoch.value());
   const Duration ahead =
       epochs * options_.epoch_length - now.time_since_epoch();
-  const auto [found, fresh] =
+  const auto [found, inserted] =
       leads_.try_emplace(target, EpochLead{token.incarnation, ahead, now});
   EpochLead& lead = found->second;
-  if (fresh || lead.incarnation < token.incarnation) {
+  if (inserted || lead.incarnation < token.incarnation) {
     lead = EpochLead{token.incarnation, ahead, now};
     return false;
   }
--- a/tests/auto/attempts/claim_holder_test.cc
+++ b/tests/auto/attempts/claim_holder_test.cc
@@ -23,7 +23,7 @@
 class HolderFixture {
  public:
   template <typename Verdict>
-  bool Gives(const ClaimRequest& request, Duration at) {
+  bool Answers(const ClaimRequest& request, Duration at) {
     return std::holds_alternative<Verdict>(
         holder.Claim(request, TimeAt(at)).verdict);
   }
@@ -36,24 +36,24 @@
 };
 
 TEST_CASE_FIXTURE(HolderFixture, "one claimant holds a key for the window") {
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1"), Seconds(0)));
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1"), Seconds(1)));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e2"), Seconds(1)));
-  CHECK(Gives<ClaimMismatch>(ClaimBy("e2", 1, 8), Seconds(1)));
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1", 2), Seconds(30)));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e1", 1), Seconds(31)));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e2"), Seconds(89)));
-  CHECK(Gives<ClaimGranted>(ClaimBy("e2"), Seconds(90)));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1"), Seconds(0)));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1"), Seconds(1)));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e2"), Seconds(1)));
+  CHECK(Answers<ClaimMismatch>(ClaimBy("e2", 1, 8), Seconds(1)));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1", 2), Seconds(30)));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e1", 1), Seconds(31)));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e2"), Seconds(89)));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e2"), Seconds(90)));
 }
 
 TEST_CASE_FIXTURE(HolderFixture, "a released key goes to the next claimant") {
   const Claimant first = ClaimBy("e1").claimant;
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1"), {}));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1"), {}));
   holder.Release({kKey, ClaimBy("e2").claimant, ClaimRound(1)}, TimeAt({}));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e2"), {}));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e2"), {}));
   holder.Release({kKey, first, ClaimRound(1)}, TimeAt({}));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e1"), {}));
-  CHECK(Gives<ClaimGranted>(ClaimBy("e2", 1, 8), {}));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e1"), {}));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e2", 1, 8), {}));
 }
 
 // Guards against "not run" for a request that ran a moment before the answer.
@@ -64,25 +64,25 @@
   const Claimant first = ClaimBy("e1").claimant;
   ClaimRequest takeover = ClaimBy("e2");
   takeover.takeover = Takeover{first, ClaimRound(1)};
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1"), {}));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1"), {}));
   const ReleaseClaim closing{kKey, first, ClaimRound(1), true};
   CHECK(holder.Release(closing, TimeAt({})).released);
-  CHECK(Gives<ClaimHeld>(takeover, Seconds(1)));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e1", 2), Seconds(1)));
-  CHECK(Gives<ClaimHeld>(ClaimBy("e2"), Seconds(2)));
-  CHECK(Gives<ClaimGranted>(takeover, Seconds(2)));
+  CHECK(Answers<ClaimHeld>(takeover, Seconds(1)));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e1", 2), Seconds(1)));
+  CHECK(Answers<ClaimHeld>(ClaimBy("e2"), Seconds(2)));
+  CHECK(Answers<ClaimGranted>(takeover, Seconds(2)));
   CHECK_FALSE(holder.Release(closing, TimeAt(Seconds(2))).released);
 }
 
 TEST_CASE_FIXTURE(HolderFixture, "a finished key repeats its outcome") {
-  CHECK(Gives<ClaimGranted>(ClaimBy("e1"), {}));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e1"), {}));
   const Outcome outcome{200, "done"};
   holder.Finish({kKey, ClaimBy("e2").claimant, {500, "no"}}, TimeAt({}));
   holder.Finish({kKey, ClaimBy("e1").claimant, outcome}, TimeAt({}));
   const ClaimAnswer answer = holder.Claim(ClaimBy("e2"), TimeAt(Seconds(59)));
   CHECK(answer.verdict == ClaimVerdict(ClaimFinished{outcome}));
   CHECK(holder.kept_bytes() == 4);
-  CHECK(Gives<ClaimGranted>(ClaimBy("e2"), Seconds(60)));
+  CHECK(Answers<ClaimGranted>(ClaimBy("e2"), Seconds(60)));
   CHECK(holder.kept_bytes() == 0);
 }
 
@@ -92,8 +92,8 @@
     ClaimRequest request = ClaimBy("e1");
     request.key.request = RequestId(id);
     const bool fits = std::string(id) != "r3";
-    CHECK(Gives<ClaimGranted>(request, {}) == fits);
-    CHECK(Gives<ClaimAbstained>(request, {}) != fits);
+    CHECK(Answers<ClaimGranted>(request, {}) == fits);
+    CHECK(Answers<ClaimAbstained>(request, {}) != fits);
   }
   CHECK(holder.size() == 2);
 }
@@ -105,7 +105,7 @@
 TEST_CASE_FIXTURE(HolderFixture,
                   "a holder abstains from a claim under an older roster") {
   holder.AdoptRoster(RosterVersion(2));
-  CHECK(Gives<ClaimAbstained>(ClaimBy("e1"), {}));
+  CHECK(Answers<ClaimAbstained>(ClaimBy("e1"), {}));
 }
 
 // Guards against a request that runs twice after a holder restarted. It comes
--- a/tests/auto/attempts/cluster.cc
+++ b/tests/auto/attempts/cluster.cc
@@ -76,12 +76,12 @@
 }
 
 void Cluster::KillEntry(const std::string& name) {
-  Disturb(name);
+  MarkDisturbed(name);
   network_.Kill(name);
   entries_[name].machines.clear();
 }
 
-void Cluster::Disturb(const std::string& name) {
+void Cluster::MarkDisturbed(const std::string& name) {
   for (SendRecord& sent : sends_) {
     sent.disturbed =
         sent.disturbed || (sent.entry == name && sent.finals.empty());
@@ -116,7 +116,7 @@
 }
 
 void Cluster::FreezeEntry(const std::string& name, bool clock_stops) {
-  Disturb(name);
+  MarkDisturbed(name);
   network_.Freeze(name, clock_stops);
 }
 
--- a/tests/auto/attempts/cluster.h
+++ b/tests/auto/attempts/cluster.h
@@ -129,7 +129,7 @@
     std::map<AttemptId, Job> jobs;
   };
 
-  void Disturb(const std::string& entry);
+  void MarkDisturbed(const std::string& entry);
   void Announce(const std::string& agent);
   void ReceiveToken(const std::string& entry,
                     const std::string& agent,
--- a/tests/auto/attempts/randomised_test.cc
+++ b/tests/auto/attempts/randomised_test.cc
@@ -72,11 +72,11 @@
 
   void PlanSends(const std::string& key) {
     const bool idempotent = random_.Chance(0.25);
-    const bool vouches = random_.Chance(0.5);
+    const bool asserts_first_send = random_.Chance(0.5);
     Duration at = random_.Between({}, Seconds(25));
     const std::size_t sends = 1 + random_.Below(4);
     for (std::size_t i = 0; i < sends; ++i) {
-      const bool first = i == 0 && vouches;
+      const bool first = i == 0 && asserts_first_send;
       cluster_.network().At(
           at, [=, this] { cluster_.Send(key, AnyEntry(), idempotent, first); });
       const Duration gaps[] = {Milliseconds(2), Milliseconds(200), Seconds(8),
--- a/tests/auto/attempts/scenario_test.cc
+++ b/tests/auto/attempts/scenario_test.cc
@@ -247,13 +247,13 @@
     scenario.cluster.network().Cut("e0", other);
   }
   const std::size_t maybe_resent = scenario.Send("e0");
-  const std::size_t vouched = scenario.Send("e0", true);
+  const std::size_t asserted_first = scenario.Send("e0", true);
   const std::size_t idempotent =
       *scenario.cluster.Send("read", "e0", true, false);
   scenario.cluster.Advance(Seconds(1));
   scenario.CheckFinal(maybe_resent, FinalKind::kUnknown,
                       FinalReason::kClaimUnavailable);
-  scenario.CheckFinal(vouched, FinalKind::kNotRun,
+  scenario.CheckFinal(asserted_first, FinalKind::kNotRun,
                       FinalReason::kClaimUnavailable);
   CHECK(scenario.Final(idempotent).kind == FinalKind::kAnswered);
   scenario.CheckRuns(0);
--- a/tests/auto/attempts/stall_detector_test.cc
+++ b/tests/auto/attempts/stall_detector_test.cc
@@ -29,12 +29,12 @@
     const TimePoint now = TimeAt(Seconds(5) * epoch);
     CHECK_FALSE(detector.Observe(target, Token(epoch), now));
   }
-  const TimePoint woken = TimeAt(Seconds(500));
+  const TimePoint resumed = TimeAt(Seconds(500));
   for (std::uint64_t epoch = 101; epoch <= 112; ++epoch) {
-    CHECK_FALSE(detector.Observe(target, Token(epoch), woken));
+    CHECK_FALSE(detector.Observe(target, Token(epoch), resumed));
   }
-  CHECK(detector.Observe(target, Token(113), woken));
-  CHECK(detector.MayPredateStall(woken));
+  CHECK(detector.Observe(target, Token(113), resumed));
+  CHECK(detector.MayPredateStall(resumed));
 }
 
 TEST_CASE("late tokens and a restarted agent are no stall") {
