--- a/src/libs/attempts/claim_holder.cc
+++ b/src/libs/attempts/claim_holder.cc
@@ -25,8 +25,8 @@
     return false;
   }
   for (const LedgerEntry& entry : ledger.entries) {
-    // The time between stopping and starting again is not known, so the age
-    // starts anew: remembering for too long is harmless.
+    // The time between the stop and the restart is unknown, so the age restarts
+    // at zero: remembering an entry for too long is harmless.
     Stored& stored = entries_[entry.key];
     stored.entry = entry;
     kept_bytes_ += entry.outcome.body.value_or("").size();
@@ -40,7 +40,8 @@
   stopped_ = true;
   LedgerExport ledger{self_, incarnation_, {}};
   if (abstains(now)) {
-    // An incomplete ledger must not end the next incarnation's abstaining.
+    // An incomplete ledger must not end the abstaining of the next incarnation;
+    // incarnation 0 makes its import fail.
     ledger.incarnation = Incarnation(0);
     return ledger;
   }
@@ -102,7 +103,7 @@
   return now < abstains_until_;
 }
 
-bool ClaimHolder::Votes(RosterVersion roster, TimePoint now) const {
+bool ClaimHolder::CanVote(RosterVersion roster, TimePoint now) const {
   return !ReasonToAbstain(roster, now).has_value();
 }
 
@@ -119,7 +120,7 @@
   LedgerEntry& entry = found->second.entry;
   const bool same_claimant = entry.claimant == request.claimant;
   if (entry.state == LedgerEntry::State::kReleased && !same_claimant) {
-    return Give(request, found->second, now);
+    return GrantClaim(request, found->second, now);
   }
   if (entry.fingerprint != request.fingerprint) {
     return ClaimMismatch{};
@@ -133,10 +134,10 @@
                           request.takeover->from == entry.claimant &&
                           request.takeover->through >= entry.round;
   if (taken_over) {
-    return Give(request, found->second, now);
+    return GrantClaim(request, found->second, now);
   }
-  // A late frame of an older round, or of a claim that was given back, must
-  // not count as a vote.
+  // A late frame of an older round, or of a claim that was released, must not
+  // count as a vote.
   if (!same_claimant || entry.state != LedgerEntry::State::kClaimed ||
       request.round < entry.round) {
     return ClaimHeld{entry.claimant, entry.round, entry.attempt};
@@ -171,12 +172,12 @@
                          : touches_.front().at + options_.window - now;
     return ClaimAbstained{AbstainReason::kFull, until_oldest_expires};
   }
-  return Give(request, entries_[request.key], now);
+  return GrantClaim(request, entries_[request.key], now);
 }
 
-ClaimVerdict ClaimHolder::Give(const ClaimRequest& request,
-                               Stored& stored,
-                               TimePoint now) {
+ClaimVerdict ClaimHolder::GrantClaim(const ClaimRequest& request,
+                                     Stored& stored,
+                                     TimePoint now) {
   stored.entry = LedgerEntry{request.key, request.fingerprint, request.claimant,
                              request.round};
   stored.entry.attempt = request.attempt;
@@ -208,8 +209,8 @@
     return;
   }
   const std::size_t size = outcome.body->size();
-  if (size > options_.max_kept_body ||
-      kept_bytes_ + size > options_.max_kept_bytes) {
+  if (size > options_.max_kept_body_bytes ||
+      kept_bytes_ + size > options_.max_kept_total_bytes) {
     return;
   }
   entry.outcome.body = outcome.body;
--- a/src/libs/attempts/request_machine.cc
+++ b/src/libs/attempts/request_machine.cc
@@ -9,7 +9,7 @@
 namespace bilberryspool::attempts {
 namespace {
 
-AttemptId NameAttempt(const Claimant& claimant, std::size_t number) {
+AttemptId MakeAttemptId(const Claimant& claimant, std::size_t number) {
   return AttemptId(claimant.entry.value() + "-" +
                    std::to_string(claimant.incarnation.value()) + "-" +
                    std::to_string(claimant.number.value()) + "-" +
@@ -22,7 +22,7 @@
     : options_(options),
       spec_(std::move(spec)),
       claim_(spec_.key, spec_.fingerprint, spec_.claimant, spec_.holders),
-      stream_(options.max_kept_body) {}
+      stream_(options.max_kept_body_bytes) {}
 
 std::vector<RequestAction> RequestMachine::Handle(const RequestEvent& event,
                                                   TimePoint now) {
@@ -30,10 +30,12 @@
     ++dropped_events_;
     return {};
   }
-  // Before the deadline, which such a request has mostly missed.
+  // Evaluated before the deadline check: a request on a stalled entry has
+  // usually missed its deadline, and its final answer depends on `stalled_`.
   stalled_ = stalled_ || std::holds_alternative<EntryStalled>(event);
   if (now >= spec_.deadline) {
-    // Before the event: a request that slept must not start work any more.
+    // Checked before the event is handled: a request that was delayed past its
+    // deadline must not start work.
     GiveUpAtOnce(FinalReason::kDeadline, options_.default_retry);
   } else {
     std::visit([&](const auto& what) { On(what, now); }, event);
@@ -67,7 +69,7 @@
   if (state_ != State::kNew) {
     return;
   }
-  stalled_ = spec_.suspect;
+  stalled_ = spec_.may_predate_stall;
   StartRouting();
 }
 
@@ -76,11 +78,12 @@
     ++dropped_events_;
     return;
   }
-  // A new name even where the one before was never sent: other sends ask about
-  // it by name, and a late answer about one must not be taken for the other.
-  ++named_;
-  attempt_ = AttemptRef{NameAttempt(spec_.claimant, named_), event.target,
-                        event.token};
+  // A new id even if the previous attempt was never sent: other sends ask about
+  // an attempt by its id, and a late answer about one must not be attributed to
+  // the other.
+  ++issued_attempt_ids_;
+  attempt_ = AttemptRef{MakeAttemptId(spec_.claimant, issued_attempt_ids_),
+                        event.target, event.token};
   can_continue_ = event.can_continue;
   if (spec_.idempotent) {
     SendOwnAttempt(now);
@@ -100,7 +103,7 @@
     GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
     return;
   }
-  // An earlier send of the id may have run: only the holders can tell.
+  // An earlier send of the id may have run; only the holders know.
   StartClaim(now);
 }
 
@@ -109,7 +112,7 @@
     ++dropped_events_;
     return;
   }
-  JudgeClaim(false, now);
+  EvaluateClaim(false, now);
 }
 
 void RequestMachine::On(const HolderUnreachable& event, TimePoint now) {
@@ -121,8 +124,8 @@
 
 void RequestMachine::On(const HoldersChanged& event, TimePoint now) {
   const bool is_awaited = state_ == State::kClaiming && awaits_roster_;
-  // A claim that is being decided, or was, belongs to the holders it was asked
-  // of.
+  // A claim that is in progress or decided stays with the holders that were
+  // asked.
   if (is_awaited || state_ == State::kNew || state_ == State::kRouting) {
     claim_.SetHolders(event.holders);
   }
@@ -136,32 +139,34 @@
     ++dropped_events_;
     return;
   }
-  JudgeClosing(now >= claim_until_);
+  EvaluateClosing(now >= claim_deadline_);
 }
 
 void RequestMachine::On(const AttemptAlive&, TimePoint now) {
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::On(const AttemptRefused& event, TimePoint now) {
   if (event.proven) {
-    // A token that is too old says nothing against the target.
+    // An expired or foreign token, or a full record table, is no fault of the
+    // target.
     const bool stale_token = event.reason == RefusalReason::kExpiredToken ||
                              event.reason == RefusalReason::kOtherIncarnation ||
                              event.reason == RefusalReason::kMemoryFull;
-    // One that this entry took for fresh shows that its clock stood still.
+    // An expired token that this entry considered valid shows that its clock
+    // was stalled.
     stalled_ = stalled_ || event.reason == RefusalReason::kExpiredToken;
-    ProvenNotRun(!stale_token, event.retry_after, now);
+    OnProvenNotRun(!stale_token, event.retry_after, now);
     return;
   }
-  LoseAttempt(FinalReason::kTargetLost, now);
+  OnAttemptLost(FinalReason::kTargetLost, now);
 }
 
 void RequestMachine::On(const AttemptHead& event, TimePoint now) {
   if (!head_relayed_) {
     status_ = event.status;
   }
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::On(const AttemptChunk& event, TimePoint now) {
@@ -170,7 +175,7 @@
 
 void RequestMachine::On(const AttemptFinished& event, TimePoint now) {
   if (event.size != stream_.relayed()) {
-    // A part is missing: what the caller has is not the whole answer.
+    // A part is missing: the caller has not received the complete answer.
     StartSettling(now);
     return;
   }
@@ -178,7 +183,7 @@
 }
 
 void RequestMachine::On(const AttemptFailed&, TimePoint now) {
-  LoseAttempt(FinalReason::kFailedByTarget, now);
+  OnAttemptLost(FinalReason::kFailedByTarget, now);
 }
 
 void RequestMachine::On(const LinkLost&, TimePoint now) {
@@ -186,7 +191,7 @@
     return;
   }
   if (MayRetry() && stream_.relayed() == 0) {
-    LoseAttempt(FinalReason::kTargetLost, now);
+    OnAttemptLost(FinalReason::kTargetLost, now);
     return;
   }
   StartSettling(now);
@@ -205,16 +210,16 @@
 }
 
 void RequestMachine::On(const SettleUnreachable&, TimePoint now) {
-  // The timer asks again; one failed call proves nothing.
+  // The timer repeats the request; a single failed call proves nothing.
   static_cast<void>(now);
 }
 
-void RequestMachine::On(const CallerLeft&, TimePoint now) {
-  caller_left_ = true;
-  const bool under_way =
+void RequestMachine::On(const CallerDisconnected&, TimePoint now) {
+  caller_disconnected_ = true;
+  const bool in_progress =
       state_ == State::kAttempting || state_ == State::kSettling;
-  if (!spec_.idempotent && under_way) {
-    // It goes on, so that a resend gets this answer.
+  if (!spec_.idempotent && in_progress) {
+    // The attempt continues, so that a resend gets this answer.
     return;
   }
   GiveUp(FinalReason::kInProgress, Duration{}, now);
@@ -227,7 +232,7 @@
   }
 }
 
-void RequestMachine::On(const StopLimit&, TimePoint) {
+void RequestMachine::On(const StopDeadlineReached&, TimePoint) {
   GiveUpAtOnce(FinalReason::kStopping, options_.default_retry);
 }
 
@@ -237,11 +242,11 @@
   }
   switch (state_) {
     case State::kClaiming:
-      if (now >= claim_until_) {
-        JudgeClaim(true, now);
+      if (now >= claim_deadline_) {
+        EvaluateClaim(true, now);
         return;
       }
-      AskSilentHolders(now);
+      RequestMissingVotes(now);
       return;
     case State::kAttempting:
       On(LinkLost{attempt_->attempt}, now);
@@ -251,12 +256,12 @@
       OnSettleTimer(now);
       return;
     case State::kClosing:
-      if (now >= claim_until_) {
-        JudgeClosing(true);
+      if (now >= claim_deadline_) {
+        EvaluateClosing(true);
         return;
       }
       Release(true);
-      timer_ = std::min(now + options_.claim_resend, claim_until_);
+      timer_ = std::min(now + options_.claim_resend, claim_deadline_);
       return;
     case State::kNew:
     case State::kRouting:
@@ -276,43 +281,44 @@
 }
 
 void RequestMachine::SendOwnAttempt(TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(spec_.idempotent || unproven_ == 0,
-                          "one unproven attempt of non-idempotent work");
+  BILBERRYSPOOL_INVARIANT(
+      spec_.idempotent || unproven_attempts_ == 0,
+      "at most one unproven attempt of a non-idempotent request");
   BILBERRYSPOOL_INVARIANT(spec_.idempotent || claim_won_,
-                          "non-idempotent work runs under a claim");
+                          "a non-idempotent attempt is sent under a won claim");
   BILBERRYSPOOL_INVARIANT(spec_.idempotent || !stalled_,
-                          "no new attempt after a stall");
+                          "no new non-idempotent attempt after a stall");
   state_ = State::kAttempting;
   ++attempts_;
-  ++unproven_;
+  ++unproven_attempts_;
   Emit(SendAttempt{
       {*attempt_, spec_.key, spec_.claimant.entry, stream_.relayed()}});
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
 void RequestMachine::StartSettling(TimePoint now) {
   state_ = State::kSettling;
-  settles_ = 0;
-  AskAgent(true, now);
+  settle_queries_ = 0;
+  SendSettleQuery(true, now);
 }
 
-void RequestMachine::AskAgent(bool forbid, TimePoint now) {
-  ++settles_;
+void RequestMachine::SendSettleQuery(bool forbid, TimePoint now) {
+  ++settle_queries_;
   Emit(SendSettle{{*attempt_, forbid}});
   timer_ = now + options_.settle_interval;
 }
 
 void RequestMachine::OnSettled(const SettleState& state, TimePoint now) {
   std::visit(Overloaded{
-                 [&](const SettledNeverWill&) {
-                   ProvenNotRun(true, options_.default_retry, now);
+                 [&](const SettledNotRun&) {
+                   OnProvenNotRun(true, options_.default_retry, now);
                  },
                  [&](const SettledRunning&) { Resume(now); },
                  [&](const SettledFinished& finished) {
                    const std::optional<std::string>& body =
                        finished.outcome.body;
                    if (!body.has_value() || body->size() < stream_.relayed()) {
-                     LoseAttempt(FinalReason::kAnswerNotKept, now);
+                     OnAttemptLost(FinalReason::kAnswerNotKept, now);
                      return;
                    }
                    status_ = head_relayed_ ? status_ : finished.outcome.status;
@@ -321,53 +327,53 @@
                  },
                  [](const SettledNotSeen&) {},
                  [&](const SettledUnknown&) {
-                   LoseAttempt(FinalReason::kTargetLost, now);
+                   OnAttemptLost(FinalReason::kTargetLost, now);
                  },
              },
              state);
 }
 
 void RequestMachine::OnSettleTimer(TimePoint now) {
-  if (settles_ < options_.max_settles) {
-    AskAgent(true, now);
+  if (settle_queries_ < options_.max_settle_queries) {
+    SendSettleQuery(true, now);
     return;
   }
   if (state_ == State::kLookingUp) {
     GiveUp(FinalReason::kInProgress, options_.default_retry, now);
     return;
   }
-  LoseAttempt(FinalReason::kTargetLost, now);
+  OnAttemptLost(FinalReason::kTargetLost, now);
 }
 
 void RequestMachine::Resume(TimePoint now) {
   if (resumes_ >= options_.max_resumes) {
-    LoseAttempt(FinalReason::kStreamBroken, now);
+    OnAttemptLost(FinalReason::kStreamBroken, now);
     return;
   }
   ++resumes_;
   Emit(ResumeAttempt{*attempt_, stream_.relayed()});
-  Heard(now);
+  RecordAttemptLiveness(now);
 }
 
-void RequestMachine::Heard(TimePoint now) {
+void RequestMachine::RecordAttemptLiveness(TimePoint now) {
   state_ = State::kAttempting;
-  timer_ = now + options_.silence_limit;
+  timer_ = now + options_.silence_timeout;
 }
 
 void RequestMachine::Relay(std::uint64_t offset,
                            const std::string& data,
                            TimePoint now) {
-  const std::optional<std::string> fresh = stream_.Take(offset, data);
-  if (!fresh.has_value()) {
+  const std::optional<std::string> unrelayed = stream_.Take(offset, data);
+  if (!unrelayed.has_value()) {
     StartSettling(now);
     return;
   }
-  Heard(now);
-  if (fresh->empty() || caller_left_) {
+  RecordAttemptLiveness(now);
+  if (unrelayed->empty() || caller_disconnected_) {
     return;
   }
   RelayHeadOnce();
-  Emit(RelayChunk{*fresh});
+  Emit(RelayChunk{*unrelayed});
 }
 
 void RequestMachine::RelayHeadOnce() {
@@ -377,24 +383,25 @@
   }
 }
 
-void RequestMachine::ProvenNotRun(bool exclude_target,
-                                  Duration retry_after,
-                                  TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(unproven_ > 0, "a proof is of an attempt sent");
-  --unproven_;
+void RequestMachine::OnProvenNotRun(bool exclude_target,
+                                    Duration retry_after,
+                                    TimePoint now) {
+  BILBERRYSPOOL_INVARIANT(unproven_attempts_ > 0,
+                          "a proof refers to an attempt that was sent");
+  --unproven_attempts_;
   if (exclude_target) {
     excluded_.push_back(attempt_->target);
   }
   attempt_.reset();
-  if (caller_left_ || attempts_ >= options_.max_attempts) {
+  if (caller_disconnected_ || attempts_ >= options_.max_attempts) {
     GiveUp(FinalReason::kRefusedByTargets, retry_after, now);
     return;
   }
   StartRouting();
 }
 
-// What became of the attempt can't be found out, or its answer is lost.
-void RequestMachine::LoseAttempt(FinalReason reason, TimePoint now) {
+// Handles an attempt whose state can't be determined or whose answer is lost.
+void RequestMachine::OnAttemptLost(FinalReason reason, TimePoint now) {
   const bool continues = stream_.relayed() == 0 || can_continue_;
   if (!MayRetry() || !continues) {
     GiveUp(stream_.relayed() > 0 ? FinalReason::kStreamBroken : reason,
--- a/src/libs/attempts/request_machine_claims.cc
+++ b/src/libs/attempts/request_machine_claims.cc
@@ -1,4 +1,4 @@
-// The part of RequestMachine that deals with holders and with other sends.
+// The part of RequestMachine that handles claims and other sends of the key.
 
 #include <algorithm>
 #include <utility>
@@ -14,68 +14,69 @@
   claim_asked_ = true;
   awaits_roster_ = false;
   claim_.StartRound(attempt_, takeover_);
-  claim_until_ = now + options_.claim_timeout;
-  AskSilentHolders(now);
-  JudgeClaim(false, now);
+  claim_deadline_ = now + options_.claim_timeout;
+  RequestMissingVotes(now);
+  EvaluateClaim(false, now);
 }
 
-void RequestMachine::AskSilentHolders(TimePoint now) {
+void RequestMachine::RequestMissingVotes(TimePoint now) {
   if (awaits_roster_) {
     return;
   }
-  for (const NodeId& holder : claim_.Silent()) {
+  for (const NodeId& holder : claim_.UnansweredHolders()) {
     Emit(SendClaim{holder, claim_.request()});
   }
-  timer_ = std::min(now + options_.claim_resend, claim_until_);
+  timer_ = std::min(now + options_.claim_resend, claim_deadline_);
 }
 
-void RequestMachine::JudgeClaim(bool final, TimePoint now) {
-  std::visit(Overloaded{
-                 [](const ClaimPending&) {},
-                 [&](const ClaimWon&) {
-                   claim_won_ = true;
-                   if (attempt_.has_value()) {
-                     SendOwnAttempt(now);
-                     return;
-                   }
-                   GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
-                 },
-                 [&](const ClaimLost& lost) { LookUp(lost.held, now); },
-                 [&](const ClaimFinished& finished) {
-                   RepeatOutcome(finished.outcome);
-                 },
-                 [&](const ClaimMismatch&) {
-                   GiveUp(FinalReason::kBodyMismatch, Duration{}, now);
-                 },
-                 [&](const ClaimUnavailable& unavailable) {
-                   OnClaimUnavailable(unavailable, final, now);
-                 },
-             },
-             claim_.State(final));
+void RequestMachine::EvaluateClaim(bool timed_out, TimePoint now) {
+  std::visit(
+      Overloaded{
+          [](const ClaimPending&) {},
+          [&](const ClaimWon&) {
+            claim_won_ = true;
+            if (attempt_.has_value()) {
+              SendOwnAttempt(now);
+              return;
+            }
+            GiveUp(FinalReason::kNoTarget, no_target_retry_, now);
+          },
+          [&](const ClaimLost& lost) { LookUpOtherSend(lost.held, now); },
+          [&](const ClaimFinished& finished) {
+            RepeatOutcome(finished.outcome);
+          },
+          [&](const ClaimMismatch&) {
+            GiveUp(FinalReason::kBodyMismatch, Duration{}, now);
+          },
+          [&](const ClaimUnavailable& unavailable) {
+            OnClaimUnavailable(unavailable, timed_out, now);
+          },
+      },
+      claim_.State(timed_out));
 }
 
-// An entry that has just started, or a change of the control members, leaves a
-// moment in which the entry knows fewer rosters than the holders: the claim can
-// be won as soon as it has heard.
+// After the start of an entry, or a change of the control members, the entry
+// may briefly know fewer rosters than the holders: the claim can be won as soon
+// as it receives the missing one.
 void RequestMachine::OnClaimUnavailable(const ClaimUnavailable& unavailable,
-                                        bool final,
+                                        bool timed_out,
                                         TimePoint now) {
-  if (final || !claim_.LacksRoster()) {
+  if (timed_out || !claim_.NeedsNewerRoster()) {
     GiveUp(FinalReason::kClaimUnavailable, unavailable.retry_after, now);
     return;
   }
   if (!awaits_roster_) {
     awaits_roster_ = true;
-    claim_until_ = now + options_.roster_wait;
-    timer_ = claim_until_;
+    claim_deadline_ = now + options_.roster_wait;
+    timer_ = claim_deadline_;
   }
 }
 
-// Another send has the claim. Its entry may be dead, but the agent that it
-// chose can tell what became of the work.
-void RequestMachine::LookUp(const ClaimHeld& held, TimePoint now) {
+// Another send has the claim. Its entry may be dead, but the agent of its
+// target can report the state of its attempt.
+void RequestMachine::LookUpOtherSend(const ClaimHeld& held, TimePoint now) {
   attempt_ = held.attempt;
-  other_ = held;
+  other_claim_ = held;
   ++lookups_;
   if (lookups_ > options_.max_lookups) {
     GiveUp(FinalReason::kInProgress, options_.default_retry, now);
@@ -86,10 +87,10 @@
     return;
   }
   state_ = State::kLookingUp;
-  settles_ = 0;
-  AskAgent(false, now);
+  settle_queries_ = 0;
+  SendSettleQuery(false, now);
   if (spec_.claimant > held.claimant) {
-    timer_ = *timer_ + options_.yield_time;
+    timer_ = *timer_ + options_.tie_break_delay;
   }
 }
 
@@ -105,42 +106,46 @@
                    GiveUp(FinalReason::kInProgress, options_.default_retry,
                           now);
                  },
-                 // It may be under way: the timer asks again, and then forbids.
+                 // It may be in transit: the timer asks again, then with
+                 // `forbid`.
                  [](const SettledNotSeen&) {},
-                 [&](const SettledNeverWill&) { TakeOver(); },
+                 [&](const SettledNotRun&) { TakeOver(); },
              },
              state);
 }
 
-// The other send did not run and, as far as its claim goes, never will: its
-// entry is dead, or about to find out. This send goes on in its place.
+// Takes over the claim of the other send, which did not run and never will
+// under that claim: its entry is dead, or will learn of it when its attempt is
+// refused.
 void RequestMachine::TakeOver() {
-  takeover_ = Takeover{other_.claimant, other_.round};
+  takeover_ = Takeover{other_claim_.claimant, other_claim_.round};
   attempt_.reset();
   StartRouting();
 }
 
-// Another send may have taken the claim over, or the holders may have forgotten
-// it, and the request may have run there. One notices by a caller that was told
-// "not run" of work that ran. The holders' answers rule it out, and keep others
-// from running it while the caller is told.
+// Closes the claim before "not run" is reported. Another send may have taken
+// the claim over, or the holders may have dropped it, and the request may have
+// run there; its caller would then be told "not run" about work that ran. The
+// holders' answers rule this out, and they keep other sends from running it
+// while the caller is answered.
 void RequestMachine::CloseClaim(FinalReason reason,
                                 Duration retry_after,
                                 TimePoint now) {
   state_ = State::kClosing;
   pending_answer_ = {FinalKind::kNotRun, reason, retry_after, {}};
   Release(true);
-  claim_until_ = now + options_.claim_timeout;
+  claim_deadline_ = now + options_.claim_timeout;
   timer_ = now + options_.claim_resend;
 }
 
-void RequestMachine::JudgeClosing(bool final) {
+void RequestMachine::EvaluateClosing(bool timed_out) {
   const std::optional<bool> closed = claim_.IsClosed();
-  if (!closed.has_value() && !final) {
+  if (!closed.has_value() && !timed_out) {
     return;
   }
-  // Too late an answer proves nothing: the holders close it for a short time.
-  if (final || stalled_ || !closed.value_or(false)) {
+  // A confirmation that arrives too late proves nothing, as holders keep the
+  // claim closed for a short time only.
+  if (timed_out || stalled_ || !closed.value_or(false)) {
     pending_answer_.kind = FinalKind::kUnknown;
   }
   AnswerFinally(pending_answer_);
--- a/src/libs/attempts/request_machine_finals.cc
+++ b/src/libs/attempts/request_machine_finals.cc
@@ -1,4 +1,4 @@
-// The part of RequestMachine that ends a request.
+// The part of RequestMachine that completes a request.
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace bilberryspool::attempts {
 
 void RequestMachine::Complete() {
-  if (!caller_left_) {
+  if (!caller_disconnected_) {
     RelayHeadOnce();
   }
   if (!spec_.idempotent) {
@@ -21,7 +21,7 @@
 }
 
 void RequestMachine::RepeatOutcome(const Outcome& outcome) {
-  // Votes that this send got must not stand in the way of the next one.
+  // Votes granted to this send must not block the next one.
   Release(false);
   if (!outcome.body.has_value()) {
     AnswerFinally({FinalKind::kUnknown, FinalReason::kAnswerNotKept, {}, {}});
@@ -34,9 +34,10 @@
 void RequestMachine::GiveUp(FinalReason reason,
                             Duration retry_after,
                             TimePoint now) {
-  const bool on_own_claim = !spec_.idempotent && claim_won_ && unproven_ == 0 &&
-                            !stalled_ && !caller_left_;
-  if (on_own_claim) {
+  const bool can_close_claim = !spec_.idempotent && claim_won_ &&
+                               unproven_attempts_ == 0 && !stalled_ &&
+                               !caller_disconnected_;
+  if (can_close_claim) {
     CloseClaim(reason, retry_after, now);
     return;
   }
@@ -44,20 +45,20 @@
 }
 
 void RequestMachine::GiveUpAtOnce(FinalReason reason, Duration retry_after) {
-  const FinalKind kind = KindOfGivingUp();
-  if (unproven_ == 0) {
+  const FinalKind kind = FinalKindOnGiveUp();
+  if (unproven_attempts_ == 0) {
     Release(false);
   }
-  const bool under_way =
+  const bool in_progress =
       state_ == State::kAttempting || state_ == State::kSettling;
-  if (spec_.idempotent && under_way && attempt_.has_value()) {
+  if (spec_.idempotent && in_progress && attempt_.has_value()) {
     Emit(CancelAttempt{*attempt_});
   }
   AnswerFinally({kind, reason, retry_after, {}});
 }
 
-FinalKind RequestMachine::KindOfGivingUp() const {
-  if (unproven_ > 0) {
+FinalKind RequestMachine::FinalKindOnGiveUp() const {
+  if (unproven_attempts_ > 0) {
     return FinalKind::kUnknown;
   }
   if (spec_.idempotent) {
@@ -66,19 +67,19 @@
   if (stalled_) {
     return FinalKind::kUnknown;
   }
-  // Nothing of this send ran; of an earlier send only the holders, or a caller
-  // that says that there is none, can tell.
-  const bool met_another = lookups_ > 0;
-  return spec_.first_send && !met_another ? FinalKind::kNotRun
-                                          : FinalKind::kUnknown;
+  // Nothing of this send ran. Whether an earlier send did, only the holders
+  // know, or a caller that asserts that there was none.
+  const bool found_other_send = lookups_ > 0;
+  return spec_.first_send && !found_other_send ? FinalKind::kNotRun
+                                               : FinalKind::kUnknown;
 }
 
 void RequestMachine::AnswerFinally(AnswerCaller answer) {
-  ++finals_;
-  BILBERRYSPOOL_INVARIANT(finals_ == 1, "exactly one final answer");
+  ++final_answers_;
+  BILBERRYSPOOL_INVARIANT(final_answers_ == 1, "exactly one final answer");
   state_ = State::kDone;
   timer_.reset();
-  if (!caller_left_) {
+  if (!caller_disconnected_) {
     Emit(std::move(answer));
   }
 }
--- a/tests/auto/attempts/cluster.h
+++ b/tests/auto/attempts/cluster.h
@@ -1,4 +1,5 @@
-// Entries, agents and a witness engine on a fake network.
+// Simulated entries and agents on a fake network, with an engine that records
+// each run.
 
 #ifndef AUTO_ATTEMPTS_CLUSTER_H_
 #define AUTO_ATTEMPTS_CLUSTER_H_
@@ -21,34 +22,34 @@
 
 inline constexpr Duration kWindow = Seconds(60);
 inline constexpr Duration kStallLimit = Seconds(10);
-inline constexpr Duration kPatience = Seconds(5);
-// An attempt starts this long after its claim at most.
+inline constexpr Duration kRequestTimeout = Seconds(5);
+// Maximum time between the claim and the start of an attempt.
 inline constexpr Duration kTokenValidity = Seconds(20);
 
 struct ClusterOptions {
   NetworkOptions network;
-  // The transport tells when no other process can have got a frame.
+  // The transport reports when no other process can have received a frame.
   bool transport_knows_copies = false;
   std::size_t agent_capacity = 64;
   std::size_t agent_records = 50000;
   Duration work = Milliseconds(50);
 };
 
-// One send of a request by a caller, and all that came of it.
-struct Sent {
+// One send of a request by a caller, with its answers.
+struct SendRecord {
   std::string key;
   std::string entry;
   bool idempotent = false;
   bool first = false;
   TimePoint at;
-  // The entry died or froze before the deadline.
+  // The entry died or froze before the request was answered.
   bool disturbed = false;
   std::string text;
   std::vector<AnswerCaller> finals;
   TimePoint answered_at;
 };
 
-// One run that the witness engine saw.
+// One run recorded by the engine. `send` is the index of the send in sends().
 struct EngineRun {
   std::size_t send;
   TimePoint at;
@@ -56,20 +57,22 @@
 
 class Cluster {
  public:
-  // Entries "e0".. in three failure domains, agents "a0"...
+  // Creates entries "e0", "e1", ... in three failure domains and agents "a0",
+  // "a1", ...
   Cluster(ClusterOptions options,
           std::size_t entries,
           std::size_t agents,
           std::uint64_t seed);
 
   FakeNetwork& network() { return network_; }
-  const std::vector<Sent>& sends() const { return sends_; }
+  const std::vector<SendRecord>& sends() const { return sends_; }
   const std::vector<EngineRun>& runs(const std::string& key) {
     return runs_[key];
   }
   const std::vector<std::string>& faults() const { return faults_; }
 
-  // Sends a request now; the number of the send, none if the entry is down.
+  // Sends a request now. Returns the index of the send; none if the entry is
+  // down.
   std::optional<std::size_t> Send(const std::string& key,
                                   const std::string& entry,
                                   bool idempotent,
@@ -87,19 +90,22 @@
   ClaimHolder& holder(const std::string& entry) {
     return *entries_[entry].holder;
   }
-  // The entries in the roster from now on; each entry hears of it in time.
+  // Replaces the members of the roster; each entry receives the new roster
+  // after a random delay.
   void ChangeRoster(const std::vector<std::string>& members);
-  // The holders of a key under the present roster.
+  // The holders of a key under the current roster.
   std::vector<std::string> HoldersOf(const std::string& key) const;
 
-  // Called before each frame leaves, so that a scenario can act right there.
+  // Called before each action is executed, so that a scenario can inject a
+  // fault at this point.
   std::function<void(const RequestAction&, std::size_t send)> on_action;
 
   static std::string AnswerTo(const std::string& key) {
     return "the whole answer to " + key;
   }
 
-  // Checks all that must hold at the end; faults are collected.
+  // Checks all conditions that must hold at the end; violations are collected
+  // in faults().
   void CheckAtEnd();
 
  private:
@@ -123,49 +129,57 @@
     std::map<AttemptId, Job> jobs;
   };
 
-  void Disturb(const std::string& entry);
+  void MarkDisturbed(const std::string& entry);
   void Announce(const std::string& agent);
-  void Hear(const std::string& entry,
-            const std::string& agent,
-            AdmissionToken token);
+  void ReceiveToken(const std::string& entry,
+                    const std::string& agent,
+                    AdmissionToken token);
   void Beat(const std::string& entry);
-  void KeepBeating(const std::string& entry);
-  void TellStalled(const std::string& entry);
+  void BeatPeriodically(const std::string& entry);
+  void ReportStall(const std::string& entry);
   void AdoptRosters(const std::string& entry);
   void Feed(const std::string& entry, std::size_t send, RequestEvent event);
-  void Do(const std::string& entry, std::size_t send, RequestAction action);
-  void Carry(const std::string& entry, std::size_t send, const SendClaim& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendRelease& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendSettle& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendFinish& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const SendAttempt& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const ResumeAttempt& what);
-  void Carry(const std::string& entry, std::size_t send, const Route& what);
-  void Carry(const std::string& entry,
-             std::size_t send,
-             const AnswerCaller& what);
-  void Carry(const std::string&, std::size_t, const RelayHead&) {}
-  void Carry(const std::string&, std::size_t, const CancelAttempt&) {}
-  void Carry(const std::string&, std::size_t send, const RelayChunk& chunk) {
+  void ScheduleAction(const std::string& entry,
+                      std::size_t send,
+                      RequestAction action);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendClaim& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendRelease& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendSettle& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendFinish& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const SendAttempt& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const ResumeAttempt& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const Route& what);
+  void ExecuteAction(const std::string& entry,
+                     std::size_t send,
+                     const AnswerCaller& what);
+  void ExecuteAction(const std::string&, std::size_t, const RelayHead&) {}
+  void ExecuteAction(const std::string&, std::size_t, const CancelAttempt&) {}
+  void ExecuteAction(const std::string&,
+                     std::size_t send,
+                     const RelayChunk& chunk) {
     sends_[send].text += chunk.data;
   }
-  void Ask(const std::string& from,
-           const std::string& to,
-           std::size_t send,
-           std::function<RequestEvent(TimePoint)> answer);
-  void ArriveAttempt(const StartAttempt& start, std::size_t send, bool sole);
-  void Work(const std::string& agent, const AttemptId& attempt);
-  void Stream(const std::string& agent, const Job& job);
+  void SendQuery(const std::string& from,
+                 const std::string& to,
+                 std::size_t send,
+                 std::function<RequestEvent(TimePoint)> answer);
+  void ReceiveAttempt(const StartAttempt& start, std::size_t send, bool sole);
+  void FinishJob(const std::string& agent, const AttemptId& attempt);
+  void StreamAnswer(const std::string& agent, const Job& job);
   void Reply(const std::string& agent,
              const std::string& entry,
              std::size_t send,
@@ -178,7 +192,7 @@
   std::map<std::string, Entry> entries_;
   std::map<std::string, Agent> agents_;
   std::vector<Roster> rosters_;
-  std::vector<Sent> sends_;
+  std::vector<SendRecord> sends_;
   std::map<std::string, std::vector<EngineRun>> runs_;
   std::vector<std::string> faults_;
 };
--- a/tests/auto/attempts/randomised_test.cc
+++ b/tests/auto/attempts/randomised_test.cc
@@ -11,6 +11,8 @@
 
 constexpr std::size_t kEntries = 5;
 constexpr std::size_t kAgents = 3;
+// Used unless BILBERRYSPOOL_SEEDS is set; BILBERRYSPOOL_FIRST_SEED sets the
+// first seed.
 constexpr std::uint64_t kSeedsInCi = 300;
 std::uint64_t current_seed = 0;
 
@@ -24,6 +26,8 @@
                      << " with seed " << current_seed);
 }
 
+// One run of a cluster with random sends, options and faults, all derived from
+// the seed.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -31,7 +35,7 @@
 
   Cluster& cluster() { return cluster_; }
 
-  void Play() {
+  void Run() {
     const std::size_t keys = 2 + random_.Below(5);
     for (std::size_t key = 0; key < keys; ++key) {
       PlanSends("k" + std::to_string(key));
@@ -39,7 +43,7 @@
     const std::size_t faults = random_.Below(8);
     for (std::size_t i = 0; i < faults; ++i) {
       cluster_.network().At(random_.Between({}, Seconds(25)),
-                            [this] { Break(); });
+                            [this] { InjectFault(); });
     }
     cluster_.Advance(Seconds(310));
     cluster_.CheckAtEnd();
@@ -68,11 +72,11 @@
 
   void PlanSends(const std::string& key) {
     const bool idempotent = random_.Chance(0.25);
-    const bool vouches = random_.Chance(0.5);
+    const bool asserts_first_send = random_.Chance(0.5);
     Duration at = random_.Between({}, Seconds(25));
     const std::size_t sends = 1 + random_.Below(4);
     for (std::size_t i = 0; i < sends; ++i) {
-      const bool first = i == 0 && vouches;
+      const bool first = i == 0 && asserts_first_send;
       cluster_.network().At(
           at, [=, this] { cluster_.Send(key, AnyEntry(), idempotent, first); });
       const Duration gaps[] = {Milliseconds(2), Milliseconds(200), Seconds(8),
@@ -81,7 +85,7 @@
     }
   }
 
-  void Break() {
+  void InjectFault() {
     FakeNetwork& network = cluster_.network();
     const std::string entry = AnyEntry();
     const std::string agent = AnyAgent();
@@ -129,7 +133,7 @@
   void CutFor(Duration time, const std::string& a, const std::string& b) {
     FakeNetwork& network = cluster_.network();
     network.Cut(a, b);
-    network.At(time, [&network, a, b] { network.Mend(a, b); });
+    network.At(time, [&network, a, b] { network.Heal(a, b); });
   }
 
   void ChangeRosterOnce() {
@@ -157,9 +161,9 @@
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     current_seed = seed;
     RandomRun run(seed);
-    run.Play();
+    run.Run();
     sends += run.cluster().sends().size();
-    for (const Sent& sent : run.cluster().sends()) {
+    for (const SendRecord& sent : run.cluster().sends()) {
       if (!sent.finals.empty()) {
         ++kinds[static_cast<std::size_t>(sent.finals[0].kind)];
       }
@@ -173,7 +177,7 @@
                 << ", unknown " << kinds[2]);
 }
 
-TEST_CASE("where nothing fails, everything is answered") {
+TEST_CASE("without faults all requests are answered") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Cluster cluster({}, kEntries, kAgents, seed);
     for (int i = 0; i < 20; ++i) {
@@ -183,7 +187,7 @@
     cluster.Advance(Seconds(10));
     cluster.CheckAtEnd();
     CHECK(cluster.faults().empty());
-    for (const Sent& sent : cluster.sends()) {
+    for (const SendRecord& sent : cluster.sends()) {
       REQUIRE(sent.finals.size() == 1);
       CHECK(sent.finals[0].kind == FinalKind::kAnswered);
     }
--- a/tests/auto/attempts/stall_detector_test.cc
+++ b/tests/auto/attempts/stall_detector_test.cc
@@ -9,32 +9,32 @@
   return {Incarnation(1), TokenGeneration(0), Epoch(epoch)};
 }
 
-TEST_CASE("a leap of the own clock is a stall") {
+TEST_CASE("a jump of the own clock is a stall") {
   StallDetector detector({}, TimeAt({}));
   CHECK_FALSE(detector.Beat(TimeAt(Seconds(60))));
-  CHECK_FALSE(detector.suspects(TimeAt(Seconds(60))));
+  CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(60))));
   CHECK(detector.Beat(TimeAt(Seconds(121))));
-  CHECK(detector.suspects(TimeAt(Seconds(122))));
-  CHECK_FALSE(detector.suspects(TimeAt(Seconds(123))));
+  CHECK(detector.MayPredateStall(TimeAt(Seconds(122))));
+  CHECK_FALSE(detector.MayPredateStall(TimeAt(Seconds(123))));
 }
 
-// Symptom: a request read after a pause of the VM runs a second time.
-// Sequence: the VM is paused for minutes, its clock with it; the agents' tokens
-// pile up and are read one after the other.
-// Cause: each step between two tokens is small.
-TEST_CASE("epochs that run ahead of the own clock are a stall") {
+// Guards against a second run of a request that is read after a pause of the
+// VM. It comes about if each token is compared with the previous one only: the
+// VM is paused for minutes together with its clock, the agents' tokens queue up
+// and are read one after the other, and each step between two tokens is small.
+TEST_CASE("epochs that get ahead of the own clock are a stall") {
   StallDetector detector({}, TimeAt({}));
   const TargetId target("t");
   for (std::int64_t epoch = 1; epoch <= 100; ++epoch) {
     const TimePoint now = TimeAt(Seconds(5) * epoch);
     CHECK_FALSE(detector.Observe(target, Token(epoch), now));
   }
-  const TimePoint woken = TimeAt(Seconds(500));
+  const TimePoint resumed = TimeAt(Seconds(500));
   for (std::uint64_t epoch = 101; epoch <= 112; ++epoch) {
-    CHECK_FALSE(detector.Observe(target, Token(epoch), woken));
+    CHECK_FALSE(detector.Observe(target, Token(epoch), resumed));
   }
-  CHECK(detector.Observe(target, Token(113), woken));
-  CHECK(detector.suspects(woken));
+  CHECK(detector.Observe(target, Token(113), resumed));
+  CHECK(detector.MayPredateStall(resumed));
 }
 
 TEST_CASE("late tokens and a restarted agent are no stall") {
