--- a/src/libs/routing/choice.h
+++ b/src/libs/routing/choice.h
@@ -50,7 +50,7 @@
 };
 
 // Record of a choice that can be shown to an operator.
-struct RouteWhy {
+struct RouteExplanation {
   RouteRule rule = RouteRule::kNone;
   // Candidates in all; `best` holds the first few by score.
   std::size_t candidates = 0;
@@ -61,7 +61,7 @@
 
 struct Selected {
   TargetId target;
-  RouteWhy why;
+  RouteExplanation explanation;
 };
 
 enum class NoTargetReason : std::uint8_t {
@@ -78,7 +78,7 @@
   NoTargetReason reason = NoTargetReason::kNoneServing;
   // When asking again makes sense, from the beliefs at this moment.
   Duration retry_after{0};
-  RouteWhy why;
+  RouteExplanation explanation;
 };
 
 using Choice = std::variant<Selected, NoTarget>;
--- a/src/libs/routing/router.cc
+++ b/src/libs/routing/router.cc
@@ -35,15 +35,15 @@
   std::visit([&](const auto& typed) { On(typed, now); }, event);
 }
 
-void Router::On(const TargetSeen& event, TimePoint now) {
+void Router::On(const TargetUpdated& event, TimePoint now) {
   const TargetView& view = event.view;
   const auto found = targets_.find(view.target);
   if (found == targets_.end()) {
-    targets_.emplace(view.target,
-                     Known{TargetBelief(view, now), ++generations_});
+    targets_.emplace(view.target, TrackedTarget{TargetEstimate(view, now),
+                                                ++last_generation_});
   } else {
-    Unindex(found->second.belief.view());
-    found->second.belief.Update(view, now);
+    Unindex(found->second.estimate.view());
+    found->second.estimate.Update(view, now);
   }
   Index(view);
   const bool serving = view.state == TargetState::kServing;
@@ -51,12 +51,12 @@
               serving ? view.services : std::vector<ServiceId>(), now);
 }
 
-void Router::On(const TargetGone& event, TimePoint now) {
+void Router::On(const TargetRemoved& event, TimePoint now) {
   const auto found = targets_.find(event.target);
   if (found == targets_.end()) {
     return;
   }
-  Unindex(found->second.belief.view());
+  Unindex(found->second.estimate.view());
   targets_.erase(found);
   health_.Remove(event.target, now);
   hints_.Forget(event.target);
@@ -65,7 +65,7 @@
 void Router::On(const LoadReported& event, TimePoint now) {
   const auto found = targets_.find(event.target);
   if (found != targets_.end()) {
-    found->second.belief.Report(event.load, now);
+    found->second.estimate.Report(event.load, now);
   }
 }
 
@@ -82,7 +82,7 @@
                            event.prefix_hashes, event.service, probe})
           .second;
   BILBERRYSPOOL_INVARIANT(added, "an attempt id is used once");
-  found->second.belief.Started(now);
+  found->second.estimate.Started(now);
   if (probe) {
     health_.ProbeStarted(event.target);
   }
@@ -94,8 +94,8 @@
     return;
   }
   const Attempt& attempt = found->second;
-  TargetBelief* belief = BeliefOf(attempt);
-  if (belief == nullptr) {
+  TargetEstimate* estimate = EstimateOf(attempt);
+  if (estimate == nullptr) {
     return;
   }
   const Duration latency = now - attempt.started_at;
@@ -112,13 +112,13 @@
   }
   const Attempt attempt = std::move(found->second);
   attempts_.erase(found);
-  TargetBelief* belief = BeliefOf(attempt);
-  if (belief == nullptr) {
+  TargetEstimate* estimate = EstimateOf(attempt);
+  if (estimate == nullptr) {
     return;
   }
-  belief->Ended(now);
+  estimate->Ended(now);
   if (event.load.has_value()) {
-    belief->Report(*event.load, now);
+    estimate->Report(*event.load, now);
   }
   RecordOutcome(attempt, event.outcome, now);
 }
@@ -166,13 +166,13 @@
   }
 }
 
-TargetBelief* Router::BeliefOf(const Attempt& attempt) {
+TargetEstimate* Router::EstimateOf(const Attempt& attempt) {
   const auto found = targets_.find(attempt.target);
   if (found == targets_.end() ||
       found->second.generation != attempt.generation) {
     return nullptr;
   }
-  return &found->second.belief;
+  return &found->second.estimate;
 }
 
 void Router::RecordOutcome(const Attempt& attempt,
@@ -192,9 +192,9 @@
   }
 }
 
-const TargetBelief* Router::belief(const TargetId& target) const {
+const TargetEstimate* Router::estimate(const TargetId& target) const {
   const auto found = targets_.find(target);
-  return found == targets_.end() ? nullptr : &found->second.belief;
+  return found == targets_.end() ? nullptr : &found->second.estimate;
 }
 
 }  // namespace bilberryspool::routing
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -48,7 +48,7 @@
   Duration initial_run_time = Seconds(1);
   std::size_t max_hints = 100'000;
   Duration hint_lifetime = Seconds(600);
-  // Candidates listed in RouteWhy.
+  // Candidates listed in RouteExplanation.
   std::size_t listed_candidates = 5;
 };
 
@@ -75,13 +75,13 @@
                        TimePoint now) const;
 
   // What is believed of a target; nothing where it isn't known.
-  const TargetBelief* belief(const TargetId& target) const;
+  const TargetEstimate* estimate(const TargetId& target) const;
   const TargetHealth& health() const { return health_; }
   std::size_t attempts_in_flight() const { return attempts_.size(); }
 
  private:
-  struct Known {
-    TargetBelief belief;
+  struct TrackedTarget {
+    TargetEstimate estimate;
     // Tells a target from its predecessor of the same id.
     std::uint64_t generation = 0;
   };
@@ -99,8 +99,8 @@
   };
   struct Survey;
 
-  void On(const TargetSeen& event, TimePoint now);
-  void On(const TargetGone& event, TimePoint now);
+  void On(const TargetUpdated& event, TimePoint now);
+  void On(const TargetRemoved& event, TimePoint now);
   void On(const LoadReported& event, TimePoint now);
   void On(const AttemptStarted& event, TimePoint now);
   void On(const FirstToken& event, TimePoint now);
@@ -111,20 +111,20 @@
   void Index(const TargetView& view);
   void Unindex(const TargetView& view);
   // The belief that the attempt was sent on; nothing where it went since.
-  TargetBelief* BeliefOf(const Attempt& attempt);
+  TargetEstimate* EstimateOf(const Attempt& attempt);
   void RecordOutcome(const Attempt& attempt,
                      AttemptOutcome outcome,
                      TimePoint now);
 
-  Survey Look(const RouteRequest& request,
-              const Allowed& allowed,
-              TimePoint now) const;
-  std::optional<Exclusion> WhyExcluded(const RouteRequest& request,
-                                       const Allowed& allowed,
-                                       const TargetBelief& belief,
-                                       TimePoint now) const;
+  Survey SurveyTargets(const RouteRequest& request,
+                       const Allowed& allowed,
+                       TimePoint now) const;
+  std::optional<Exclusion> FindExclusion(const RouteRequest& request,
+                                         const Allowed& allowed,
+                                         const TargetEstimate& estimate,
+                                         TimePoint now) const;
   Candidate MakeCandidate(const RouteRequest& request,
-                          const TargetBelief& belief,
+                          const TargetEstimate& estimate,
                           TimePoint now) const;
   void BlendOldReports(Survey& survey, TimePoint now) const;
   NoTarget Refuse(const Survey& survey,
@@ -140,13 +140,13 @@
   Random random_;
   TargetHealth health_;
   AffinityHints hints_;
-  std::unordered_map<TargetId, Known> targets_;
+  std::unordered_map<TargetId, TrackedTarget> targets_;
   std::unordered_map<ServiceId, std::set<TargetId>> by_service_;
   std::unordered_map<AttemptId, Attempt> attempts_;
   std::unordered_map<ServiceId, Allowed> placements_;
   std::unordered_map<ServiceId, limits::DrainRate> run_times_;
   std::map<std::pair<FailureDomain, FailureDomain>, Duration> distances_;
-  std::uint64_t generations_ = 0;
+  std::uint64_t last_generation_ = 0;
 };
 
 }  // namespace bilberryspool::routing
--- a/src/libs/routing/router_choice.cc
+++ b/src/libs/routing/router_choice.cc
@@ -25,27 +25,29 @@
 struct Router::Survey {
   std::vector<Candidate> candidates;
   // Beliefs of the candidates, in their order.
-  std::vector<const TargetBelief*> beliefs;
+  std::vector<const TargetEstimate*> estimates;
   std::array<std::uint32_t, kExclusionCount> excluded{};
   // Probing targets without a probe under way.
-  std::vector<const TargetBelief*> probes;
+  std::vector<const TargetEstimate*> probes;
   // The earliest end of an ejection.
-  std::optional<TimePoint> next_return;
+  std::optional<TimePoint> earliest_ejection_end;
 };
 
 Choice Router::Choose(const RouteRequest& request, TimePoint now) {
   const auto allowed = placements_.find(request.service);
   if (allowed == placements_.end()) {
-    return NoTarget{NoTargetReason::kUnknownService, Duration(0), RouteWhy{}};
+    return NoTarget{NoTargetReason::kUnknownService, Duration(0),
+                    RouteExplanation{}};
   }
-  Survey survey = Look(request, allowed->second, now);
+  Survey survey = SurveyTargets(request, allowed->second, now);
   if (!survey.probes.empty()) {
     const std::size_t drawn = random_.Below(survey.probes.size());
-    RouteWhy why;
-    why.rule = RouteRule::kProbe;
-    why.candidates = survey.candidates.size();
-    why.excluded = survey.excluded;
-    return Selected{survey.probes[drawn]->view().target, std::move(why)};
+    RouteExplanation explanation;
+    explanation.rule = RouteRule::kProbe;
+    explanation.candidates = survey.candidates.size();
+    explanation.excluded = survey.excluded;
+    return Selected{survey.probes[drawn]->view().target,
+                    std::move(explanation)};
   }
   if (survey.candidates.empty()) {
     return Refuse(survey, request, now);
@@ -53,20 +55,20 @@
   return Select(std::move(survey), request, now);
 }
 
-Router::Survey Router::Look(const RouteRequest& request,
-                            const Allowed& allowed,
-                            TimePoint now) const {
+Router::Survey Router::SurveyTargets(const RouteRequest& request,
+                                     const Allowed& allowed,
+                                     TimePoint now) const {
   Survey survey;
   const auto pool = by_service_.find(request.service);
   if (pool == by_service_.end()) {
     return survey;
   }
   for (const TargetId& target : pool->second) {
-    const TargetBelief& belief = targets_.at(target).belief;
-    const auto excluded = WhyExcluded(request, allowed, belief, now);
+    const TargetEstimate& estimate = targets_.at(target).estimate;
+    const auto excluded = FindExclusion(request, allowed, estimate, now);
     if (!excluded.has_value()) {
-      survey.candidates.push_back(MakeCandidate(request, belief, now));
-      survey.beliefs.push_back(&belief);
+      survey.candidates.push_back(MakeCandidate(request, estimate, now));
+      survey.estimates.push_back(&estimate);
       continue;
     }
     ++survey.excluded[static_cast<std::size_t>(*excluded)];
@@ -74,20 +76,21 @@
       continue;
     }
     const TimePoint until = health_.ejected_until(target);
-    survey.next_return = std::min(survey.next_return.value_or(until), until);
-    if (request.idempotent && now >= until && health_.probe_free(target)) {
-      survey.probes.push_back(&belief);
+    survey.earliest_ejection_end =
+        std::min(survey.earliest_ejection_end.value_or(until), until);
+    if (request.idempotent && now >= until && health_.can_probe(target)) {
+      survey.probes.push_back(&estimate);
     }
   }
   BlendOldReports(survey, now);
   return survey;
 }
 
-std::optional<Exclusion> Router::WhyExcluded(const RouteRequest& request,
-                                             const Allowed& allowed,
-                                             const TargetBelief& belief,
-                                             TimePoint now) const {
-  const TargetView& view = belief.view();
+std::optional<Exclusion> Router::FindExclusion(const RouteRequest& request,
+                                               const Allowed& allowed,
+                                               const TargetEstimate& estimate,
+                                               TimePoint now) const {
+  const TargetView& view = estimate.view();
   if (!allowed.every_target && !allowed.targets.contains(view.target)) {
     return Exclusion::kNotPlaced;
   }
@@ -109,22 +112,22 @@
   if (state == HealthState::kEjected || state == HealthState::kProbing) {
     return Exclusion::kEjected;
   }
-  if (belief.corrected_load() >= options_.overfill * belief.limit()) {
+  if (estimate.corrected_load() >= options_.overfill * estimate.limit()) {
     return Exclusion::kAtLimit;
   }
   return std::nullopt;
 }
 
 Candidate Router::MakeCandidate(const RouteRequest& request,
-                                const TargetBelief& belief,
+                                const TargetEstimate& estimate,
                                 TimePoint now) const {
-  const TargetView& view = belief.view();
+  const TargetView& view = estimate.view();
   Candidate candidate;
   candidate.target = &view.target;
   candidate.domain = &view.domain;
-  candidate.corrected_load = belief.corrected_load();
-  candidate.reported_load = belief.reported_load();
-  candidate.limit = belief.limit();
+  candidate.corrected_load = estimate.corrected_load();
+  candidate.reported_load = estimate.reported_load();
+  candidate.limit = estimate.limit();
   candidate.weight =
       std::min(1.0, view.group_weight) * health_.weight(view.target, now);
   candidate.own_domain = view.domain == request.own_domain;
@@ -137,23 +140,23 @@
 void Router::BlendOldReports(Survey& survey, TimePoint now) const {
   double others = 0.0;
   double slots = 0.0;
-  for (const TargetBelief* belief : survey.beliefs) {
-    others += belief->load_of_others();
-    slots += belief->limit();
+  for (const TargetEstimate* estimate : survey.estimates) {
+    others += estimate->load_of_others();
+    slots += estimate->limit();
   }
   if (slots <= 0.0) {
     return;
   }
   const double others_per_slot = others / slots;
   for (std::size_t i = 0; i < survey.candidates.size(); ++i) {
-    const TargetBelief& belief = *survey.beliefs[i];
-    const double half_lives = ToSeconds(belief.report_age(now)) /
+    const TargetEstimate& estimate = *survey.estimates[i];
+    const double half_lives = ToSeconds(estimate.report_age(now)) /
                               ToSeconds(options_.report_half_life);
     const double trust = std::exp2(-std::max(0.0, half_lives));
-    const double expected = others_per_slot * belief.limit();
+    const double expected = others_per_slot * estimate.limit();
     survey.candidates[i].corrected_load =
-        static_cast<double>(belief.own_in_flight()) +
-        trust * belief.load_of_others() + (1.0 - trust) * expected;
+        static_cast<double>(estimate.own_in_flight()) +
+        trust * estimate.load_of_others() + (1.0 - trust) * expected;
   }
 }
 
@@ -164,7 +167,7 @@
     return survey.excluded[static_cast<std::size_t>(exclusion)];
   };
   NoTarget refusal;
-  refusal.why.excluded = survey.excluded;
+  refusal.explanation.excluded = survey.excluded;
   if (count(Exclusion::kAtLimit) > 0) {
     refusal.reason = NoTargetReason::kAllAtLimit;
     const auto run_time = run_times_.find(request.service);
@@ -176,9 +179,10 @@
         1.0, static_cast<double>(Capacity(request.service, 1.0, now)));
     return refusal;
   }
-  if (survey.next_return.has_value()) {
+  if (survey.earliest_ejection_end.has_value()) {
     refusal.reason = NoTargetReason::kAllEjected;
-    refusal.retry_after = std::max(Duration(0), *survey.next_return - now);
+    refusal.retry_after =
+        std::max(Duration(0), *survey.earliest_ejection_end - now);
     return refusal;
   }
   refusal.reason = count(Exclusion::kAlreadyTried) > 0
@@ -194,9 +198,9 @@
   const PolicyPick pick = Pick(options_.policy, survey.candidates, random_);
   Selected selected;
   selected.target = *survey.candidates[pick.index].target;
-  selected.why.rule = pick.rule;
-  selected.why.candidates = survey.candidates.size();
-  selected.why.excluded = survey.excluded;
+  selected.explanation.rule = pick.rule;
+  selected.explanation.candidates = survey.candidates.size();
+  selected.explanation.excluded = survey.excluded;
   std::vector<std::size_t> order(survey.candidates.size());
   for (std::size_t i = 0; i < order.size(); ++i) {
     order[i] = i;
@@ -209,7 +213,7 @@
                     });
   for (std::size_t i = 0; i < listed; ++i) {
     const Candidate& candidate = survey.candidates[order[i]];
-    selected.why.best.push_back(
+    selected.explanation.best.push_back(
         CandidateScore{*candidate.target, *candidate.domain,
                        candidate.corrected_load, pick.scores[order[i]]});
   }
@@ -220,7 +224,7 @@
 void Router::CheckSelected(const TargetId& target,
                            const RouteRequest& request,
                            TimePoint now) const {
-  const TargetView& view = targets_.at(target).belief.view();
+  const TargetView& view = targets_.at(target).estimate.view();
   BILBERRYSPOOL_INVARIANT(view.state == TargetState::kServing,
                           "only a serving target gets new work");
   BILBERRYSPOOL_INVARIANT(Contains(view.services, request.service),
@@ -245,16 +249,17 @@
   RouteRequest request;
   request.service = service;
   for (const TargetId& target : pool->second) {
-    const TargetBelief& belief = targets_.at(target).belief;
-    const auto excluded = WhyExcluded(request, allowed->second, belief, now);
+    const TargetEstimate& estimate = targets_.at(target).estimate;
+    const auto excluded =
+        FindExclusion(request, allowed->second, estimate, now);
     if (excluded.has_value() && *excluded != Exclusion::kAtLimit) {
       continue;
     }
-    const double weight = std::min(1.0, belief.view().group_weight);
-    const double limit = options_.headroom * belief.limit() * weight;
+    const double weight = std::min(1.0, estimate.view().group_weight);
+    const double limit = options_.headroom * estimate.limit() * weight;
     limits += limit;
-    room += limit - belief.corrected_load();
-    own += static_cast<double>(belief.own_in_flight());
+    room += limit - estimate.corrected_load();
+    own += static_cast<double>(estimate.own_in_flight());
   }
   const double capacity = std::max(share * limits, own + share * room);
   return static_cast<std::size_t>(std::ceil(capacity));
--- a/src/libs/routing/routing_event.h
+++ b/src/libs/routing/routing_event.h
@@ -13,12 +13,12 @@
 namespace bilberryspool::routing {
 
 // A target was announced, or one of its properties changed.
-struct TargetSeen {
+struct TargetUpdated {
   TargetView view;
 };
 
 // A target is no longer a member.
-struct TargetGone {
+struct TargetRemoved {
   TargetId target;
 };
 
@@ -98,8 +98,8 @@
   std::vector<DomainDistance> distances;
 };
 
-using RoutingEvent = std::variant<TargetSeen,
-                                  TargetGone,
+using RoutingEvent = std::variant<TargetUpdated,
+                                  TargetRemoved,
                                   LoadReported,
                                   AttemptStarted,
                                   FirstToken,
--- a/src/libs/routing/routing_policy.cc
+++ b/src/libs/routing/routing_policy.cc
@@ -23,9 +23,9 @@
   return scores;
 }
 
-std::size_t IndexOfLeast(const std::vector<double>& scores) {
-  const auto least = std::min_element(scores.begin(), scores.end());
-  return static_cast<std::size_t>(least - scores.begin());
+std::size_t IndexOfMin(const std::vector<double>& scores) {
+  const auto min_score = std::min_element(scores.begin(), scores.end());
+  return static_cast<std::size_t>(min_score - scores.begin());
 }
 
 PolicyPick PickRandom(const std::vector<Candidate>& candidates,
@@ -40,7 +40,7 @@
   for (const Candidate& candidate : candidates) {
     scores.push_back(candidate.reported_load / candidate.limit);
   }
-  const std::size_t index = IndexOfLeast(scores);
+  const std::size_t index = IndexOfMin(scores);
   return PolicyPick{index, RouteRule::kLeastReported, std::move(scores)};
 }
 
@@ -98,10 +98,10 @@
 }
 
 // Moves `count` random ones of `from` to `to`.
-void DrawSome(std::vector<std::size_t> from,
-              std::size_t count,
-              std::vector<std::size_t>& to,
-              Random& random) {
+void AppendSample(std::vector<std::size_t> from,
+                  std::size_t count,
+                  std::vector<std::size_t>& to,
+                  Random& random) {
   for (std::size_t i = 0; i < count && !from.empty(); ++i) {
     const std::size_t drawn = random.Below(from.size());
     to.push_back(from[drawn]);
@@ -111,9 +111,10 @@
 }
 
 // The candidates that are compared for one request; at least one.
-std::vector<std::size_t> Draw(const ChosenPolicy& policy,
-                              const std::vector<Candidate>& candidates,
-                              Random& random) {
+std::vector<std::size_t> SampleCandidates(
+    const ChosenPolicy& policy,
+    const std::vector<Candidate>& candidates,
+    Random& random) {
   std::vector<std::size_t> own;
   std::vector<std::size_t> other;
   std::vector<std::size_t> most_cached;
@@ -129,12 +130,12 @@
     }
   }
   std::vector<std::size_t> sample;
-  DrawSome(std::move(own), std::max<std::size_t>(1, policy.own_sample), sample,
-           random);
-  DrawSome(std::move(other), std::max<std::size_t>(1, policy.other_sample),
-           sample, random);
+  AppendSample(std::move(own), std::max<std::size_t>(1, policy.own_sample),
+               sample, random);
+  AppendSample(std::move(other), std::max<std::size_t>(1, policy.other_sample),
+               sample, random);
   // At random where several hold it: a fixed one would draw all entries.
-  DrawSome(std::move(most_cached), 1, sample, random);
+  AppendSample(std::move(most_cached), 1, sample, random);
   std::sort(sample.begin(), sample.end());
   sample.erase(std::unique(sample.begin(), sample.end()), sample.end());
   return sample;
@@ -148,14 +149,15 @@
   for (const Candidate& candidate : candidates) {
     scores.push_back(ChosenScore(policy, candidate));
   }
-  const std::vector<std::size_t> sample = Draw(policy, candidates, random);
-  double least = scores[sample.front()];
+  const std::vector<std::size_t> sample =
+      SampleCandidates(policy, candidates, random);
+  double min_score = scores[sample.front()];
   for (const std::size_t index : sample) {
-    least = std::min(least, scores[index]);
+    min_score = std::min(min_score, scores[index]);
   }
   std::vector<std::size_t> near;
   for (const std::size_t index : sample) {
-    if (scores[index] <= least + policy.near_equal) {
+    if (scores[index] <= min_score + policy.near_equal) {
       near.push_back(index);
     }
   }
--- a/src/libs/routing/target_belief.cc
+++ b/src/libs/routing/target_belief.cc
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-TargetBelief::TargetBelief(TargetView view, TimePoint now)
+TargetEstimate::TargetEstimate(TargetView view, TimePoint now)
     : view_(std::move(view)), taken_at_(now - view_.load.age) {}
 
-void TargetBelief::Update(TargetView view, TimePoint now) {
+void TargetEstimate::Update(TargetView view, TimePoint now) {
   const LoadReport load = view.load;
   const LoadReport previous = view_.load;
   view_ = std::move(view);
@@ -24,7 +24,7 @@
   Report(load, now);
 }
 
-void TargetBelief::Report(const LoadReport& load, TimePoint now) {
+void TargetEstimate::Report(const LoadReport& load, TimePoint now) {
   const TimePoint taken_at = now - load.age;
   if (taken_at < taken_at_) {
     return;
@@ -42,35 +42,35 @@
   own_at_report_ = static_cast<std::size_t>(std::max(0, at_report));
 }
 
-void TargetBelief::Started(TimePoint now) {
+void TargetEstimate::Started(TimePoint now) {
   ++own_in_flight_;
-  Note(1, now);
+  RecordChange(1, now);
 }
 
-void TargetBelief::Ended(TimePoint now) {
+void TargetEstimate::Ended(TimePoint now) {
   BILBERRYSPOOL_INVARIANT(own_in_flight_ > 0, "an attempt ends once");
   --own_in_flight_;
-  Note(-1, now);
+  RecordChange(-1, now);
 }
 
-double TargetBelief::reported_load() const {
+double TargetEstimate::reported_load() const {
   return static_cast<double>(view_.load.running) +
          static_cast<double>(view_.load.queued);
 }
 
-double TargetBelief::load_of_others() const {
+double TargetEstimate::load_of_others() const {
   return std::max(0.0, reported_load() - static_cast<double>(own_at_report_));
 }
 
-double TargetBelief::corrected_load() const {
+double TargetEstimate::corrected_load() const {
   return load_of_others() + static_cast<double>(own_in_flight_);
 }
 
-std::uint32_t TargetBelief::limit() const {
+std::uint32_t TargetEstimate::limit() const {
   return std::max(1U, view_.load.limit > 0 ? view_.load.limit : view_.slots);
 }
 
-void TargetBelief::Note(int change, TimePoint now) {
+void TargetEstimate::RecordChange(int change, TimePoint now) {
   changes_.push_back(OwnChange{now, change});
   if (changes_.size() > kMaxChanges) {
     changes_.pop_front();
--- a/src/libs/routing/target_belief.h
+++ b/src/libs/routing/target_belief.h
@@ -14,9 +14,9 @@
 //
 // Reports come with a lag. An entry that trusts them alone sends everything to
 // the target that was idle at the last report, and all entries do so at once.
-class TargetBelief {
+class TargetEstimate {
  public:
-  TargetBelief(TargetView view, TimePoint now);
+  TargetEstimate(TargetView view, TimePoint now);
 
   // Keeps own counts; takes the report where it is newer than the last one.
   void Update(TargetView view, TimePoint now);
@@ -45,7 +45,7 @@
     int change = 0;
   };
 
-  void Note(int change, TimePoint now);
+  void RecordChange(int change, TimePoint now);
 
   TargetView view_;
   TimePoint taken_at_;
--- a/src/libs/routing/target_health.cc
+++ b/src/libs/routing/target_health.cc
@@ -108,7 +108,7 @@
   if (entry.ejected) {
     return;
   }
-  if (now - entry.recovered_at >= options_.forgive_after) {
+  if (now - entry.recovered_at >= options_.backoff_reset_after) {
     entry.last_ejection = Duration(0);
   }
   if (LooksSlow(target, entry) && MayEject(target, entry)) {
@@ -131,9 +131,9 @@
 void TargetHealth::Eject(Entry& entry, TimePoint now) {
   const Duration doubled = entry.last_ejection * 2;
   entry.last_ejection =
-      std::clamp(doubled, options_.first_ejection, options_.longest_ejection);
+      std::clamp(doubled, options_.initial_ejection, options_.max_ejection);
   entry.ejected = true;
-  entry.probe_out = false;
+  entry.probe_in_flight = false;
   entry.in_slow_start = false;
   entry.ejected_until = now + entry.last_ejection;
   CheckBound(entry);
@@ -141,7 +141,7 @@
 
 void TargetHealth::Restore(Entry& entry, TimePoint now) {
   entry.ejected = false;
-  entry.probe_out = false;
+  entry.probe_in_flight = false;
   entry.in_slow_start = true;
   entry.recovered_at = now;
   entry.results = 0;
@@ -242,7 +242,7 @@
 void TargetHealth::ProbeStarted(const TargetId& target) {
   const auto found = entries_.find(target);
   if (found != entries_.end() && found->second.ejected) {
-    found->second.probe_out = true;
+    found->second.probe_in_flight = true;
   }
 }
 
@@ -250,11 +250,11 @@
                               std::optional<HealthResult> result,
                               TimePoint now) {
   const auto found = entries_.find(target);
-  if (found == entries_.end() || !found->second.probe_out) {
+  if (found == entries_.end() || !found->second.probe_in_flight) {
     return;
   }
   Entry& entry = found->second;
-  entry.probe_out = false;
+  entry.probe_in_flight = false;
   if (!result.has_value()) {
     return;
   }
@@ -281,9 +281,9 @@
   return HealthState::kHealthy;
 }
 
-bool TargetHealth::probe_free(const TargetId& target) const {
+bool TargetHealth::can_probe(const TargetId& target) const {
   const auto found = entries_.find(target);
-  return found == entries_.end() || !found->second.probe_out;
+  return found == entries_.end() || !found->second.probe_in_flight;
 }
 
 double TargetHealth::weight(const TargetId& target, TimePoint now) const {
--- a/src/libs/routing/target_health.h
+++ b/src/libs/routing/target_health.h
@@ -29,13 +29,13 @@
   // Largest share of a service's targets ejected at once (one is always
   // allowed where another remains).
   double max_ejected_share = 0.34;
-  Duration first_ejection = Seconds(5);
-  Duration longest_ejection = Seconds(120);
+  Duration initial_ejection = Seconds(5);
+  Duration max_ejection = Seconds(120);
   // Time from the successful probe to full weight.
   Duration slow_start = Seconds(10);
   double slow_start_weight = 0.1;
-  // A target that stays well this long starts again at `first_ejection`.
-  Duration forgive_after = Seconds(300);
+  // A target that stays well this long starts again at `initial_ejection`.
+  Duration backoff_reset_after = Seconds(300);
 };
 
 enum class HealthState : std::uint8_t {
@@ -82,7 +82,7 @@
 
   HealthState state(const TargetId& target, TimePoint now) const;
   // Whether a probing target may get a request now.
-  bool probe_free(const TargetId& target) const;
+  bool can_probe(const TargetId& target) const;
   // In (0, 1]: slow start and the recent share of failures.
   double weight(const TargetId& target, TimePoint now) const;
   // When the ejection ends; past where it is not ejected.
@@ -100,7 +100,7 @@
     double latency_seconds = 0.0;
     // True from the ejection to the first good result after it.
     bool ejected = false;
-    bool probe_out = false;
+    bool probe_in_flight = false;
     TimePoint ejected_until;
     Duration last_ejection{0};
     bool in_slow_start = false;
--- a/src/libs/scenario/request_host.cc
+++ b/src/libs/scenario/request_host.cc
@@ -77,12 +77,12 @@
     if (is_drained && view.state == routing::TargetState::kServing) {
       view.state = routing::TargetState::kDraining;
     }
-    router_.Handle(routing::TargetSeen{view}, network_.now());
+    router_.Handle(routing::TargetUpdated{view}, network_.now());
     views.emplace(view.target, std::move(view));
   }
   for (const auto& [target, view] : views_) {
     if (!views.contains(target)) {
-      router_.Handle(routing::TargetGone{target}, network_.now());
+      router_.Handle(routing::TargetRemoved{target}, network_.now());
     }
   }
   views_ = std::move(views);
--- a/src/plugins/callers/callers_service.cc
+++ b/src/plugins/callers/callers_service.cc
@@ -217,12 +217,12 @@
         shown.state == routing::TargetState::kServing) {
       shown.state = routing::TargetState::kDraining;
     }
-    state_.router.Handle(routing::TargetSeen{shown}, now);
+    state_.router.Handle(routing::TargetUpdated{shown}, now);
     seen.insert(id);
   }
   for (const TargetId& id : known_targets_) {
     if (!seen.contains(id)) {
-      state_.router.Handle(routing::TargetGone{id}, now);
+      state_.router.Handle(routing::TargetRemoved{id}, now);
     }
   }
   known_targets_ = std::move(seen);
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -146,17 +146,17 @@
     return;
   }
   const auto* selected = std::get_if<routing::Selected>(&choice);
-  const routing::RouteWhy& why = selected != nullptr
-                                     ? selected->why
-                                     : std::get<routing::NoTarget>(choice).why;
+  const routing::RouteExplanation& explanation =
+      selected != nullptr ? selected->explanation
+                          : std::get<routing::NoTarget>(choice).explanation;
   std::string text =
       selected != nullptr
           ? selected->target.value() + " by " +
-                std::string(routing::ToString(why.rule))
+                std::string(routing::ToString(explanation.rule))
           : "no target: " + std::string(routing::ToString(
                                 std::get<routing::NoTarget>(choice).reason));
-  text += " of " + std::to_string(why.candidates) + " candidates";
-  for (const routing::CandidateScore& candidate : why.best) {
+  text += " of " + std::to_string(explanation.candidates) + " candidates";
+  for (const routing::CandidateScore& candidate : explanation.best) {
     std::ostringstream score;
     score << std::setprecision(3) << "; " << candidate.target << " load "
           << candidate.load << " score " << candidate.score;
--- a/src/tools/routing_bench/choice_cost.cc
+++ b/src/tools/routing_bench/choice_cost.cc
@@ -29,7 +29,7 @@
     view.domain = FailureDomain("d" + std::to_string(i % 3));
     view.services = {service};
     view.slots = 8;
-    router.Handle(routing::TargetSeen{view}, now);
+    router.Handle(routing::TargetUpdated{view}, now);
   }
   routing::RouteRequest request;
   request.service = service;
--- a/src/tools/routing_bench/simulation.cc
+++ b/src/tools/routing_bench/simulation.cc
@@ -72,7 +72,7 @@
         MakeCallbacks(i), options_.seed * 1000 + i * 10));
     entries_.back()->OnRouting(config);
     for (const auto& [target, server] : servers_) {
-      entries_.back()->OnRouting(routing::TargetSeen{server.view});
+      entries_.back()->OnRouting(routing::TargetUpdated{server.view});
     }
     entries_.back()->RefreshCapacity();
   }
@@ -347,7 +347,7 @@
       }
     });
     loop_.After(kNoticed, [this, target = target] {
-      Announce(routing::TargetGone{target});
+      Announce(routing::TargetRemoved{target});
     });
   }
 }
@@ -363,7 +363,7 @@
   for (const auto& [target, server] : servers_) {
     if (server.view.domain == lost) {
       server.server->set_dead(false);
-      Announce(routing::TargetSeen{server.view});
+      Announce(routing::TargetUpdated{server.view});
     }
   }
 }
--- a/tests/auto/routing/router_property_test.cc
+++ b/tests/auto/routing/router_property_test.cc
@@ -33,7 +33,7 @@
         return;
       case 2:
         views_.erase(target);
-        router_.Handle(TargetGone{target}, now_);
+        router_.Handle(TargetRemoved{target}, now_);
         return;
       case 3:
         Configure();
@@ -80,7 +80,7 @@
     view.load.age = random_.Between(Duration(0), Seconds(3));
     view.group_weight = random_.Chance(0.1) ? 0.0 : random_.Fraction();
     views_[target] = view;
-    router_.Handle(TargetSeen{view}, now_);
+    router_.Handle(TargetUpdated{view}, now_);
   }
 
   void Configure() {
--- a/tests/auto/routing/router_test.cc
+++ b/tests/auto/routing/router_test.cc
@@ -33,7 +33,7 @@
   Router router(RouterOptions{}, 1);
   router.Handle(ConfigChanged{{Placement{kDrafter, true, {}}}, {}}, kStart);
   for (const TargetView& view : views) {
-    router.Handle(TargetSeen{view}, kStart);
+    router.Handle(TargetUpdated{view}, kStart);
   }
   return router;
 }
@@ -96,7 +96,9 @@
     const NoTarget& refusal = std::get<NoTarget>(choice);
     CHECK(refusal.reason == row.reason);
     CHECK(refusal.retry_after > Duration(0));
-    CHECK(refusal.why.excluded[static_cast<std::size_t>(row.exclusion)] == 1);
+    CHECK(
+        refusal.explanation.excluded[static_cast<std::size_t>(row.exclusion)] ==
+        1);
   }
 }
 
@@ -141,21 +143,21 @@
   router.Handle(AttemptStarted{AttemptId("2"), target, kDrafter, {}}, later);
   // Taken between the two: 3 running, one of them ours.
   router.Handle(LoadReported{target, LoadReport{3, 0, 0, Seconds(1)}}, later);
-  CHECK(router.belief(target)->corrected_load() == 4.0);
+  CHECK(router.estimate(target)->corrected_load() == 4.0);
   // An older one that comes late is left out.
   router.Handle(LoadReported{target, LoadReport{9, 9, 0, Seconds(2)}}, later);
-  CHECK(router.belief(target)->corrected_load() == 4.0);
+  CHECK(router.estimate(target)->corrected_load() == 4.0);
 }
 
 TEST_CASE("an attempt on a target that left and came back isn't counted") {
   Router router = MakeRouter({View("r1")});
   const TargetId target("r1");
   router.Handle(AttemptStarted{AttemptId("1"), target, kDrafter, {}}, kStart);
-  router.Handle(TargetGone{target}, kStart);
-  router.Handle(TargetSeen{View("r1")}, kStart);
+  router.Handle(TargetRemoved{target}, kStart);
+  router.Handle(TargetUpdated{View("r1")}, kStart);
   router.Handle(AttemptFinished{AttemptId("1")}, kStart);
   router.Handle(AttemptFinished{AttemptId("1")}, kStart);
-  CHECK(router.belief(target)->own_in_flight() == 0);
+  CHECK(router.estimate(target)->own_in_flight() == 0);
   CHECK(router.attempts_in_flight() == 0);
 }
 
@@ -179,7 +181,7 @@
         TargetId("r1"));
   const Choice probe = router.Choose(Request(), later);
   CHECK(std::get<Selected>(probe).target == TargetId("r1"));
-  CHECK(std::get<Selected>(probe).why.rule == RouteRule::kProbe);
+  CHECK(std::get<Selected>(probe).explanation.rule == RouteRule::kProbe);
   router.Handle(AttemptStarted{AttemptId("p"), TargetId("r1"), kDrafter, {}},
                 later);
   CHECK(std::get<Selected>(router.Choose(Request(), later)).target !=
--- a/tests/auto/routing/target_health_test.cc
+++ b/tests/auto/routing/target_health_test.cc
@@ -99,7 +99,7 @@
     now = health.ejected_until(Name(0));
     CHECK(health.state(Name(0), now) == HealthState::kProbing);
     health.ProbeStarted(Name(0));
-    CHECK_FALSE(health.probe_free(Name(0)));
+    CHECK_FALSE(health.can_probe(Name(0)));
     health.ProbeEnded(Name(0), HealthResult::kBad, now);
   }
   now = health.ejected_until(Name(0));
