--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -29,7 +29,7 @@
 #include "libs/routing/route_request.h"
 #include "libs/routing/routing_event.h"
 #include "libs/routing/routing_policy.h"
-#include "libs/routing/target_belief.h"
+#include "libs/routing/target_estimate.h"
 #include "libs/routing/target_health.h"
 
 namespace bilberryspool::routing {
--- a/src/libs/routing/target_belief.cc
+++ b/src/libs/routing/target_estimate.cc
@@ -1,4 +1,4 @@
-#include "libs/routing/target_belief.h"
+#include "libs/routing/target_estimate.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libs/routing/target_belief.h
+++ b/src/libs/routing/target_estimate.h
@@ -1,5 +1,5 @@
-#ifndef LIBS_ROUTING_TARGET_BELIEF_H_
-#define LIBS_ROUTING_TARGET_BELIEF_H_
+#ifndef LIBS_ROUTING_TARGET_ESTIMATE_H_
+#define LIBS_ROUTING_TARGET_ESTIMATE_H_
 
 #include <cstddef>
 #include <deque>
@@ -58,4 +58,4 @@
 
 }  // namespace bilberryspool::routing
 
-#endif  // LIBS_ROUTING_TARGET_BELIEF_H_
+#endif  // LIBS_ROUTING_TARGET_ESTIMATE_H_
