--- a/src/libs/routing/affinity_hints.h
+++ b/src/libs/routing/affinity_hints.h
@@ -12,9 +12,12 @@
 
 namespace bilberryspool::routing {
 
-// Which targets are believed to hold which prompt prefixes. Guards memory: at
-// most `capacity` hints, the oldest go first, and a hint ends after `lifetime`
-// because eviction events get lost.
+// Records which targets are assumed to have which prompt prefixes in their
+// cache.
+//
+// Memory is bounded: at most `capacity` hints are kept and the oldest are
+// dropped first. A hint expires after `lifetime`, because eviction events may
+// get lost.
 class AffinityHints {
  public:
   AffinityHints(std::size_t capacity, Duration lifetime);
@@ -23,11 +26,11 @@
 
   void Add(const TargetId& target, std::uint64_t prefix, TimePoint now);
   void Remove(const TargetId& target, std::uint64_t prefix);
-  // Drops what is known of a target that went or restarted.
+  // Drops all hints of a target that was removed or has restarted.
   void Forget(const TargetId& target);
 
-  // Share in [0, 1] of `prefixes` (the shortest first) that the target holds
-  // without a gap from the start.
+  // Share of `prefixes` (ordered from the shortest), in [0, 1], that the target
+  // has cached without a gap from the first one on.
   double CachedShare(const TargetId& target,
                      const std::vector<std::uint64_t>& prefixes,
                      TimePoint now) const;
@@ -47,7 +50,7 @@
 
   std::size_t capacity_;
   Duration lifetime_;
-  // The oldest first.
+  // Ordered from the oldest to the newest hint.
   Order order_;
   std::unordered_map<TargetId, PrefixIndex> targets_;
 };
--- a/src/libs/routing/choice.h
+++ b/src/libs/routing/choice.h
@@ -13,7 +13,7 @@
 
 namespace bilberryspool::routing {
 
-// Why a target was not a candidate, in the order of the checks.
+// Why a target was not a candidate, in the order in which the checks are made.
 enum class Exclusion : std::uint8_t {
   kAlreadyTried,
   kNotPlaced,
@@ -21,12 +21,12 @@
   kNotServing,
   kGroupHeld,
   kEjected,
-  // At its concurrency limit.
+  // The estimated load has reached the concurrency limit of the target.
   kAtLimit,
 };
 inline constexpr std::size_t kExclusionCount = 7;
 
-// The rule that made the choice.
+// The rule that decided the choice.
 enum class RouteRule : std::uint8_t {
   kRandom,
   kLeastReported,
@@ -39,23 +39,24 @@
   kNone,
 };
 
-// One candidate as the policy saw it.
+// A candidate with the figures that the policy compared.
 struct CandidateScore {
   TargetId target;
   FailureDomain domain;
-  // Requests believed to be at the target, corrected for age and own sends.
+  // Estimated number of requests at the target, corrected for the age of the
+  // last report and for the requests sent from here since.
   double load = 0.0;
-  // Lower is better; compares within one choice only.
+  // Lower is better. Only comparable with other scores of the same choice.
   double score = 0.0;
 };
 
-// Record of a choice that can be shown to an operator.
+// Explains a choice to an operator.
 struct RouteExplanation {
   RouteRule rule = RouteRule::kNone;
-  // Candidates in all; `best` holds the first few by score.
+  // Number of all candidates; `best` lists the first few by score.
   std::size_t candidates = 0;
   std::vector<CandidateScore> best;
-  // Targets left out, counted by Exclusion.
+  // Number of targets that were excluded, indexed by Exclusion.
   std::array<std::uint32_t, kExclusionCount> excluded{};
 };
 
@@ -66,17 +67,18 @@
 
 enum class NoTargetReason : std::uint8_t {
   kUnknownService,
-  // Nothing that may serve it is there at all.
+  // No target that may serve the request is serving.
   kNoneServing,
   kAllTried,
   kAllEjected,
   kAllAtLimit,
 };
 
-// Nothing can take the request now. To be answered at once, with the hint.
+// No target can take the request now. The caller is to be refused at once, with
+// the retry hint.
 struct NoTarget {
   NoTargetReason reason = NoTargetReason::kNoneServing;
-  // When asking again makes sense, from the beliefs at this moment.
+  // When a retry is worthwhile, as estimated at this moment.
   Duration retry_after{0};
   RouteExplanation explanation;
 };
--- a/src/libs/routing/route_request.h
+++ b/src/libs/routing/route_request.h
@@ -11,23 +11,23 @@
 
 namespace bilberryspool::routing {
 
-// What a choice needs to know of a request.
+// The properties of a request that routing depends on.
 struct RouteRequest {
   ServiceId service;
-  // Empty where the plain model is wanted.
+  // Empty for the base model without an adapter.
   std::string adapter;
   Workspace workspace;
   limits::Priority priority = limits::Priority::kNormal;
-  // Hashes of the prompt's prefixes, the shortest first.
+  // Hashes of the prompt's prefixes, ordered from the shortest.
   std::vector<std::uint64_t> prefix_hashes;
   std::uint32_t expected_tokens = 0;
-  // Targets that were tried already.
+  // Targets that earlier attempts of this request were sent to.
   std::vector<TargetId> excluded;
   TimePoint deadline;
-  // Failure domain of the entry that asks.
+  // Failure domain of the entry that routes the request.
   FailureDomain own_domain;
-  // Only idempotent requests probe a target that was ejected, because the
-  // probe may fail and must then run elsewhere.
+  // Only idempotent requests are used to probe an ejected target, because a
+  // probe that fails has to be repeated on another target.
   bool idempotent = true;
 };
 
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -1,12 +1,14 @@
-// Routing: which target gets a request, as a pure decision.
+// Decides which target gets a request. The decision is pure: no input or
+// output.
 //
-// One Router belongs to one entry. It learns from events (membership, load
-// reports, the entry's own attempts, cache events, configuration) and answers
-// with a target or with the reason why there is none. It guards against
-// - herding: reports come late, and entries that all trust the same report all
-//   send to the same target;
-// - work for targets that drain, leave, are ejected or may not serve it;
-// - targets that fail fast or are slow and still look idle.
+// Each entry has one Router. It learns from events (membership, load reports,
+// the entry's own attempts, cache events, configuration) and returns a target
+// or the reason why there is none. It guards against
+// - herding: load reports arrive late, and entries that all rely on the same
+//   report all send to the same target;
+// - new work for targets that are draining, leaving, ejected or not allowed to
+//   serve the request;
+// - targets that fail fast or are slow and therefore look idle.
 
 #ifndef LIBS_ROUTING_ROUTER_H_
 #define LIBS_ROUTING_ROUTER_H_
@@ -37,44 +39,47 @@
 struct RouterOptions {
   RoutingPolicy policy = ChosenPolicy{};
   TargetHealthOptions health;
-  // Load in times its limit above which a target gets no more.
+  // Ratio of estimated load to concurrency limit at which a target gets no more
+  // requests.
   double overfill = 1.2;
-  // Part of the limits that Capacity counts; above 1, targets queue a little.
+  // Factor applied to the targets' limits in Capacity(). Above 1, targets queue
+  // a few requests.
   double headroom = 1.0;
-  // Half-life of the trust in a report: an old one counts as the mean of its
-  // peers instead.
+  // Half-life of the weight of a load report. As a report ages, the mean load
+  // of the other candidates takes its place.
   Duration report_half_life = Seconds(2);
-  // Run time believed of a service of which nothing has finished yet.
+  // Assumed run time of a request to a service that has not completed any yet.
   Duration initial_run_time = Seconds(1);
   std::size_t max_hints = 100'000;
   Duration hint_lifetime = Seconds(600);
-  // Candidates listed in RouteExplanation.
+  // Number of candidates listed in RouteExplanation::best.
   std::size_t listed_candidates = 5;
 };
 
-// The routing decision of one entry. Movable, not copyable.
+// Routes the requests of one entry. Movable, not copyable.
 class Router {
  public:
   Router(RouterOptions options, std::uint64_t seed);
 
   void Handle(const RoutingEvent& event, TimePoint now);
 
-  // Chooses a target; changes no belief. Where the request is then sent, the
-  // caller hands in AttemptStarted before the next choice.
+  // Chooses a target without changing any estimate. If the request is then
+  // sent, AttemptStarted must be handled before the next choice.
   Choice Choose(const RouteRequest& request, TimePoint now);
 
-  // Requests of the service that this entry may have running, given its share
-  // in (0, 1] of the demand (limits::Admission::entry_share); feeds
-  // limits::CapacityChanged.
+  // Maximum number of requests of the service that this entry may have running,
+  // given its share in (0, 1] of the demand (limits::Admission::entry_share).
+  // Feeds limits::CapacityChanged.
   //
-  // At least the share of the targets' limits; while targets have room, what it
-  // has there and its share of that room, so that all entries together don't
-  // fill it many times over between two reports.
+  // The result is at least that share of the targets' limits. While targets
+  // have free capacity, it is the number of the entry's own requests there plus
+  // its share of the free capacity, so that all entries together don't fill it
+  // many times over between two reports.
   std::size_t Capacity(const ServiceId& service,
                        double share,
                        TimePoint now) const;
 
-  // What is believed of a target; nothing where it isn't known.
+  // The estimated state of a target; null if the target is unknown.
   const TargetEstimate* estimate(const TargetId& target) const;
   const TargetHealth& health() const { return health_; }
   std::size_t attempts_in_flight() const { return attempts_.size(); }
@@ -82,7 +87,7 @@
  private:
   struct TrackedTarget {
     TargetEstimate estimate;
-    // Tells a target from its predecessor of the same id.
+    // Distinguishes a target from an earlier one of the same id.
     std::uint64_t generation = 0;
   };
   struct Attempt {
@@ -93,10 +98,12 @@
     ServiceId service;
     bool probe = false;
   };
+  // The targets that the configuration allows for a service.
   struct Allowed {
     bool every_target = false;
     std::set<TargetId> targets;
   };
+  // The candidates for one request, and what excluded the other targets.
   struct Survey;
 
   void On(const TargetUpdated& event, TimePoint now);
@@ -110,7 +117,8 @@
 
   void Index(const TargetView& view);
   void Unindex(const TargetView& view);
-  // The belief that the attempt was sent on; nothing where it went since.
+  // The estimate of the target that the attempt was sent to; null if that
+  // target has been removed since.
   TargetEstimate* EstimateOf(const Attempt& attempt);
   void RecordOutcome(const Attempt& attempt,
                      AttemptOutcome outcome,
--- a/src/libs/routing/router_choice.cc
+++ b/src/libs/routing/router_choice.cc
@@ -1,4 +1,5 @@
-// The deciding half of Router: what is a candidate, and which one is taken.
+// The part of Router that finds the candidates for a request and chooses among
+// them.
 
 #include <algorithm>
 #include <array>
@@ -10,7 +11,8 @@
 namespace bilberryspool::routing {
 namespace {
 
-// Where nothing serves, membership is expected to change at this pace.
+// Retry hint if no target is serving: about the time in which membership is
+// expected to change.
 constexpr Duration kNoneServingRetry = Seconds(2);
 
 template <typename Container, typename Value>
@@ -21,15 +23,13 @@
 
 }  // namespace
 
-// What one look at a service's targets gave.
 struct Router::Survey {
   std::vector<Candidate> candidates;
-  // Beliefs of the candidates, in their order.
+  // Estimates of the candidates, in the same order.
   std::vector<const TargetEstimate*> estimates;
   std::array<std::uint32_t, kExclusionCount> excluded{};
-  // Probing targets without a probe under way.
+  // Targets in state kProbing without a probe in flight.
   std::vector<const TargetEstimate*> probes;
-  // The earliest end of an ejection.
   std::optional<TimePoint> earliest_ejection_end;
 };
 
--- a/src/libs/routing/routing_event.h
+++ b/src/libs/routing/routing_event.h
@@ -22,65 +22,66 @@
   TargetId target;
 };
 
-// A load report by gossip or carried on an answer.
+// A load report that came by gossip or with a response.
 struct LoadReported {
   TargetId target;
   LoadReport load;
 };
 
-// This entry sends an attempt to a target. To be handled right after Choose,
-// so that the next choice counts it.
+// This entry sends an attempt to a target. Must be handled right after
+// Choose(), so that the next choice counts the attempt.
 struct AttemptStarted {
   AttemptId attempt;
   TargetId target;
   ServiceId service;
-  // As in RouteRequest. The target is taken to cache them from its first token
-  // on, without waiting for its cache events.
+  // As in RouteRequest. From the first token on, the target is assumed to have
+  // these prefixes cached, without waiting for its cache events.
   std::vector<std::uint64_t> prefix_hashes;
 };
 
-// The first token, or the first byte of a plain service's answer.
+// The first token of a response; for plain services, the first byte.
 struct FirstToken {
   AttemptId attempt;
 };
 
 enum class AttemptOutcome : std::uint8_t {
   kSucceeded,
-  // The target or its engine answered with an error of its own.
+  // The target or its engine responded with an error of its own.
   kFailed,
   kTimedOut,
-  // The link to the target broke.
+  // The connection to the target was lost.
   kDisconnected,
-  // The target said "not run": too much to do. No sign of a fault.
+  // The target reported that it did not run the request because it is
+  // overloaded. Not counted as a failure.
   kRefusedBusy,
-  // The caller left, or a fault of the request itself. Says nothing of the
-  // target.
+  // The caller disconnected or the request itself was invalid. Tells nothing
+  // about the target.
   kCancelled,
 };
 
-// The end of an attempt; each started one gets exactly one. Later ones are
-// ignored.
+// The end of an attempt. Each started attempt gets exactly one; further ones
+// are ignored.
 struct AttemptFinished {
   AttemptId attempt;
   AttemptOutcome outcome = AttemptOutcome::kSucceeded;
-  // The load that the target put on its answer.
+  // The load reported with the response.
   std::optional<LoadReport> load;
 };
 
 enum class CacheState : std::uint8_t { kPresent, kEvicted };
 
-// A target's engine holds, or has dropped, the cache of a prompt prefix.
-// Comes late and with gaps, hence only a hint.
+// A target's engine has cached, or has evicted, a prompt prefix. These events
+// are late and incomplete, so they are only hints.
 struct CacheHint {
   TargetId target;
   std::uint64_t prefix_hash = 0;
   CacheState state = CacheState::kPresent;
 };
 
-// The targets that operators let serve a service.
+// The targets that operators allow to serve a service.
 struct Placement {
   ServiceId service;
-  // Where set, `targets` is not looked at.
+  // If set, `targets` is ignored.
   bool every_target = false;
   std::vector<TargetId> targets;
 };
@@ -92,7 +93,8 @@
   Duration delay{0};
 };
 
-// The accepted configuration, whole. A service without placement is unknown.
+// The accepted configuration; replaces the previous one entirely. A service
+// without a placement is unknown.
 struct ConfigChanged {
   std::vector<Placement> placements;
   std::vector<DomainDistance> distances;
--- a/src/libs/routing/routing_policy.cc
+++ b/src/libs/routing/routing_policy.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::routing {
 namespace {
 
-// Load after taking the request, in shares of what the target may carry.
+// Load including the new request, relative to the weighted limit of the target.
 double LoadRatio(const Candidate& candidate) {
   const double capacity = candidate.limit * candidate.weight;
   return (candidate.corrected_load + 1.0) / std::max(capacity, 0.01);
@@ -63,15 +63,16 @@
     score +=
         policy.penalty_per_millisecond * ToMilliseconds(candidate.distance);
   }
-  // Cache events come late and with gaps; a bonus without this limit would
-  // keep sending a popular prefix to a target that is long overloaded.
+  // Cache events are late and incomplete. Without this limit the bonus would
+  // keep sending requests with a popular prefix to a target that has long been
+  // overloaded.
   if (ratio <= policy.affinity_load_limit) {
     score -= policy.affinity_bonus * candidate.cached;
   }
   return score;
 }
 
-// Draws among `near`, with a chance proportional to weighted slots.
+// Draws one of `near` with a probability proportional to the weighted limit.
 std::size_t DrawByWeight(const std::vector<Candidate>& candidates,
                          const std::vector<std::size_t>& near,
                          Random& random) {
@@ -97,7 +98,7 @@
   return candidate.own_domain ? RouteRule::kOwnDomain : RouteRule::kSpill;
 }
 
-// Moves `count` random ones of `from` to `to`.
+// Appends up to `count` random elements of `from` to `to`, without repetition.
 void AppendSample(std::vector<std::size_t> from,
                   std::size_t count,
                   std::vector<std::size_t>& to,
@@ -110,7 +111,7 @@
   }
 }
 
-// The candidates that are compared for one request; at least one.
+// Indices of the candidates that are compared for one request; at least one.
 std::vector<std::size_t> SampleCandidates(
     const ChosenPolicy& policy,
     const std::vector<Candidate>& candidates,
@@ -134,7 +135,8 @@
                sample, random);
   AppendSample(std::move(other), std::max<std::size_t>(1, policy.other_sample),
                sample, random);
-  // At random where several hold it: a fixed one would draw all entries.
+  // Drawn at random if several have the prefix cached: a fixed choice would
+  // attract the requests of all entries.
   AppendSample(std::move(most_cached), 1, sample, random);
   std::sort(sample.begin(), sample.end());
   sample.erase(std::unique(sample.begin(), sample.end()), sample.end());
--- a/src/libs/routing/routing_policy.h
+++ b/src/libs/routing/routing_policy.h
@@ -14,35 +14,38 @@
 
 namespace bilberryspool::routing {
 
-// Any candidate with equal chance. Baseline.
+// Picks any candidate with equal probability. Baseline for comparisons.
 struct RandomPolicy {};
 
-// The smallest load as last reported, uncorrected. Baseline: all entries send
-// to the same target until the next report.
+// Picks the smallest load as last reported, without correction. Baseline for
+// comparisons: all entries send to the same target until the next report.
 struct LeastReportedPolicy {};
 
-// The less loaded, by corrected load, of two drawn at random.
+// Picks the less loaded, by corrected load, of two candidates drawn at random.
 struct TwoChoicesPolicy {};
 
-// Scores each candidate by corrected load over weighted slots and adds the
-// domain's distance; draws among the near-equal best.
+// The default policy. The score of a candidate is its corrected load over its
+// weighted concurrency limit, plus a penalty for the distance of its failure
+// domain. Draws among the candidates whose scores are close to the best.
 struct ChosenPolicy {
-  // Added to the load ratio for any other domain, and per millisecond of
-  // one-way delay. Beside the delay it saves, it keeps most entries away from
-  // each target, so that fewer of them act on the same late report.
+  // Penalties added to the load ratio of a target in another failure domain: a
+  // fixed one, and one per millisecond of one-way delay. Apart from avoiding
+  // the delay, they keep most entries away from any one target, so that fewer
+  // of them act on the same late report.
   double spill_penalty = 0.3;
   double penalty_per_millisecond = 0.05;
-  // Taken off the score of a target that holds the whole prefix, unless its
-  // load ratio is above `affinity_load_limit`.
+  // Subtracted from the score of a target that has the whole prefix cached,
+  // unless its load ratio exceeds `affinity_load_limit`.
   double affinity_bonus = 0.25;
   double affinity_load_limit = 0.8;
-  // Candidates within this of the best score count as equal, so that entries
-  // with the same reports don't all send to the same target.
+  // Candidates whose score differs from the best by at most this count as
+  // equal, so that entries with the same reports don't all send to the same
+  // target.
   double near_equal = 0.1;
-  // Candidates drawn from the own domain and from all others; one that
-  // holds most of the prefix comes on top. The more entries there are, the more
-  // of them would otherwise agree on the same few best by the same late
-  // reports.
+  // Number of candidates drawn from the entry's own failure domain and from all
+  // others; one candidate that has most of the prefix cached is added. Without
+  // sampling, the more entries there are, the more of them would agree on the
+  // same few best candidates because of the same late reports.
   std::size_t own_sample = 3;
   std::size_t other_sample = 2;
 };
@@ -50,27 +53,28 @@
 using RoutingPolicy = std::
     variant<RandomPolicy, LeastReportedPolicy, TwoChoicesPolicy, ChosenPolicy>;
 
-// A target that passed all checks, as a policy sees it.
+// A target that passed all checks, with the properties that policies compare.
 struct Candidate {
   const TargetId* target = nullptr;
   const FailureDomain* domain = nullptr;
-  // In requests, with and without correction by own sends and age.
+  // Number of requests, with and without correction for the entry's own
+  // requests and for the age of the report.
   double corrected_load = 0.0;
   double reported_load = 0.0;
-  // Requests that the target can run side by side.
+  // Number of requests that the target can run concurrently.
   std::uint32_t limit = 1;
-  // Product of group weight, slow start and health, in (0, 1].
+  // Product of group weight, slow-start weight and health weight, in (0, 1].
   double weight = 1.0;
   bool own_domain = true;
   Duration distance{0};
-  // Share of the request's prefixes believed to be cached, in [0, 1].
+  // Share of the request's prefixes assumed to be cached, in [0, 1].
   double cached = 0.0;
 };
 
 struct PolicyPick {
   std::size_t index = 0;
   RouteRule rule = RouteRule::kNone;
-  // One for each candidate, in their order; lower is better.
+  // One for each candidate, in the order of the candidates; lower is better.
   std::vector<double> scores;
 };
 
--- a/src/libs/routing/target_estimate.cc
+++ b/src/libs/routing/target_estimate.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::routing {
 namespace {
 
-// A target that never reports must not fill the memory.
+// Bounds the memory used for a target that never sends a report.
 constexpr std::size_t kMaxChanges = 4096;
 
 }  // namespace
--- a/src/libs/routing/target_estimate.h
+++ b/src/libs/routing/target_estimate.h
@@ -9,16 +9,19 @@
 
 namespace bilberryspool::routing {
 
-// What one entry believes of one target: the last report, and what the entry
-// itself started and ended there since the report was taken.
+// The state of a target as one entry estimates it, from the last load report
+// and the attempts that the entry itself started and ended since the report was
+// taken.
 //
-// Reports come with a lag. An entry that trusts them alone sends everything to
-// the target that was idle at the last report, and all entries do so at once.
+// Reports arrive late. An entry that relied on them alone would send everything
+// to the target that was idle at the last report, and all entries would do so
+// at once.
 class TargetEstimate {
  public:
   TargetEstimate(TargetView view, TimePoint now);
 
-  // Keeps own counts; takes the report where it is newer than the last one.
+  // Updates the properties of the target and keeps the entry's own counts. The
+  // load report is used if it is newer than the last one.
   void Update(TargetView view, TimePoint now);
   void Report(const LoadReport& load, TimePoint now);
 
@@ -28,15 +31,16 @@
   const TargetView& view() const { return view_; }
   std::size_t own_in_flight() const { return own_in_flight_; }
   double reported_load() const;
-  // Report plus own starts minus own ends since it was taken; never below
-  // what this entry itself has there.
+  // Reported load plus own attempts started, minus own attempts ended, since
+  // the report was taken; never below the number of own attempts in flight.
   double corrected_load() const;
-  // How long ago the report was taken.
+  // Time since the report was taken.
   Duration report_age(TimePoint now) const { return now - taken_at_; }
-  // Load that others caused, as of the report.
+  // Reported load without the share of this entry.
   double load_of_others() const;
 
-  // Requests that it can run side by side, as it last said; at least 1.
+  // Number of requests that the target can run concurrently, as last reported;
+  // at least 1.
   std::uint32_t limit() const;
 
  private:
@@ -50,9 +54,10 @@
   TargetView view_;
   TimePoint taken_at_;
   std::size_t own_in_flight_ = 0;
-  // Own requests that the last report already counts.
+  // Own attempts that are included in the last report.
   std::size_t own_at_report_ = 0;
-  // Own starts and ends, the oldest first, for reports yet to come.
+  // Own attempts started and ended, ordered from the oldest, to be matched with
+  // later reports.
   std::deque<OwnChange> changes_;
 };
 
--- a/src/libs/routing/target_health.cc
+++ b/src/libs/routing/target_health.cc
@@ -292,8 +292,8 @@
     return 1.0;
   }
   const Entry& entry = found->second;
-  // A target that fails fast looks idle; its weight falls with its share of
-  // failures so that it doesn't draw load before it is ejected.
+  // A target that fails fast looks idle. Its weight falls with its share of
+  // failures, so that it doesn't attract load before it is ejected.
   const double good = std::max(0.05, 1.0 - entry.failure_share);
   double weight = good * good;
   if (state(target, now) == HealthState::kSlowStart) {
--- a/src/libs/routing/target_view.h
+++ b/src/libs/routing/target_view.h
@@ -10,40 +10,40 @@
 
 namespace bilberryspool::routing {
 
-// What membership says of a target. Only kServing ones get new work.
+// State of a target in the membership. Only targets in kServing get new work.
 enum class TargetState : std::uint8_t {
   kServing,
   kDraining,
   kLeaving,
-  // Nothing was heard of it for too long.
+  // No announcement was received for too long.
   kStale,
 };
 
-// One report of a target's load, in requests.
+// A load report of a target, in numbers of requests.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  // How many requests the agent finds its engine able to run side by side
-  // (limits::AdaptiveLimit); 0 where it doesn't say, then the slots count.
+  // Number of requests that the agent found its engine able to run concurrently
+  // (limits::AdaptiveLimit); 0 if not reported, then the slots count.
   std::uint32_t limit = 0;
-  // How old the figures were on arrival here.
+  // Age of the figures when the report arrived here.
   Duration age{0};
 };
 
-// What an entry is told of a target by membership and gossip.
+// The properties of a target that an entry learns from membership and gossip.
 struct TargetView {
   TargetId target;
   FailureDomain domain;
-  // The services whose model is loaded and ready.
+  // Services whose model is loaded and ready.
   std::vector<ServiceId> services;
-  // The adapters loaded beside the models.
+  // Adapters loaded in addition to the models.
   std::vector<std::string> adapters;
-  // Requests that it runs side by side.
+  // Number of requests that the target runs concurrently.
   std::uint32_t slots = 1;
   TargetState state = TargetState::kServing;
   LoadReport load;
-  // Below 1 while the target's group is under change, degraded or held back
-  // by a straggler; 0 takes it out of choice.
+  // Below 1 while the target's group is being changed, is degraded, or is
+  // slowed down by a straggler. 0 excludes the target from choices.
   double group_weight = 1.0;
 };
 
--- a/tests/auto/routing/router_property_test.cc
+++ b/tests/auto/routing/router_property_test.cc
@@ -17,7 +17,8 @@
 const RoutingPolicy kPolicies[] = {RandomPolicy{}, LeastReportedPolicy{},
                                    TwoChoicesPolicy{}, ChosenPolicy{}};
 
-// Feeds a Router random events and keeps its own record of what is there.
+// Feeds a Router with random events and keeps its own record of the targets and
+// placements.
 class Run {
  public:
   explicit Run(std::uint64_t seed)
@@ -167,10 +168,10 @@
   std::vector<AttemptId> attempts_;
 };
 
-// Symptom: work reaches a target that drains, left, or may not serve it.
-// Sequence: announcements, departures, configuration, attempts that end late
-// or twice, in any order.
-// Cause: an index or belief that outlives what it was made from.
+// Guards against requests sent to a target that is draining, was removed or may
+// not serve them. An index or estimate that outlives the announcement or
+// configuration it was made from would cause this. Announcements, removals,
+// configurations and attempts that end late or twice come in any order.
 TEST_CASE("each chosen target is eligible at that moment") {
   ForEachSeed(400, [](std::uint64_t seed) {
     CAPTURE(seed);
--- a/tests/auto/routing/router_test.cc
+++ b/tests/auto/routing/router_test.cc
@@ -48,7 +48,7 @@
   router.Handle(AttemptFinished{id, outcome, std::nullopt}, now);
 }
 
-TEST_CASE("what takes a target out of choice, and what the operator is told") {
+TEST_CASE("each exclusion is counted and gives its refusal reason") {
   struct Row {
     const char* name;
     void (*change)(TargetView&, RouteRequest&);
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE("an unknown service and an unplaced target") {
+TEST_CASE("an unknown service and a target without placement are refused") {
   Router router = MakeRouter({View("r1")});
   RouteRequest request = Request();
   request.service = ServiceId("unknown");
@@ -115,12 +115,11 @@
         NoTargetReason::kNoneServing);
 }
 
-// Symptom: all entries send to one target at once; its queue grows while the
-// others idle.
-// Sequence: one report says that it is idle; all that follows until the next
-// report goes there.
-// Cause: trusting a report without what was sent since.
-TEST_CASE("own sends since the report count") {
+// Guards against herding: all entries send to one target, whose queue grows
+// while the others are idle. A report says that the target is idle, and if
+// requests sent since are not counted, everything until the next report goes
+// there.
+TEST_CASE("own requests sent since the report are counted") {
   Router router = MakeRouter({View("r1"), View("r2"), View("r3", 4)});
   std::map<std::string, int> sent;
   for (int i = 0; i < 8; ++i) {
@@ -141,15 +140,16 @@
   router.Handle(AttemptStarted{AttemptId("1"), target, kDrafter, {}}, kStart);
   const TimePoint later = kStart + Seconds(2);
   router.Handle(AttemptStarted{AttemptId("2"), target, kDrafter, {}}, later);
-  // Taken between the two: 3 running, one of them ours.
+  // The report was taken between the two attempts: 3 running, one of them
+  // started here.
   router.Handle(LoadReported{target, LoadReport{3, 0, 0, Seconds(1)}}, later);
   CHECK(router.estimate(target)->corrected_load() == 4.0);
-  // An older one that comes late is left out.
+  // An older report that arrives later is ignored.
   router.Handle(LoadReported{target, LoadReport{9, 9, 0, Seconds(2)}}, later);
   CHECK(router.estimate(target)->corrected_load() == 4.0);
 }
 
-TEST_CASE("an attempt on a target that left and came back isn't counted") {
+TEST_CASE("an attempt from before the target was removed isn't counted") {
   Router router = MakeRouter({View("r1")});
   const TargetId target("r1");
   router.Handle(AttemptStarted{AttemptId("1"), target, kDrafter, {}}, kStart);
@@ -161,11 +161,10 @@
   CHECK(router.attempts_in_flight() == 0);
 }
 
-// Symptom: most requests of a service fail within milliseconds.
-// Sequence: one target fails all work at once; it has no load, so it is the
-// best choice each time; its health call goes on answering.
-// Cause: load alone as the measure.
-TEST_CASE("a target that fails fast is ejected, probed and comes back") {
+// Guards against most requests of a service failing within milliseconds. One
+// target fails each request immediately while its health check still succeeds;
+// it has no load, so a choice by load alone prefers it each time.
+TEST_CASE("a target that fails fast is ejected, probed and restored") {
   Router router = MakeRouter({View("r1"), View("r2"), View("r3")});
   for (int i = 0; i < 5; ++i) {
     Run(router, std::to_string(i), "r1", AttemptOutcome::kFailed, kStart);
@@ -191,7 +190,7 @@
         HealthState::kSlowStart);
 }
 
-TEST_CASE("capacity is the share of the limits, and of the room") {
+TEST_CASE("capacity is the share of the limits and of the free capacity") {
   struct Row {
     std::uint32_t running;
     double share;
--- a/tests/auto/routing/routing_policy_test.cc
+++ b/tests/auto/routing/routing_policy_test.cc
@@ -20,7 +20,7 @@
   return candidate;
 }
 
-TEST_CASE("which of two candidates the chosen policy takes") {
+TEST_CASE("the chosen policy picks the expected one of two candidates") {
   struct Row {
     const char* name;
     Candidate first;
@@ -28,37 +28,37 @@
     std::set<std::size_t> picked;
     RouteRule rule;
   };
-  const Row rows[] = {{"own domain first",
+  const Row rows[] = {{"own domain preferred",
                        Make(3, true, 0, 1),
                        Make(2, false, 0, 1),
                        {0},
                        RouteRule::kOwnDomain},
-                      {"spills when it is fuller",
+                      {"other domain if the own one has more load",
                        Make(9, true, 0, 1),
                        Make(2, false, 0, 1),
                        {1},
                        RouteRule::kSpill},
-                      {"near-equals are drawn",
+                      {"drawn among nearly equal scores",
                        Make(3, true, 0, 1),
                        Make(2.5, true, 0, 1),
                        {0, 1},
                        RouteRule::kOwnDomain},
-                      {"a cached prefix draws",
+                      {"a cached prefix is preferred",
                        Make(3, true, 1, 1),
                        Make(2, true, 0, 1),
                        {0},
                        RouteRule::kPrefixAffinity},
-                      {"but never beats overload",
+                      {"a cached prefix is ignored under overload",
                        Make(8, true, 1, 1),
                        Make(7, true, 0, 1),
                        {0, 1},
                        RouteRule::kOwnDomain},
-                      {"nor a far emptier one",
+                      {"a much lower load outweighs a cached prefix",
                        Make(7, true, 1, 1),
                        Make(2, true, 0, 1),
                        {1},
                        RouteRule::kOwnDomain},
-                      {"a degraded one carries less",
+                      {"a lower weight raises the load ratio",
                        Make(2, true, 0, 0.3),
                        Make(4, true, 0, 1),
                        {1},
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("the other policies") {
+TEST_CASE("the baseline policies pick as documented") {
   const std::vector<Candidate> candidates = {
       Make(5, true, 0, 1), Make(1, true, 0, 1), Make(9, true, 0, 1)};
   std::set<std::size_t> random_picks;
--- a/tests/auto/routing/target_health_test.cc
+++ b/tests/auto/routing/target_health_test.cc
@@ -37,11 +37,10 @@
   }
 }
 
-// Symptom: a whole service is refused although its targets are well.
-// Sequence: a bad request, or a cut path, makes each target fail in turn; each
-// one is ejected.
-// Cause: ejection without a bound on the whole.
-TEST_CASE("ejections stay bounded whatever fails") {
+// Guards against a whole service being refused although its targets are
+// healthy. An invalid request or a broken network path makes each target fail
+// in turn, and without a bound on the total each one is ejected.
+TEST_CASE("the number of ejections stays bounded for any failures") {
   ForEachSeed(200, [](std::uint64_t seed) {
     CAPTURE(seed);
     Random random(seed);
@@ -103,7 +102,7 @@
     health.ProbeEnded(Name(0), HealthResult::kBad, now);
   }
   now = health.ejected_until(Name(0));
-  // Late results of old attempts are no probe.
+  // Late results of attempts from before the ejection are not probes.
   health.Record(Name(0), HealthResult::kGood, now);
   CHECK(health.state(Name(0), now) == HealthState::kProbing);
   health.ProbeStarted(Name(0));
@@ -113,7 +112,7 @@
   CHECK(health.weight(Name(0), now + Seconds(11)) == doctest::Approx(1.0));
 }
 
-TEST_CASE("failures that are mixed with successes, and slow targets") {
+TEST_CASE("intermittent failures and slow targets lead to ejection") {
   struct Row {
     const char* name;
     int fail_of_ten;
@@ -121,7 +120,7 @@
     HealthState state;
   };
   const Row rows[] = {
-      {"well", 0, Milliseconds(100), HealthState::kHealthy},
+      {"healthy", 0, Milliseconds(100), HealthState::kHealthy},
       {"a few failures", 2, Milliseconds(100), HealthState::kHealthy},
       {"mostly failures", 8, Milliseconds(100), HealthState::kEjected},
       {"somewhat slow", 0, Milliseconds(250), HealthState::kHealthy},
