--- a/src/libs/traffic/event_splitter.cc
+++ b/src/libs/traffic/event_splitter.cc
@@ -28,17 +28,17 @@
   const std::size_t end = EndOfLastEvent(pending_);
   std::string events = pending_.substr(0, end);
   pending_.erase(0, end);
-  NoteIds(events);
+  RecordLastId(events);
   return events;
 }
 
-void EventSplitter::ForgetUnfinished() {
+void EventSplitter::DiscardUnfinished() {
 #if !defined(BILBERRYSPOOL_MUTATION_KEEP_UNFINISHED)
   pending_.clear();
 #endif
 }
 
-void EventSplitter::NoteIds(std::string_view events) {
+void EventSplitter::RecordLastId(std::string_view events) {
   constexpr std::string_view kField = "id:";
   std::size_t start = 0;
   while (start < events.size()) {
--- a/src/libs/traffic/event_splitter.h
+++ b/src/libs/traffic/event_splitter.h
@@ -23,10 +23,10 @@
   // Bytes of an event that has not ended.
   const std::string& unfinished() const { return pending_; }
   // For a new run that goes on after the last whole event.
-  void ForgetUnfinished();
+  void DiscardUnfinished();
 
  private:
-  void NoteIds(std::string_view events);
+  void RecordLastId(std::string_view events);
 
   std::string pending_;
   std::optional<std::string> last_id_;
--- a/src/libs/traffic/group_outlook.cc
+++ b/src/libs/traffic/group_outlook.cc
@@ -4,25 +4,26 @@
 
 namespace bilberryspool::traffic {
 
-void GroupOutlook::Note(const TargetAnnouncement& told,
-                        bool has_returned,
-                        TimePoint now) {
-  if (!told.group.has_value() || told.standing != Standing::kReady) {
+void GroupAvailability::OnAnnouncement(const TargetAnnouncement& announcement,
+                                       bool has_returned,
+                                       TimePoint now) {
+  if (!announcement.group.has_value() ||
+      announcement.standing != Standing::kReady) {
     return;
   }
-  Group& group = groups_[told.service][told.group->group];
-  if (told.group->epoch < group.epoch) {
+  Group& group = groups_[announcement.service][announcement.group->group];
+  if (announcement.group->epoch < group.epoch) {
     // A rank that has not heard of the newer epoch, or has just started.
     if (has_returned && !group.is_open) {
       group.returned_at = now;
     }
     return;
   }
-  const bool is_newer = told.group->epoch > group.epoch;
+  const bool is_newer = announcement.group->epoch > group.epoch;
   const bool was_open = group.is_open;
-  group.epoch = told.group->epoch;
+  group.epoch = announcement.group->epoch;
   // Within one epoch a group that has broken does not open again.
-  group.is_open = told.group->is_open && (is_newer || was_open);
+  group.is_open = announcement.group->is_open && (is_newer || was_open);
   if (group.is_open) {
     group.returned_at.reset();
   } else if (has_returned) {
@@ -30,7 +31,7 @@
   }
 }
 
-void GroupOutlook::NoteReturn(TimePoint now) {
+void GroupAvailability::OnReconnected(TimePoint now) {
   for (auto& [service, groups] : groups_) {
     for (auto& [id, group] : groups) {
       if (!group.is_open) {
@@ -40,7 +41,7 @@
   }
 }
 
-void GroupOutlook::NoteServed(const ServiceId& service) {
+void GroupAvailability::OnServed(const ServiceId& service) {
   const auto found = groups_.find(service);
   // With several groups it is not known which one served.
   if (found != groups_.end() && found->second.size() == 1) {
@@ -50,22 +51,24 @@
   }
 }
 
-Outlook GroupOutlook::OutlookOf(const ServiceId& service, TimePoint now) const {
+Availability GroupAvailability::AvailabilityOf(const ServiceId& service,
+                                               TimePoint now) const {
   const auto found = groups_.find(service);
   if (found == groups_.end()) {
-    return Outlook::kOpen;
+    return Availability::kOpen;
   }
   const auto& groups = found->second;
   const bool any_open =
       std::any_of(groups.begin(), groups.end(),
                   [](const auto& item) { return item.second.is_open; });
   if (any_open) {
-    return Outlook::kOpen;
+    return Availability::kOpen;
   }
-  return now < forms_until(service) ? Outlook::kForming : Outlook::kBroken;
+  return now < forming_until(service) ? Availability::kForming
+                                      : Availability::kBroken;
 }
 
-TimePoint GroupOutlook::forms_until(const ServiceId& service) const {
+TimePoint GroupAvailability::forming_until(const ServiceId& service) const {
   TimePoint until;
   const auto found = groups_.find(service);
   if (found == groups_.end()) {
@@ -73,7 +76,7 @@
   }
   for (const auto& [id, group] : found->second) {
     if (!group.is_open && group.returned_at.has_value()) {
-      until = std::max(until, *group.returned_at + options_.forming);
+      until = std::max(until, *group.returned_at + options_.formation_time);
     }
   }
   return until;
--- a/src/libs/traffic/group_outlook.h
+++ b/src/libs/traffic/group_outlook.h
@@ -21,33 +21,36 @@
 
 namespace bilberryspool::traffic {
 
-enum class Outlook {
+enum class Availability {
   kOpen,     // works, or nothing is known to the contrary
   kForming,  // about to work
   kBroken,
 };
 
-struct GroupOutlookOptions {
+struct GroupAvailabilityOptions {
   // From the return of the last rank until the group works: engines take 0.6 s
   // by their description, 0.38 to 0.61 s were left when the news came here, and
   // a third on top for a slow node on the way.
-  Duration forming = Milliseconds(900);
+  Duration formation_time = Milliseconds(900);
 };
 
-class GroupOutlook {
+class GroupAvailability {
  public:
-  explicit GroupOutlook(GroupOutlookOptions options) : options_(options) {}
+  explicit GroupAvailability(GroupAvailabilityOptions options)
+      : options_(options) {}
 
   // News of a target. `has_returned`: it was not known, or was silent.
-  void Note(const TargetAnnouncement& told, bool has_returned, TimePoint now);
+  void OnAnnouncement(const TargetAnnouncement& announcement,
+                      bool has_returned,
+                      TimePoint now);
   // A part of the system is reachable again.
-  void NoteReturn(TimePoint now);
+  void OnReconnected(TimePoint now);
   // A request was served there: whatever was told before, it works.
-  void NoteServed(const ServiceId& service);
+  void OnServed(const ServiceId& service);
 
-  Outlook OutlookOf(const ServiceId& service, TimePoint now) const;
+  Availability AvailabilityOf(const ServiceId& service, TimePoint now) const;
   // While it is forming: when that is over.
-  TimePoint forms_until(const ServiceId& service) const;
+  TimePoint forming_until(const ServiceId& service) const;
 
  private:
   struct Group {
@@ -56,7 +59,7 @@
     std::optional<TimePoint> returned_at;  // while it is broken
   };
 
-  GroupOutlookOptions options_;
+  GroupAvailabilityOptions options_;
   std::map<ServiceId, std::map<GroupId, Group>> groups_;
 };
 
--- a/src/libs/traffic/relay_rules.cc
+++ b/src/libs/traffic/relay_rules.cc
@@ -5,41 +5,43 @@
 namespace {
 
 // With less time than this left no target can answer.
-constexpr Duration kLeastTime = Milliseconds(10);
+constexpr Duration kMinSendTime = Milliseconds(10);
 
 // Callers leave after two seconds without an event.
-constexpr Duration kBeforeCallerLeaves = Milliseconds(1700);
+constexpr Duration kMaxSilenceOfLostTarget = Milliseconds(1700);
 
 }  // namespace
 
-bool IsTargetLost(const Wait& wait) {
-  return wait.is_target_missing && wait.silent_for > kBeforeCallerLeaves;
+bool IsTargetLost(const CallerWait& wait) {
+  return wait.is_target_unresponsive &&
+         wait.silent_for > kMaxSilenceOfLostTarget;
 }
 
 RelayStep NextStep(const RelayState& state) {
-  const bool surely_not_run = state.last == SendResult::kNotSent ||
-                              state.last == SendResult::kNotExecuted;
-  const bool has_time = state.time_left > kLeastTime;
+  const bool is_definitely_not_run = state.last == SendResult::kNotSent ||
+                                     state.last == SendResult::kNotExecuted;
+  const bool has_time = state.time_left > kMinSendTime;
 #if defined(BILBERRYSPOOL_MUTATION_RELAY_REPEATS_ALL)
   const bool is_repeatable = true;
 #else
-  const bool is_repeatable = state.may_repeat || surely_not_run;
+  const bool is_repeatable = state.may_repeat || is_definitely_not_run;
 #endif
   if (is_repeatable && has_time && state.sends < state.allowed_sends) {
-    return RelayStep::kSendAgain;
+    return RelayStep::kRetry;
   }
   if (state.last == SendResult::kFailed) {
-    return RelayStep::kPassFailureOn;
+    return RelayStep::kForwardFailure;
   }
 #if defined(BILBERRYSPOOL_MUTATION_RELAY_REFUSES_ALL)
   if (has_time) {
 #else
-  if (surely_not_run && (state.may_repeat || !state.may_have_run_before)) {
+  if (is_definitely_not_run &&
+      (state.may_repeat || !state.may_have_run_before)) {
 #endif
     return RelayStep::kRefuse;
   }
   if (!has_time) {
-    return RelayStep::kFailInTime;
+    return RelayStep::kFailTimeout;
   }
   return RelayStep::kFail;
 }
--- a/src/libs/traffic/relay_rules.h
+++ b/src/libs/traffic/relay_rules.h
@@ -29,19 +29,19 @@
 };
 
 enum class RelayStep {
-  kSendAgain,      // to another target
-  kPassFailureOn,  // the target's own failure, as it is
-  kRefuse,         // not run, and never will be: say when to come back
-  kFail,           // it may have run, or ran and left no answer
-  kFailInTime,     // the same, because the time is over
+  kRetry,           // to another target
+  kForwardFailure,  // the target's own failure, as it is
+  kRefuse,          // not run, and never will be: say when to come back
+  kFail,            // it may have run, or ran and left no answer
+  kFailTimeout,     // the same, because the time is over
 };
 
 // What a caller waits for.
-struct Wait {
+struct CallerWait {
   // Since the last event, or since the request came.
   Duration silent_for{};
   // Control nodes tell that the target answers nobody.
-  bool is_target_missing = false;
+  bool is_target_unresponsive = false;
 };
 
 // Whether the caller is about to leave a target that can't be told so. The VM
@@ -49,7 +49,7 @@
 // where its group stands still no other target is a better place. An answer now
 // lets the caller come back while there is time; left alone, the caller leaves
 // a moment later and the run goes on for nobody.
-bool IsTargetLost(const Wait& wait);
+bool IsTargetLost(const CallerWait& wait);
 
 // The rules: what may not be repeated is sent again only on proof that it did
 // not run, since a caller may act twice on an answer given twice; what may
--- a/src/libs/traffic/target_book.cc
+++ b/src/libs/traffic/target_book.cc
@@ -7,8 +7,8 @@
 namespace {
 
 // What gateways act on; the sequence alone is no news.
-bool SameForGateways(const TargetAnnouncement& left,
-                     const TargetAnnouncement& right) {
+bool IsSameForGateways(const TargetAnnouncement& left,
+                       const TargetAnnouncement& right) {
   TargetAnnouncement aligned = right;
   aligned.sequence = left.sequence;
   return left == aligned;
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-bool TargetBook::Announce(const TargetAnnouncement& announcement,
-                          TimePoint now) {
+bool TargetRegistry::Announce(const TargetAnnouncement& announcement,
+                              TimePoint now) {
   const auto [found, is_new] = records_.try_emplace(announcement.target);
   TargetRecord& record = found->second;
   if (is_new) {
@@ -30,7 +30,7 @@
       return false;
     }
     record = {announcement, false, ++revision_, now};
-    rivals_.erase(announcement.target);
+    restart_candidates_.erase(announcement.target);
     return true;
   }
   if (known.standing == Standing::kGone ||
@@ -41,43 +41,44 @@
   TargetAnnouncement next = announcement;
   // Leaving is final: an announcement that says otherwise was overtaken.
   next.standing = std::max(known.standing, announcement.standing);
-  const bool is_news = record.is_silent || !SameForGateways(known, next);
+  const bool is_change = record.is_silent || !IsSameForGateways(known, next);
   record.announcement = std::move(next);
   record.is_silent = false;
-  if (is_news) {
+  if (is_change) {
     record.revision = ++revision_;
   }
-  return is_news;
+  return is_change;
 }
 
-bool TargetBook::IsRestart(const TargetRecord& known,
-                           const TargetAnnouncement& announcement,
-                           TimePoint now) {
+bool TargetRegistry::IsRestart(const TargetRecord& known,
+                               const TargetAnnouncement& announcement,
+                               TimePoint now) {
   if (announcement.incarnation > known.announcement.incarnation) {
     return true;
   }
-  Rival& rival = rivals_[announcement.target];
-  const bool is_other = rival.incarnation != announcement.incarnation;
-  if (is_other || known.heard_at >= rival.first_heard) {
-    rival = {announcement.incarnation, announcement.sequence, now};
+  RestartCandidate& candidate = restart_candidates_[announcement.target];
+  const bool is_other = candidate.incarnation != announcement.incarnation;
+  if (is_other || known.heard_at >= candidate.first_received_at) {
+    candidate = {announcement.incarnation, announcement.sequence, now};
     return false;
   }
-  const bool goes_on = announcement.sequence > rival.sequence;
-  rival.sequence = std::max(rival.sequence, announcement.sequence);
-  return goes_on && now - rival.first_heard >= options_.proof_of_restart;
+  const bool has_progressed = announcement.sequence > candidate.sequence;
+  candidate.sequence = std::max(candidate.sequence, announcement.sequence);
+  return has_progressed &&
+         now - candidate.first_received_at >= options_.restart_confirmation;
 }
 
-bool TargetBook::Withdraw(const TargetId& target,
-                          Incarnation incarnation,
-                          TimePoint now) {
+bool TargetRegistry::Withdraw(const TargetId& target,
+                              Incarnation incarnation,
+                              TimePoint now) {
   TargetRecord& record = records_[target];
-  const bool is_told = incarnation != Incarnation();
+  const bool has_incarnation = incarnation != Incarnation();
   const Incarnation known = record.announcement.incarnation;
   // A leaving that was delayed until after the next start.
-  if (is_told && incarnation < known) {
+  if (has_incarnation && incarnation < known) {
     return false;
   }
-  const bool is_same = !is_told || incarnation == known;
+  const bool is_same = !has_incarnation || incarnation == known;
   if (is_same && record.announcement.standing == Standing::kGone) {
     return false;
   }
@@ -89,27 +90,27 @@
   return true;
 }
 
-bool TargetBook::Tick(TimePoint now) {
-  bool is_news = false;
+bool TargetRegistry::Tick(TimePoint now) {
+  bool is_change = false;
   for (auto& [target, record] : records_) {
     if (record.is_silent || record.announcement.standing == Standing::kGone ||
-        now - record.heard_at < options_.silence) {
+        now - record.heard_at < options_.silence_timeout) {
       continue;
     }
     record.is_silent = true;
     record.revision = ++revision_;
-    is_news = true;
+    is_change = true;
   }
-  Forget(now);
-  return is_news;
+  RemoveExpired(now);
+  return is_change;
 }
 
-void TargetBook::Forget(TimePoint now) {
+void TargetRegistry::RemoveExpired(TimePoint now) {
   std::erase_if(records_, [&](const auto& item) {
-    return now - item.second.heard_at > options_.memory;
+    return now - item.second.heard_at > options_.retention;
   });
-  std::erase_if(rivals_, [&](const auto& item) {
-    return now - item.second.first_heard > options_.memory;
+  std::erase_if(restart_candidates_, [&](const auto& item) {
+    return now - item.second.first_received_at > options_.retention;
   });
   while (records_.size() > options_.max_records) {
     records_.erase(std::min_element(
@@ -119,7 +120,7 @@
   }
 }
 
-std::vector<TargetRecord> TargetBook::ChangedSince(
+std::vector<TargetRecord> TargetRegistry::ChangedSince(
     std::uint64_t revision) const {
   std::vector<TargetRecord> changed;
   for (const auto& [target, record] : records_) {
--- a/src/libs/traffic/target_book.h
+++ b/src/libs/traffic/target_book.h
@@ -26,15 +26,15 @@
 
 namespace bilberryspool::traffic {
 
-struct TargetBookOptions {
+struct TargetRegistryOptions {
   // A target that was not heard for this long counts as silent.
-  Duration silence = Seconds(4);
+  Duration silence_timeout = Seconds(4);
   // How long a start of a lower incarnation has to go on speaking before it is
   // taken for the present one. Targets announce themselves every 1.2 s, so the
   // other would have been heard twice.
-  Duration proof_of_restart = Seconds(3);
+  Duration restart_confirmation = Seconds(3);
   // A target that left or fell silent is remembered for this long.
-  Duration memory = Seconds(120);
+  Duration retention = Seconds(120);
   // More records than this are not kept; the oldest of those that left go
   // first. Bounds the memory that announcements can take.
   std::size_t max_records = 20'000;
@@ -50,9 +50,9 @@
   TimePoint heard_at;
 };
 
-class TargetBook {
+class TargetRegistry {
  public:
-  explicit TargetBook(TargetBookOptions options) : options_(options) {}
+  explicit TargetRegistry(TargetRegistryOptions options) : options_(options) {}
 
   // Returns whether the announcement changed what gateways have to know.
   bool Announce(const TargetAnnouncement& announcement, TimePoint now);
@@ -69,20 +69,20 @@
 
  private:
   // A start of a lower incarnation than the one known.
-  struct Rival {
+  struct RestartCandidate {
     Incarnation incarnation;
     std::uint64_t sequence = 0;
-    TimePoint first_heard;
+    TimePoint first_received_at;
   };
 
   bool IsRestart(const TargetRecord& known,
                  const TargetAnnouncement& announcement,
                  TimePoint now);
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
-  TargetBookOptions options_;
+  TargetRegistryOptions options_;
   std::map<TargetId, TargetRecord> records_;
-  std::map<TargetId, Rival> rivals_;
+  std::map<TargetId, RestartCandidate> restart_candidates_;
   std::uint64_t revision_ = 0;
 };
 
--- a/src/libs/traffic/target_hearing.cc
+++ b/src/libs/traffic/target_hearing.cc
@@ -4,65 +4,65 @@
 
 namespace bilberryspool::traffic {
 
-void TargetHearing::OnSent(const TargetId& target,
-                           const ServiceId& service,
-                           TimePoint now) {
+void TargetLiveness::OnSent(const TargetId& target,
+                            const ServiceId& service,
+                            TimePoint now) {
   Target& entry = targets_[target];
   if (entry.waiting == 0) {
     entry.service = service;
-    entry.quiet_since = now;
+    entry.silent_since = now;
   }
   ++entry.waiting;
 }
 
-void TargetHearing::OnHeard(const TargetId& target, TimePoint now) {
+void TargetLiveness::OnBytesReceived(const TargetId& target, TimePoint now) {
   const auto found = targets_.find(target);
   if (found == targets_.end()) {
     return;
   }
-  found->second.quiet_since = now;
+  found->second.silent_since = now;
   Service& service = services_[found->second.service];
-  if (service.last_heard != target) {
-    service.other_heard_at = service.last_heard_at;
-    service.last_heard = target;
+  if (service.last_responder != target) {
+    service.other_response_at = service.last_response_at;
+    service.last_responder = target;
   }
-  if (now - service.last_heard_at > options_.pause) {
-    service.talking_since = now;
+  if (now - service.last_response_at > options_.max_active_gap) {
+    service.active_since = now;
   }
-  service.last_heard_at = now;
+  service.last_response_at = now;
 }
 
-void TargetHearing::OnFirstByte(const TargetId& target,
-                                Duration waited,
-                                TimePoint now) {
-  OnHeard(target, now);
+void TargetLiveness::OnFirstByte(const TargetId& target,
+                                 Duration waited,
+                                 TimePoint now) {
+  OnBytesReceived(target, now);
   const auto found = targets_.find(target);
   if (found == targets_.end()) {
     return;
   }
-  Duration& usual = services_[found->second.service].usual;
-  const Duration step = waited - usual;
-  usual += Duration(static_cast<Duration::rep>(
-      options_.newest_weight * static_cast<double>(step.count())));
+  Duration& usual_latency = services_[found->second.service].usual_latency;
+  const Duration step = waited - usual_latency;
+  usual_latency += Duration(static_cast<Duration::rep>(
+      options_.latency_smoothing * static_cast<double>(step.count())));
 }
 
-void TargetHearing::OnEnded(const TargetId& target) {
+void TargetLiveness::OnEnded(const TargetId& target) {
   const auto found = targets_.find(target);
   if (found != targets_.end() && --found->second.waiting == 0) {
     targets_.erase(found);
   }
 }
 
-bool TargetHearing::HasOutlived(const Service& service,
-                                TimePoint heard_at,
-                                TimePoint quiet_since,
-                                TimePoint now) const {
-  return heard_at != TimePoint{} &&
-         heard_at - quiet_since >= options_.outlived_by &&
-         now - service.talking_since >= options_.talking_for;
+bool TargetLiveness::HasRespondedSince(const Service& service,
+                                       TimePoint response_at,
+                                       TimePoint silent_since,
+                                       TimePoint now) const {
+  return response_at != TimePoint{} &&
+         response_at - silent_since >= options_.min_response_after_silence &&
+         now - service.active_since >= options_.min_active_period;
 }
 
-bool TargetHearing::IsSuspect(const TargetId& target, TimePoint now) const {
+bool TargetLiveness::IsSuspect(const TargetId& target, TimePoint now) const {
   const auto found = targets_.find(target);
   if (found == targets_.end()) {
     return false;
@@ -71,23 +71,25 @@
   if (service == services_.end()) {
     return false;
   }
-  const Service& heard = service->second;
-  const TimePoint quiet_since = found->second.quiet_since;
-  const TimePoint other_at =
-      heard.last_heard == target ? heard.other_heard_at : heard.last_heard_at;
-  const Duration usual(static_cast<Duration::rep>(
-      options_.usual_times * static_cast<double>(heard.usual.count())));
-  return now - quiet_since > std::max(options_.least_silence, usual) &&
-         HasOutlived(heard, other_at, quiet_since, now);
+  const Service& service_state = service->second;
+  const TimePoint silent_since = found->second.silent_since;
+  const TimePoint other_response = service_state.last_responder == target
+                                       ? service_state.other_response_at
+                                       : service_state.last_response_at;
+  const Duration usual_latency(static_cast<Duration::rep>(
+      options_.usual_latency_factor *
+      static_cast<double>(service_state.usual_latency.count())));
+  return now - silent_since > std::max(options_.min_silence, usual_latency) &&
+         HasRespondedSince(service_state, other_response, silent_since, now);
 }
 
-bool TargetHearing::HasGoneOn(const ServiceId& service,
-                              TimePoint quiet_since,
-                              TimePoint now) const {
+bool TargetLiveness::HasProgressed(const ServiceId& service,
+                                   TimePoint silent_since,
+                                   TimePoint now) const {
   const auto found = services_.find(service);
   return found != services_.end() &&
-         HasOutlived(found->second, found->second.last_heard_at, quiet_since,
-                     now);
+         HasRespondedSince(found->second, found->second.last_response_at,
+                           silent_since, now);
 }
 
 }  // namespace bilberryspool::traffic
--- a/src/libs/traffic/target_hearing.h
+++ b/src/libs/traffic/target_hearing.h
@@ -19,68 +19,68 @@
 
 namespace bilberryspool::traffic {
 
-struct TargetHearingOptions {
+struct TargetLivenessOptions {
   // Silence is suspect after this long, or after so many times the usual time
   // to the first byte of an answer, whichever is longer. Callers of streams
   // leave after two seconds without an event, so one second leaves another
   // target one more.
-  Duration least_silence = Milliseconds(1000);
-  double usual_times = 4.0;
+  Duration min_silence = Milliseconds(1000);
+  double usual_latency_factor = 4.0;
   // Another target must have been heard this long after it fell silent. Ranks
   // of one group that stands still were all heard within one step of each
   // other, 50 to 300 ms.
-  Duration outlived_by = Milliseconds(500);
+  Duration min_response_after_silence = Milliseconds(500);
   // And the service must have been heard again and again for this long, with no
   // pause of its own longer than `pause`: when a group goes on, the ranks'
   // first bytes come a few milliseconds apart, and the last is not silent for
   // that.
-  Duration talking_for = Milliseconds(300);
-  Duration pause = Milliseconds(400);
+  Duration min_active_period = Milliseconds(300);
+  Duration max_active_gap = Milliseconds(400);
   // Weight of the newest answer in the usual time.
-  double newest_weight = 0.1;
+  double latency_smoothing = 0.1;
 };
 
-class TargetHearing {
+class TargetLiveness {
  public:
-  explicit TargetHearing(TargetHearingOptions options) : options_(options) {}
+  explicit TargetLiveness(TargetLivenessOptions options) : options_(options) {}
 
   // One more request waits at the target.
   void OnSent(const TargetId& target, const ServiceId& service, TimePoint now);
   // A byte came from the target.
-  void OnHeard(const TargetId& target, TimePoint now);
+  void OnBytesReceived(const TargetId& target, TimePoint now);
   // The first byte of an answer came, so long after it was asked for.
   void OnFirstByte(const TargetId& target, Duration waited, TimePoint now);
   void OnEnded(const TargetId& target);
 
   bool IsSuspect(const TargetId& target, TimePoint now) const;
   // Whether the service has gone on, at any of its targets, though nothing came
-  // on one connection since `quiet_since`.
-  bool HasGoneOn(const ServiceId& service,
-                 TimePoint quiet_since,
-                 TimePoint now) const;
+  // on one connection since `silent_since`.
+  bool HasProgressed(const ServiceId& service,
+                     TimePoint silent_since,
+                     TimePoint now) const;
 
  private:
   struct Target {
     ServiceId service;
     std::uint32_t waiting = 0;
     // When it was last heard, or when the first of those that wait was sent.
-    TimePoint quiet_since;
+    TimePoint silent_since;
   };
   struct Service {
     // The two targets heard last: the one in question may be the last.
-    TargetId last_heard;
-    TimePoint last_heard_at;
-    TimePoint other_heard_at;
-    TimePoint talking_since;
-    Duration usual{};
+    TargetId last_responder;
+    TimePoint last_response_at;
+    TimePoint other_response_at;
+    TimePoint active_since;
+    Duration usual_latency{};
   };
 
-  bool HasOutlived(const Service& service,
-                   TimePoint heard_at,
-                   TimePoint quiet_since,
-                   TimePoint now) const;
+  bool HasRespondedSince(const Service& service,
+                         TimePoint response_at,
+                         TimePoint silent_since,
+                         TimePoint now) const;
 
-  TargetHearingOptions options_;
+  TargetLivenessOptions options_;
   std::map<TargetId, Target> targets_;  // those where requests wait
   std::map<ServiceId, Service> services_;
 };
--- a/src/libs/traffic/target_pool.cc
+++ b/src/libs/traffic/target_pool.cc
@@ -9,7 +9,7 @@
 // Costs beside the share of slots in use. A silent target comes after all that
 // are heard, a resting one after all that are not.
 constexpr double kSilentCost = 100.0;
-constexpr double kRestingCost = 10.0;
+constexpr double kCooldownCost = 10.0;
 // One that has fallen silent comes after those that answer, but is no reason
 // to refuse.
 constexpr double kSuspectCost = 5.0;
@@ -26,18 +26,19 @@
 }  // namespace
 
 bool TargetPool::Target::is_silent() const {
-  return !told_by.empty() &&
-         std::all_of(told_by.begin(), told_by.end(), [&](const auto& item) {
-           return item.second.is_silent ||
-                  item.second.incarnation != announcement.incarnation;
-         });
+  return !reported_by.empty() &&
+         std::all_of(
+             reported_by.begin(), reported_by.end(), [&](const auto& item) {
+               return item.second.is_silent ||
+                      item.second.incarnation != announcement.incarnation;
+             });
 }
 
-void TargetPool::Target::StartAnew(const TargetAnnouncement& told) {
-  announcement = told;
-  others_at = TimePoint{};
+void TargetPool::Target::ResetForRestart(const TargetAnnouncement& reported) {
+  announcement = reported;
+  others_reported_at = TimePoint{};
   failures_in_row = 0;
-  rests_until = TimePoint{};
+  cooldown_until = TimePoint{};
   full_until = TimePoint{};
 }
 
@@ -50,59 +51,59 @@
                         TimePoint now) {
   if (is_whole) {
     for (auto& [id, target] : targets_) {
-      target.told_by.erase(source);
+      target.reported_by.erase(source);
     }
   }
   for (const TargetRecord& record : records) {
     Merge(source, record, now);
   }
-  Forget(now);
+  RemoveExpired(now);
 }
 
 void TargetPool::Merge(const std::string& source,
                        const TargetRecord& record,
                        TimePoint now) {
-  const TargetAnnouncement& told = record.announcement;
-  Target& target = targets_[told.target];
+  const TargetAnnouncement& reported = record.announcement;
+  Target& target = targets_[reported.target];
   TargetAnnouncement& known = target.announcement;
-  const bool is_new = known.target != told.target;
+  const bool is_new = known.target != reported.target;
   const bool was_silent = !is_new && target.is_silent();
-  target.told_by[source] = {told.incarnation, record.is_silent};
+  target.reported_by[source] = {reported.incarnation, record.is_silent};
   target.changed_at = now;
-  if (!is_new && told.incarnation != known.incarnation) {
+  if (!is_new && reported.incarnation != known.incarnation) {
     // A lower one is a word from before, unless the clock of the target's VM
     // has stepped back: then nobody hears the higher one any more.
-    const bool is_restart = told.incarnation > known.incarnation ||
+    const bool is_restart = reported.incarnation > known.incarnation ||
                             (target.is_silent() && !record.is_silent &&
                              known.standing != Standing::kGone);
     if (is_restart) {
-      target.StartAnew(told);
-      outlook_.Note(known, /*has_returned=*/true, now);
+      target.ResetForRestart(reported);
+      availability_.OnAnnouncement(known, /*has_returned=*/true, now);
     }
     return;
   }
-  const Standing standing = std::max(known.standing, told.standing);
+  const Standing standing = std::max(known.standing, reported.standing);
   // A withdrawal says nothing but the name.
-  const bool has_details = !told.address.empty();
-  if (has_details && (is_new || told.sequence >= known.sequence)) {
-    known = told;
+  const bool has_details = !reported.address.empty();
+  if (has_details && (is_new || reported.sequence >= known.sequence)) {
+    known = reported;
   }
-  known.target = told.target;
+  known.target = reported.target;
   known.standing = standing;
   if (is_new) {
-    known.incarnation = told.incarnation;
+    known.incarnation = reported.incarnation;
   }
   const bool has_returned = is_new || (was_silent && !target.is_silent());
-  outlook_.Note(known, has_returned, now);
+  availability_.OnAnnouncement(known, has_returned, now);
 }
 
-void TargetPool::Forget(TimePoint now) {
+void TargetPool::RemoveExpired(TimePoint now) {
   std::erase_if(targets_, [&](const auto& item) {
     const Target& target = item.second;
     const bool is_over = target.announcement.standing == Standing::kGone ||
-                         target.is_silent() || target.told_by.empty();
+                         target.is_silent() || target.reported_by.empty();
     return is_over && target.in_flight == 0 &&
-           now - target.changed_at > options_.memory;
+           now - target.changed_at > options_.retention;
   });
 }
 
@@ -123,16 +124,17 @@
 }
 
 bool TargetPool::IsFresh(const Target& target, TimePoint now) const {
-  return target.others_at != TimePoint{} &&
-         now - target.others_at <= options_.load_freshness;
+  return target.others_reported_at != TimePoint{} &&
+         now - target.others_reported_at <= options_.load_freshness;
 }
 
-double TargetPool::MeanOthers(const ServiceId& service, TimePoint now) const {
+double TargetPool::MeanOthersLoad(const ServiceId& service,
+                                  TimePoint now) const {
   double sum = 0.0;
   std::size_t count = 0;
   for (const auto& [id, target] : targets_) {
     if (target.announcement.service == service && IsFresh(target, now)) {
-      sum += target.others;
+      sum += target.others_load;
       ++count;
     }
   }
@@ -140,10 +142,10 @@
 }
 
 double TargetPool::LoadOf(const Target& target,
-                          double mean_others,
+                          double mean_others_load,
                           TimePoint now) const {
   return target.in_flight +
-         (IsFresh(target, now) ? target.others : mean_others);
+         (IsFresh(target, now) ? target.others_load : mean_others_load);
 }
 
 double TargetPool::CostOf(const Target& target, double load, TimePoint now) {
@@ -152,12 +154,12 @@
   if (target.is_silent()) {
     cost += kSilentCost;
   }
-  if (now < target.rests_until) {
-    cost += kRestingCost;
+  if (now < target.cooldown_until) {
+    cost += kCooldownCost;
   }
   const double pace = PaceOf(target);
-  if (pace >= kMissingPace ||
-      hearing_.IsSuspect(target.announcement.target, now)) {
+  if (pace >= kUnresponsivePace ||
+      liveness_.IsSuspect(target.announcement.target, now)) {
     cost += kSuspectCost;
   }
   if (target.announcement.domain != options_.domain) {
@@ -168,27 +170,28 @@
 
 bool TargetPool::IsSlow(const Target& target) const {
   const double pace = PaceOf(target);
-  return pace > 1.0 && pace < kMissingPace;
+  return pace > 1.0 && pace < kUnresponsivePace;
 }
 
-bool TargetPool::ShouldBeLeft(const TargetId& id,
-                              const std::set<TargetId>& tried,
-                              TimePoint now) const {
+bool TargetPool::ShouldMoveRequests(const TargetId& id,
+                                    const std::set<TargetId>& tried,
+                                    TimePoint now) const {
   const auto found = targets_.find(id);
   if (found == targets_.end() || !IsSlow(found->second)) {
     return false;
   }
   const ServiceId& service = found->second.announcement.service;
-  const double mean_others = MeanOthers(service, now);
+  const double mean_others_load = MeanOthersLoad(service, now);
   return std::any_of(targets_.begin(), targets_.end(), [&](const auto& item) {
     const Target& target = item.second;
-    const TargetAnnouncement& told = target.announcement;
-    return told.service == service && told.standing == Standing::kReady &&
+    const TargetAnnouncement& reported = target.announcement;
+    return reported.service == service &&
+           reported.standing == Standing::kReady &&
            tried.count(item.first) == 0 && !IsSlow(target) &&
-           !target.is_silent() && now >= target.rests_until &&
+           !target.is_silent() && now >= target.cooldown_until &&
            now >= target.full_until && IsWithinLimit(target, now) &&
-           !hearing_.IsSuspect(item.first, now) &&
-           LoadOf(target, mean_others, now) + 1.0 <= told.slots;
+           !liveness_.IsSuspect(item.first, now) &&
+           LoadOf(target, mean_others_load, now) + 1.0 <= reported.slots;
   });
 }
 
@@ -197,7 +200,7 @@
          limits_.MayTake(RunOf(target.announcement), now);
 }
 
-TargetPool::LimitedTargets TargetPool::Limited(
+TargetPool::LimitedTargets TargetPool::LimitedTargetsOf(
     const ServiceId& service,
     const std::set<TargetId>& tried) const {
   LimitedTargets limited;
@@ -205,12 +208,12 @@
     return limited;
   }
   for (const auto& [id, target] : targets_) {
-    const TargetAnnouncement& told = target.announcement;
-    if (told.service != service || told.standing != Standing::kReady ||
+    const TargetAnnouncement& reported = target.announcement;
+    if (reported.service != service || reported.standing != Standing::kReady ||
         target.is_silent() || tried.contains(id)) {
       continue;
     }
-    const TargetRun run = RunOf(told);
+    const TargetRun run = RunOf(reported);
     const auto limit = limits_.LimitOf(run);
     if (limit.has_value()) {
       limited.targets.push_back({run, *limit});
@@ -221,16 +224,17 @@
   return limited;
 }
 
-std::optional<Duration> TargetPool::LimitedFor(const ServiceId& service,
-                                               TimePoint now) const {
+std::optional<Duration> TargetPool::TimeUntilWithinLimit(
+    const ServiceId& service,
+    TimePoint now) const {
   std::optional<Duration> soonest;
   for (const auto& [id, target] : targets_) {
-    const TargetAnnouncement& told = target.announcement;
-    if (told.service != service || told.standing != Standing::kReady ||
+    const TargetAnnouncement& reported = target.announcement;
+    if (reported.service != service || reported.standing != Standing::kReady ||
         target.is_silent()) {
       continue;
     }
-    const TargetRun run = RunOf(told);
+    const TargetRun run = RunOf(reported);
     if (!limits_.IsLimited(run)) {
       return std::nullopt;
     }
@@ -245,23 +249,23 @@
                                                bool may_be_slow,
                                                TimePoint now) {
   Candidate best;
-  const double mean_others = MeanOthers(service, now);
+  const double mean_others_load = MeanOthersLoad(service, now);
   for (auto& [id, target] : targets_) {
-    const TargetAnnouncement& told = target.announcement;
-    if (told.service != service || told.address.empty() ||
+    const TargetAnnouncement& reported = target.announcement;
+    if (reported.service != service || reported.address.empty() ||
         tried.count(id) > 0 || (!may_be_slow && IsSlow(target))) {
       continue;
     }
 #if !defined(BILBERRYSPOOL_MUTATION_POOL_SENDS_TO_LEAVING)
-    if (told.standing != Standing::kReady) {
+    if (reported.standing != Standing::kReady) {
       continue;
     }
 #endif
     best.is_any_known = true;
-    const double most = options_.fullest * told.slots;
-    const double load = LoadOf(target, mean_others, now);
+    const double max_load = options_.max_load_factor * reported.slots;
+    const double load = LoadOf(target, mean_others_load, now);
     if (now < target.full_until || !IsWithinLimit(target, now) ||
-        (told.slots > 0 && load >= most)) {
+        (reported.slots > 0 && load >= max_load)) {
       best.is_any_full = true;
       continue;
     }
@@ -290,13 +294,13 @@
   // Where the others are full, one that failed lately is the only place left
   // to wait for.
   if (best.target == nullptr ||
-      (best.is_any_full && best.cost >= kRestingCost)) {
-    return best.is_any_full ? NoChoice::kFull : NoChoice::kResting;
+      (best.is_any_full && best.cost >= kCooldownCost)) {
+    return best.is_any_full ? NoChoice::kFull : NoChoice::kInCooldown;
   }
   Target& chosen = *best.target;
   ++chosen.in_flight;
   limits_.Take(RunOf(chosen.announcement), now);
-  hearing_.OnSent(chosen.announcement.target, service, now);
+  liveness_.OnSent(chosen.announcement.target, service, now);
   return Choice{chosen.announcement.target, chosen.announcement.incarnation,
                 chosen.announcement.address, best.load,
                 chosen.announcement.slots};
@@ -309,16 +313,16 @@
   if (found == targets_.end()) {
     return;
   }
-  hearing_.OnEnded(id);
+  liveness_.OnEnded(id);
   Target& target = found->second;
   target.in_flight -= std::min<std::uint32_t>(target.in_flight, 1);
   switch (outcome) {
     case TargetOutcome::kGood:
       target.failures_in_row = 0;
-      target.rests_until = TimePoint{};
+      target.cooldown_until = TimePoint{};
       return;
     case TargetOutcome::kFull:
-      target.full_until = now + options_.full_rest;
+      target.full_until = now + options_.full_cooldown;
       return;
     case TargetOutcome::kReplaced:
       target.announcement.standing = Standing::kGone;
@@ -327,27 +331,28 @@
     case TargetOutcome::kFailed:
       break;
   }
-  constexpr std::uint32_t kMostDoublings = 10;
+  constexpr std::uint32_t kMaxDoublings = 10;
   const std::uint32_t doublings =
-      std::min(target.failures_in_row, kMostDoublings);
+      std::min(target.failures_in_row, kMaxDoublings);
   ++target.failures_in_row;
-  target.rests_until = now + std::min(options_.first_rest * (1U << doublings),
-                                      options_.longest_rest);
+  target.cooldown_until =
+      now + std::min(options_.initial_cooldown * (1U << doublings),
+                     options_.max_cooldown);
 }
 
 void TargetPool::OnFirstByte(const TargetId& id,
                              Duration waited,
                              TimePoint now) {
-  hearing_.OnFirstByte(id, waited, now);
+  liveness_.OnFirstByte(id, waited, now);
   const auto found = targets_.find(id);
   if (found != targets_.end()) {
-    outlook_.NoteServed(found->second.announcement.service);
+    availability_.OnServed(found->second.announcement.service);
   }
 }
 
-bool TargetPool::IsMissing(const TargetId& id) const {
+bool TargetPool::IsUnresponsive(const TargetId& id) const {
   const auto found = targets_.find(id);
-  return found != targets_.end() && PaceOf(found->second) >= kMissingPace;
+  return found != targets_.end() && PaceOf(found->second) >= kUnresponsivePace;
 }
 
 void TargetPool::OnLoad(const TargetId& id,
@@ -360,8 +365,8 @@
   }
   Target& target = found->second;
   const double all = static_cast<double>(running) + waiting;
-  target.others = std::max(0.0, all - target.in_flight);
-  target.others_at = now;
+  target.others_load = std::max(0.0, all - target.in_flight);
+  target.others_reported_at = now;
 }
 
 TargetPool::Counts TargetPool::CountsOf(const ServiceId& service) const {
--- a/src/libs/traffic/target_pool.h
+++ b/src/libs/traffic/target_pool.h
@@ -27,27 +27,28 @@
 
 namespace bilberryspool::traffic {
 
-// Told as the pace of a target that answers nobody, slower than any that works.
-constexpr double kMissingPace = 1000.0;
+// SourceReport as the pace of a target that answers nobody, slower than any
+// that works.
+constexpr double kUnresponsivePace = 1000.0;
 
 struct TargetPoolOptions {
   FailureDomain domain;
   // A target that failed is not chosen for this long, twice as long at each
   // further failure in a row, while there are others.
-  Duration first_rest = Milliseconds(250);
-  Duration longest_rest = Seconds(4);
+  Duration initial_cooldown = Milliseconds(250);
+  Duration max_cooldown = Seconds(4);
   // A reported load counts for this long; after that the mean of those that
   // are still fresh stands for it.
   Duration load_freshness = Milliseconds(1500);
   // A target that refused as full is asked for nothing more for this long: a
   // batch lets a place go every few steps.
-  Duration full_rest = Milliseconds(200);
+  Duration full_cooldown = Milliseconds(200);
   // Requests that may be at a target, as a multiple of its slots; beyond this
   // on every target a request is refused at once.
-  double fullest = 1.25;
+  double max_load_factor = 1.25;
   // Records of targets that left are kept for this long: a control node that
   // was cut off may still tell of them.
-  Duration memory = Seconds(120);
+  Duration retention = Seconds(120);
 };
 
 // What a request ended with, as far as it tells of its target.
@@ -69,9 +70,9 @@
 
 // Why no target was chosen.
 enum class NoChoice {
-  kNone,     // no target of the service is known
-  kFull,     // all of them have as much as they may
-  kResting,  // all that are left have failed lately
+  kNone,        // no target of the service is known
+  kFull,        // all of them have as much as they may
+  kInCooldown,  // all that are left have failed lately
 };
 
 using ChoiceOutcome = std::variant<Choice, NoChoice>;
@@ -107,33 +108,33 @@
 
   // The first byte of a good answer came, so long after it was asked for.
   void OnFirstByte(const TargetId& target, Duration waited, TimePoint now);
-  void OnHeard(const TargetId& target, TimePoint now) {
-    hearing_.OnHeard(target, now);
+  void OnBytesReceived(const TargetId& target, TimePoint now) {
+    liveness_.OnBytesReceived(target, now);
   }
   // Whether control nodes tell that the target answers nobody.
-  bool IsMissing(const TargetId& target) const;
+  bool IsUnresponsive(const TargetId& target) const;
   // Whether its requests had better go on elsewhere: it is slow, and another
   // target has a slot free.
-  bool ShouldBeLeft(const TargetId& target,
-                    const std::set<TargetId>& tried,
-                    TimePoint now) const;
+  bool ShouldMoveRequests(const TargetId& target,
+                          const std::set<TargetId>& tried,
+                          TimePoint now) const;
   // Whether it has fallen silent while others of its service answer.
   bool IsSuspect(const TargetId& target, TimePoint now) const {
-    return hearing_.IsSuspect(target, now);
+    return liveness_.IsSuspect(target, now);
   }
   // Whether the service has gone on though one connection has been quiet.
-  bool HasGoneOn(const ServiceId& service,
-                 TimePoint quiet_since,
-                 TimePoint now) const {
-    return hearing_.HasGoneOn(service, quiet_since, now);
+  bool HasProgressed(const ServiceId& service,
+                     TimePoint silent_since,
+                     TimePoint now) const {
+    return liveness_.HasProgressed(service, silent_since, now);
   }
   // A part of the system is reachable again.
-  void NoteReturn(TimePoint now) { outlook_.NoteReturn(now); }
-  Outlook OutlookOf(const ServiceId& service, TimePoint now) const {
-    return outlook_.OutlookOf(service, now);
+  void OnReconnected(TimePoint now) { availability_.OnReconnected(now); }
+  Availability AvailabilityOf(const ServiceId& service, TimePoint now) const {
+    return availability_.AvailabilityOf(service, now);
   }
-  TimePoint forms_until(const ServiceId& service) const {
-    return outlook_.forms_until(service);
+  TimePoint forming_until(const ServiceId& service) const {
+    return availability_.forming_until(service);
   }
 
   // What may be sent to targets that declare a limit.
@@ -144,12 +145,12 @@
     std::vector<declared_limits::DeclaredLimit> targets;
     bool are_all = true;  // none that is ready declares no limit
   };
-  LimitedTargets Limited(const ServiceId& service,
-                         const std::set<TargetId>& tried) const;
+  LimitedTargets LimitedTargetsOf(const ServiceId& service,
+                                  const std::set<TargetId>& tried) const;
   // Where every target of `service` that is ready declares a limit: until the
   // first of them takes one more request from this gateway.
-  std::optional<Duration> LimitedFor(const ServiceId& service,
-                                     TimePoint now) const;
+  std::optional<Duration> TimeUntilWithinLimit(const ServiceId& service,
+                                               TimePoint now) const;
 
   struct Counts {
     std::size_t ready = 0;
@@ -165,31 +166,31 @@
   struct Target {
     TargetAnnouncement announcement;
     // What control nodes that list the target tell of it.
-    struct Told {
+    struct SourceReport {
       Incarnation incarnation;
       bool is_silent = false;
     };
-    std::map<std::string, Told> told_by;
+    std::map<std::string, SourceReport> reported_by;
     // Requests of this gateway.
     std::uint32_t in_flight = 0;
     // Requests of all others, when last reported.
-    double others = 0.0;
-    TimePoint others_at;
+    double others_load = 0.0;
+    TimePoint others_reported_at;
     std::uint32_t failures_in_row = 0;
-    TimePoint rests_until;
+    TimePoint cooldown_until;
     TimePoint full_until;
     TimePoint changed_at;
 
     // No control node hears the incarnation that is known.
     bool is_silent() const;
     // Another incarnation has taken the place of the one that was known.
-    void StartAnew(const TargetAnnouncement& told);
+    void ResetForRestart(const TargetAnnouncement& reported);
   };
 
   void Merge(const std::string& source,
              const TargetRecord& record,
              TimePoint now);
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
   double PaceOf(const Target& target) const;
   bool IsSlow(const Target& target) const;
   bool IsWithinLimit(const Target& target, TimePoint now) const;
@@ -208,15 +209,17 @@
   bool IsFresh(const Target& target, TimePoint now) const;
   // Requests of others at a target of `service`, on the mean of those that
   // told lately.
-  double MeanOthers(const ServiceId& service, TimePoint now) const;
-  double LoadOf(const Target& target, double mean_others, TimePoint now) const;
+  double MeanOthersLoad(const ServiceId& service, TimePoint now) const;
+  double LoadOf(const Target& target,
+                double mean_others_load,
+                TimePoint now) const;
   double CostOf(const Target& target, double load, TimePoint now);
 
   TargetPoolOptions options_;
   Random random_;
   std::map<TargetId, Target> targets_;
-  TargetHearing hearing_{TargetHearingOptions{}};
-  GroupOutlook outlook_{GroupOutlookOptions{}};
+  TargetLiveness liveness_{TargetLivenessOptions{}};
+  GroupAvailability availability_{GroupAvailabilityOptions{}};
   declared_limits::LimitAccounts limits_{
       declared_limits::LimitAccountsOptions{}};
   std::map<std::string, std::map<std::string, double>> slow_;  // by source
--- a/src/libs/traffic/text_fetch.h
+++ b/src/libs/traffic/text_fetch.h
@@ -20,44 +20,45 @@
 
 namespace bilberryspool::traffic {
 
-struct TextFetchOptions {
+struct ConfigurationFetchOptions {
   // A fetch that has had this long, and the time of its size at this rate, has
   // failed. The slowest links give ten times the rate.
-  Duration patience = Milliseconds(300);
+  Duration base_timeout = Milliseconds(300);
   double bytes_per_second = 500'000.0;
   // Up to this much for all gateways together one node is enough: 0.3 s of a
   // link of 170 Mbit/s. To wait for more nodes would take longer than that.
-  std::uint64_t one_node_bytes = 6'000'000;
+  std::uint64_t single_node_max_bytes = 6'000'000;
   // How long a node of one's own is waited for. Followers of the log learn what
   // is in force a little after the one that leads.
-  Duration home_patience = Milliseconds(400);
+  Duration home_node_timeout = Milliseconds(400);
 };
 
 // What a control node tells of a configuration.
-struct ToldText {
+struct ReportedConfiguration {
   std::uint64_t version = 0;
   std::uint64_t bytes = 0;
   std::uint64_t gateways = 0;  // that will ask for it
   // Whether the node that tells is this gateway's own among those it reaches.
-  bool is_from_home = false;
+  bool is_from_home_node = false;
 };
 
-class TextFetch {
+class ConfigurationFetch {
  public:
-  explicit TextFetch(TextFetchOptions options) : options_(options) {}
+  explicit ConfigurationFetch(ConfigurationFetchOptions options)
+      : options_(options) {}
 
   // Whether to ask the node that tells, now; it is taken to be asked then.
-  bool ShouldStart(const ToldText& told,
+  bool ShouldStart(const ReportedConfiguration& reported,
                    std::uint64_t version_in_force,
                    TimePoint now);
   // The node that was asked for it did not answer.
-  void OnFailed() { fetching_ = 0; }
+  void OnFailed() { fetching_version_ = 0; }
 
  private:
-  TextFetchOptions options_;
-  std::uint64_t told_ = 0;  // the newest version heard of
-  TimePoint told_at_;
-  std::uint64_t fetching_ = 0;
+  ConfigurationFetchOptions options_;
+  std::uint64_t newest_version_ = 0;  // the newest version heard of
+  TimePoint newest_reported_at_;
+  std::uint64_t fetching_version_ = 0;
   TimePoint fetch_ends_;
 };
 
--- a/src/libs/traffic/traffic_configuration.h
+++ b/src/libs/traffic/traffic_configuration.h
@@ -46,7 +46,7 @@
   Duration objective{};
   // The longest pause between two events for which a stream is on time; zero
   // where there is none.
-  Duration longest_gap{};
+  Duration max_gap{};
   std::uint32_t priority = 0;  // 0 is the most urgent
   bool allows_anonymous = false;
   bool may_resume = false;
--- a/src/libs/traffic/watch_codec.cc
+++ b/src/libs/traffic/watch_codec.cc
@@ -17,7 +17,7 @@
 using json_reading::Text;
 
 json::value ToJson(const WatchQuery& query) {
-  return json::object{{"asker", query.asker},
+  return json::object{{"asker", query.requester},
                       {"control_address", query.control_address},
                       {"boot", query.boot},
                       {"revision", query.revision},
@@ -71,7 +71,7 @@
   if (object == nullptr) {
     return std::nullopt;
   }
-  const auto asker = Text(*object, "asker");
+  const auto requester = Text(*object, "asker");
   const auto control_address = Text(*object, "control_address");
   const auto boot = Number(*object, "boot");
   const auto revision = Number(*object, "revision");
@@ -86,13 +86,13 @@
                         : declared_limits::StatementsFromJson(*limits);
   const auto wants_configuration = Flag(*object, "wants_configuration");
   const auto wait = Number(*object, "wait_us");
-  if (!asker || !control_address || !boot || !revision || !version ||
+  if (!requester || !control_address || !boot || !revision || !version ||
       !was_leader || !slow_revision || !quarantine_revision ||
       !limits_revision || !statements || !wants_configuration || !wait) {
     return std::nullopt;
   }
   WatchQuery query;
-  query.asker = *asker;
+  query.requester = *requester;
   query.control_address = *control_address;
   query.boot = *boot;
   query.revision = *revision;
--- a/src/libs/traffic/watch_codec.h
+++ b/src/libs/traffic/watch_codec.h
@@ -20,12 +20,12 @@
 
 // A control node holds a question no longer than this: the gateway notices by
 // the answer that the link is alive.
-inline constexpr Duration kLongestWatch = Milliseconds(1000);
+inline constexpr Duration kMaxWatchDuration = Milliseconds(1000);
 
 // What the gateway knows.
 struct WatchQuery {
   // Name of the gateway that asks; empty where it is a control node.
-  std::string asker;
+  std::string requester;
   // Where that control node is asked in turn; empty for a gateway.
   std::string control_address;
   std::uint64_t boot = 0;      // of the control node that it knows it from
--- a/src/libs/traffic/wire_dialect.h
+++ b/src/libs/traffic/wire_dialect.h
@@ -14,7 +14,7 @@
 
 namespace bilberryspool::traffic {
 
-struct WireDialect {
+struct HeaderNames {
   // Of the caller's request; each try of a caller has its own.
   std::string request_id;
   // How many milliseconds the caller waits; to a target: how many are left.
--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -31,9 +31,9 @@
 // Announcements that may be missed in a row before a target counts as silent.
 constexpr int kMissedAnnouncements = 3;
 
-traffic::TargetBookOptions MakeBookOptions(
+traffic::TargetRegistryOptions MakeBookOptions(
     const settings::ControlSettings& settings) {
-  traffic::TargetBookOptions options;
+  traffic::TargetRegistryOptions options;
   options.silence = settings.announcement_interval * kMissedAnnouncements;
   return options;
 }
--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -88,7 +88,7 @@
   const config::NumberedConfiguration& configuration() const {
     return state_.configuration();
   }
-  const traffic::TargetBook& targets() const { return targets_; }
+  const traffic::TargetRegistry& targets() const { return targets_; }
   QuarantineKeeper& quarantine() { return quarantine_; }
   LimitKeeper& limits() { return limits_; }
   // Lets a request pass here, and tells the other control nodes. False where
@@ -131,7 +131,7 @@
   traffic::ConfigurationReader read_configuration_;
   telemetry::Logger log_;
   ReplicatedState state_;
-  traffic::TargetBook targets_;
+  traffic::TargetRegistry targets_;
   std::map<std::string, double> slow_targets_;
   std::uint64_t slow_revision_ = 0;
   TimePoint slow_told_at_;
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -44,7 +44,7 @@
       protocol_(std::move(protocol)),
       read_configuration_(std::move(read_configuration)),
       log_("groups"),
-      others_(traffic::TargetBookOptions{}) {}
+      others_(traffic::TargetRegistryOptions{}) {}
 
 void GroupKeeper::Start() {
   loop_.Spawn([this] { Run(); });
@@ -141,7 +141,7 @@
 
 bool GroupKeeper::KnowsEngine(const net::Endpoint& engine) const {
   const std::string address = engine.ToString();
-  for (const traffic::TargetBook* book : {&others_, &node_.targets()}) {
+  for (const traffic::TargetRegistry* book : {&others_, &node_.targets()}) {
     for (const auto& [target, record] : book->records()) {
       if (record.announcement.address == address &&
           record.announcement.group.has_value()) {
@@ -246,11 +246,11 @@
 // Several targets may have told of one place: one that ended without a word,
 // and its successor. The one of the newest epoch, heard last, counts.
 void GroupKeeper::CollectRanks() {
-  const std::initializer_list<const traffic::TargetBook*> books = {
+  const std::initializer_list<const traffic::TargetRegistry*> books = {
       &others_, &node_.targets()};
   std::map<std::pair<GroupId, std::uint32_t>, const traffic::TargetRecord*>
       latest;
-  for (const traffic::TargetBook* book : books) {
+  for (const traffic::TargetRegistry* book : books) {
     for (const auto& [target, record] : book->records()) {
       const auto& place = record.announcement.group;
       if (!place.has_value() ||
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_keeper.h
@@ -82,7 +82,7 @@
   std::map<GroupId, std::unique_ptr<GroupTask>> tasks_;
   // Their fibers may still run.
   std::vector<std::unique_ptr<GroupTask>> ended_;
-  traffic::TargetBook others_;
+  traffic::TargetRegistry others_;
   std::map<net::Endpoint, Mark> marks_;
   // Nodes that others have told of, to be asked once.
   std::set<net::Endpoint> told_nodes_;
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -72,7 +72,7 @@
   MapVersion unused_version() const { return switch_.unused_version(); }
   // Adds the ranks that are too slow to be given requests, by address, with how
   // many times as long as a healthy one they take, and those that do not answer
-  // (kMissingPace).
+  // (kUnresponsivePace).
   void AddSlow(std::map<std::string, double>& by_address) const;
   // For metrics.
   GroupFigures figures(TimePoint now) const;
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -197,7 +197,7 @@
         std::round(paces_.at(rank) * 2.0) / 2.0;
   }
   for (const RankIndex rank : silence_.Missing(SteadyNow())) {
-    by_address[addresses_.at(rank).ToString()] = traffic::kMissingPace;
+    by_address[addresses_.at(rank).ToString()] = traffic::kUnresponsivePace;
   }
 }
 
--- a/src/plugins/control_node/target_news.cc
+++ b/src/plugins/control_node/target_news.cc
@@ -4,7 +4,7 @@
 
 namespace bilberryspool::control_node {
 
-TargetNews::Part TargetNews::Since(const traffic::TargetBook& book,
+TargetNews::Part TargetNews::Since(const traffic::TargetRegistry& book,
                                    std::uint64_t from,
                                    Duration freshness,
                                    TimePoint now) {
--- a/src/plugins/control_node/target_news.h
+++ b/src/plugins/control_node/target_news.h
@@ -31,7 +31,7 @@
 
   // All that has changed in `book` since `from`, up to a revision that may be
   // as old as `freshness`, but is never one that the asker has already.
-  Part Since(const traffic::TargetBook& book,
+  Part Since(const traffic::TargetRegistry& book,
              std::uint64_t from,
              Duration freshness,
              TimePoint now);
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -22,7 +22,7 @@
   if (!query.has_value()) {
     return std::nullopt;
   }
-  if (!query->asker.empty()) {
+  if (!query->requester.empty()) {
     NoteGateway(*query);
   }
   if (const auto node = net::ParseEndpoint(query->control_address)) {
@@ -35,7 +35,7 @@
            query->was_leader != node_.replica().is_leader() ||
            query->slow_revision != node_.slow_revision() ||
            query->quarantine_revision < node_.quarantine().urgent_revision() ||
-           (!query->asker.empty() &&
+           (!query->requester.empty() &&
             query->limits_revision != node_.limits().told_revision());
   };
   const auto has_news = [&] {
@@ -43,7 +43,7 @@
            is_urgent();
   };
   const TimePoint deadline =
-      SteadyNow() + std::min(query->wait, traffic::kLongestWatch);
+      SteadyNow() + std::min(query->wait, traffic::kMaxWatchDuration);
   while (!has_news() && SteadyNow() < deadline) {
     node_.changed().WaitUntil(deadline);
   }
@@ -63,9 +63,9 @@
     answer.quarantine = node_.quarantine().told();
   }
   answer.limits_revision = node_.limits().told_revision();
-  if (!query->asker.empty() &&
+  if (!query->requester.empty() &&
       (!knows_this_boot || query->limits_revision != answer.limits_revision)) {
-    answer.shares = node_.limits().book().SharesOf(query->asker);
+    answer.shares = node_.limits().book().SharesOf(query->requester);
   }
   // Half of what news wait for anyway: an asker that was told up to an older
   // revision asks again at once.
@@ -88,15 +88,15 @@
 
 void WatchService::NoteGateway(const traffic::WatchQuery& query) {
   const TimePoint now = SteadyNow();
-  if (gateways_.insert_or_assign(query.asker, now).second) {
+  if (gateways_.insert_or_assign(query.requester, now).second) {
     ShareLimits();
   }
-  node_.limits().Note(query.asker, query.limits, now);
+  node_.limits().Note(query.requester, query.limits, now);
 }
 
 std::size_t WatchService::CountGateways(TimePoint now) {
   // Several questions may be lost before one counts as gone.
-  const Duration memory = traffic::kLongestWatch * 5;
+  const Duration memory = traffic::kMaxWatchDuration * 5;
   const std::size_t gone = std::erase_if(
       gateways_, [&](const auto& item) { return now - item.second > memory; });
   if (gone > 0) {
--- a/src/plugins/gateway/control_follower.cc
+++ b/src/plugins/gateway/control_follower.cc
@@ -16,7 +16,8 @@
 
 // An answer that takes longer than the node may hold it is lost: the node is
 // dead, cut off, or the connection has gone silent.
-constexpr Duration kWatchPatience = traffic::kLongestWatch + Milliseconds(600);
+constexpr Duration kWatchPatience =
+    traffic::kMaxWatchDuration + Milliseconds(600);
 // While a text is wanted, how often a node is asked anew whether it has it.
 // With 39 gateways and 6 nodes that is 780 questions a second while it lasts.
 constexpr Duration kFetchPoll = Milliseconds(300);
@@ -78,7 +79,7 @@
       log_.Info(is_reachable ? "Control node regained." : "Control node lost.",
                 {{"node", node->endpoint.ToString()}});
       if (is_reachable) {
-        state_.targets.NoteReturn(SteadyNow());
+        state_.targets.OnReconnected(SteadyNow());
       }
     }
     if (is_reachable) {
@@ -175,8 +176,8 @@
   if (node.told_version <= version_in_force()) {
     return;
   }
-  const traffic::ToldText told{node.told_version, node.told_bytes,
-                               state_.gateways, is_home(node)};
+  const traffic::ReportedConfiguration told{node.told_version, node.told_bytes,
+                                            state_.gateways, is_home(node)};
   if (fetch_.ShouldStart(told, version_in_force(), SteadyNow()) &&
       !Ask(node, /*wants_configuration=*/true)) {
     fetch_.OnFailed();
@@ -185,7 +186,7 @@
 
 bool ControlFollower::Ask(Node& node, bool wants_configuration) {
   traffic::WatchQuery query;
-  query.asker = name_;
+  query.requester = name_;
   query.boot = node.boot;
   query.revision = node.revision;
   // What the node has told already is no news again.
@@ -203,7 +204,7 @@
   const bool lacks_text = node.told_version > version_in_force();
   query.wait = wants_configuration ? Duration::zero()
                : lacks_text        ? kFetchPoll
-                                   : traffic::kLongestWatch;
+                                   : traffic::kMaxWatchDuration;
   const auto result = client_.Call(node.endpoint, "control.watch",
                                    traffic::ToJson(query), kWatchPatience);
   const auto* json = std::get_if<boost::json::value>(&result);
--- a/src/plugins/gateway/control_follower.h
+++ b/src/plugins/gateway/control_follower.h
@@ -96,7 +96,7 @@
   std::set<net::Endpoint> reachable_;
   std::set<net::Endpoint> members_;
   TimePoint started_at_;
-  traffic::TextFetch fetch_{traffic::TextFetchOptions{}};
+  traffic::ConfigurationFetch fetch_{traffic::ConfigurationFetchOptions{}};
   bool has_heard_leader_ = false;
 };
 
--- a/src/plugins/gateway/gateway_state.cc
+++ b/src/plugins/gateway/gateway_state.cc
@@ -38,7 +38,7 @@
 GatewayState::GatewayState(net::NetworkLoop& loop,
                            const settings::CommonSettings& common,
                            const settings::GatewaySettings& gateway,
-                           traffic::WireDialect wire_dialect,
+                           traffic::HeaderNames wire_dialect,
                            std::uint64_t seed)
     : dialect(std::move(wire_dialect)),
       retries(gateway.retries),
--- a/src/plugins/gateway/gateway_state.h
+++ b/src/plugins/gateway/gateway_state.h
@@ -34,14 +34,14 @@
   GatewayState(net::NetworkLoop& loop,
                const settings::CommonSettings& common,
                const settings::GatewaySettings& gateway,
-               traffic::WireDialect wire_dialect,
+               traffic::HeaderNames wire_dialect,
                std::uint64_t seed);
 
   limits::RetryBudget& BudgetOf(const ServiceId& service);
   // How many gateways a control node has heard of.
   void NoteGateways(std::uint64_t count);
 
-  traffic::WireDialect dialect;
+  traffic::HeaderNames dialect;
   settings::RetryLimits retries;
   // Null until a configuration is known.
   std::shared_ptr<const traffic::RouteTable> routes;
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -132,7 +132,7 @@
     }
     const auto& failed = std::get<NotServed>(outcome);
     const RelayStep step = StepAfter(failed);
-    if (step != RelayStep::kSendAgain) {
+    if (step != RelayStep::kRetry) {
       AnswerStep(step, failed.why);
       return;
     }
@@ -150,10 +150,10 @@
   const TimePoint limit =
       std::min(began + kLongestWait, give_up_at_ - kAnswerTime);
   while (!caller_left_ && SteadyNow() < limit &&
-         state_.targets.OutlookOf(service_, SteadyNow()) ==
-             traffic::Outlook::kForming) {
+         state_.targets.AvailabilityOf(service_, SteadyNow()) ==
+             traffic::Availability::kForming) {
     state_.news.WaitUntil(
-        std::min(limit, state_.targets.forms_until(service_)));
+        std::min(limit, state_.targets.forming_until(service_)));
   }
   const auto waited = (SteadyNow() - began) / Milliseconds(1);
   if (waited > 0) {
@@ -172,8 +172,8 @@
   relay.time_left = time_left();
   // All ranks of a broken group refuse alike.
   if (failed.result == SendResult::kNotExecuted &&
-      state_.targets.OutlookOf(service_, SteadyNow()) ==
-          traffic::Outlook::kBroken) {
+      state_.targets.AvailabilityOf(service_, SteadyNow()) ==
+          traffic::Availability::kBroken) {
     trail_ += "(group broken)";
     relay.allowed_sends = sends_;
   }
@@ -182,7 +182,7 @@
   }
   RelayStep step = traffic::NextStep(relay);
   const bool has_retry = std::exchange(has_retry_, false);
-  if (step == RelayStep::kSendAgain && failed.result != SendResult::kNotSent &&
+  if (step == RelayStep::kRetry && failed.result != SendResult::kNotSent &&
       !has_retry && !MayRetry()) {
     trail_ += "(budget)";
     relay.allowed_sends = sends_;
@@ -295,7 +295,7 @@
 // Answered{} stands for a head that is fit to be followed by its body.
 RelayCall::SendOutcome RelayCall::JudgeHead(const traffic::Choice& choice,
                                             const net::HttpResponseHead& head) {
-  const traffic::WireDialect& dialect = state_.dialect;
+  const traffic::HeaderNames& dialect = state_.dialect;
   const TimePoint now = SteadyNow();
   if (const auto text = head.headers.Find(dialect.load)) {
     if (const auto load = ReadLoad(*text)) {
@@ -367,7 +367,7 @@
     return;
   }
   if (failure_.has_value()) {
-    AnswerStep(RelayStep::kPassFailureOn, "no other target");
+    AnswerStep(RelayStep::kForwardFailure, "no other target");
     return;
   }
   if (may_have_run_ && !match_.route->may_repeat()) {
@@ -381,7 +381,7 @@
     case traffic::NoChoice::kFull:
       RefuseFull();
       return;
-    case traffic::NoChoice::kResting:
+    case traffic::NoChoice::kInCooldown:
       Refuse(ComeBackLater(), "all targets failed lately");
       return;
   }
@@ -394,18 +394,18 @@
     return;
   }
   switch (step) {
-    case RelayStep::kPassFailureOn:
+    case RelayStep::kForwardFailure:
       exchange_.Respond(failure_->head, failure_->body);
       Finish("target_failed", why);
       return;
     case RelayStep::kRefuse:
       Refuse(ComeBackLater(), why);
       return;
-    case RelayStep::kFailInTime:
+    case RelayStep::kFailTimeout:
       Fail(net::status::kGatewayTimeout, why);
       return;
     case RelayStep::kFail:
-    case RelayStep::kSendAgain:
+    case RelayStep::kRetry:
       Fail(net::status::kBadGateway, why);
       return;
   }
@@ -520,7 +520,7 @@
     return;
   }
   // A stream that a slow target still serves must not end for want of a retry.
-  if (state_.targets.ShouldBeLeft(asked_, tried_, now) && MayRetry()) {
+  if (state_.targets.ShouldMoveRequests(asked_, tried_, now) && MayRetry()) {
     has_retry_ = true;
     LeaveTarget();
   }
@@ -541,13 +541,13 @@
 bool RelayCall::IsConnectionSilent(TimePoint now) const {
   constexpr Duration kLongestSilence = Milliseconds(1600);
   return has_begun_ && now - last_event_at_ > kLongestSilence &&
-         state_.targets.HasGoneOn(service_, last_event_at_, now);
+         state_.targets.HasProgressed(service_, last_event_at_, now);
 }
 
 bool RelayCall::IsTargetLost(TimePoint now) const {
   const TimePoint waits_since = has_begun_ ? last_event_at_ : arrived_;
   return traffic::IsTargetLost(
-      {now - waits_since, state_.targets.IsMissing(asked_)});
+      {now - waits_since, state_.targets.IsUnresponsive(asked_)});
 }
 
 void RelayCall::EndAt(const traffic::Choice& choice, TargetOutcome outcome) {
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -49,8 +49,8 @@
     }
     // In a broken group a run would say nothing of the request.
     const bool is_worth_a_run =
-        state_.targets.OutlookOf(service_, SteadyNow()) ==
-        traffic::Outlook::kOpen;
+        state_.targets.AvailabilityOf(service_, SteadyNow()) ==
+        traffic::Availability::kOpen;
     const std::string trial = head_.request_id + "/" + std::to_string(sends_);
     if (is_worth_a_run && state_.quarantine.TryTrial(fingerprint_, trial)) {
       trial_ = trial;
@@ -94,7 +94,7 @@
     return;
   }
   if (failure_.has_value()) {
-    AnswerStep(traffic::RelayStep::kPassFailureOn, why);
+    AnswerStep(traffic::RelayStep::kForwardFailure, why);
     return;
   }
   if (may_have_run_ && !match_.route->may_repeat()) {
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -22,7 +22,7 @@
 // one's limit.
 void RelayCall::HearLimit(const traffic::Choice& choice,
                           const net::HttpResponseHead& head) {
-  const traffic::WireDialect& dialect = state_.dialect;
+  const traffic::HeaderNames& dialect = state_.dialect;
   const auto text = head.headers.Find(dialect.limit);
   const bool is_its_own = head.headers.Find(dialect.signature).has_value() ||
                           head.headers.Find(dialect.not_executed).has_value();
@@ -48,7 +48,7 @@
 }
 
 void RelayCall::RefuseFull() {
-  const auto wait = state_.targets.LimitedFor(service_, SteadyNow());
+  const auto wait = state_.targets.TimeUntilWithinLimit(service_, SteadyNow());
   if (!wait.has_value()) {
     Refuse(ComeBackLater(), "all targets full");
     return;
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -17,11 +17,11 @@
 // under the head of the first.
 RelayCall::SendOutcome RelayCall::TakeStream(const traffic::Choice& choice,
                                              net::HttpClientStream& stream) {
-  splitter_.ForgetUnfinished();
+  splitter_.DiscardUnfinished();
   while (true) {
     net::StreamPiece piece = stream.Read(patience());
     if (const auto* bytes = std::get_if<std::string>(&piece)) {
-      state_.targets.OnHeard(choice.target, SteadyNow());
+      state_.targets.OnBytesReceived(choice.target, SteadyNow());
       const std::string events = splitter_.Take(*bytes);
       if (!events.empty() && !PassEvents(stream.head(), events)) {
         stream.Cancel();
--- a/src/plugins/gateway/request_head.cc
+++ b/src/plugins/gateway/request_head.cc
@@ -61,7 +61,7 @@
 }  // namespace
 
 RequestHead ReadHead(const net::HttpRequest& request,
-                     const traffic::WireDialect& dialect) {
+                     const traffic::HeaderNames& dialect) {
   RequestHead head;
   head.request_id =
       std::string(request.headers.ValueOr(dialect.request_id, ""));
@@ -76,7 +76,7 @@
 
 net::HttpRequest MakeTargetRequest(const net::HttpRequest& request,
                                    const ForwardedHead& head,
-                                   const traffic::WireDialect& dialect) {
+                                   const traffic::HeaderNames& dialect) {
   net::HttpRequest forwarded;
   forwarded.method = request.method;
   forwarded.target = request.target;
--- a/src/tools/soak/soak_callers.cc
+++ b/src/tools/soak/soak_callers.cc
@@ -60,7 +60,7 @@
 
 SoakCallers::SoakCallers(net::NetworkLoop& loop,
                          SoakCallersOptions options,
-                         const traffic::WireDialect& dialect,
+                         const traffic::HeaderNames& dialect,
                          Ledger& ledger)
     : loop_(loop),
       options_(std::move(options)),
--- a/src/tools/soak/soak_callers.h
+++ b/src/tools/soak/soak_callers.h
@@ -34,7 +34,7 @@
  public:
   SoakCallers(net::NetworkLoop& loop,
               SoakCallersOptions options,
-              const traffic::WireDialect& dialect,
+              const traffic::HeaderNames& dialect,
               Ledger& ledger);
 
   void Start();
@@ -56,7 +56,7 @@
 
   net::NetworkLoop& loop_;
   SoakCallersOptions options_;
-  const traffic::WireDialect& dialect_;
+  const traffic::HeaderNames& dialect_;
   Ledger& ledger_;
   std::uint64_t calls_ = 0;
   std::uint32_t running_ = 0;
--- a/src/tools/soak/soak_run.h
+++ b/src/tools/soak/soak_run.h
@@ -62,7 +62,7 @@
 
   net::NetworkLoop& loop_;
   SoakOptions options_;
-  traffic::WireDialect dialect_;
+  traffic::HeaderNames dialect_;
   std::vector<Strike> plan_;
   Ledger ledger_;
   Deployment deployment_;
--- a/src/tools/soak/soak_target.cc
+++ b/src/tools/soak/soak_target.cc
@@ -31,7 +31,7 @@
 
 SoakTarget::SoakTarget(net::NetworkLoop& loop,
                        SoakTargetOptions options,
-                       const traffic::WireDialect& dialect,
+                       const traffic::HeaderNames& dialect,
                        Ledger& ledger)
     : loop_(loop),
       options_(std::move(options)),
--- a/src/tools/soak/soak_target.h
+++ b/src/tools/soak/soak_target.h
@@ -36,7 +36,7 @@
  public:
   SoakTarget(net::NetworkLoop& loop,
              SoakTargetOptions options,
-             const traffic::WireDialect& dialect,
+             const traffic::HeaderNames& dialect,
              Ledger& ledger);
 
   // Empty, or what went wrong.
@@ -62,7 +62,7 @@
 
   net::NetworkLoop& loop_;
   SoakTargetOptions options_;
-  const traffic::WireDialect& dialect_;
+  const traffic::HeaderNames& dialect_;
   Ledger& ledger_;
   net::HttpClient client_;
   net::HttpServer server_;
--- a/tests/auto/control_node/target_news_test.cc
+++ b/tests/auto/control_node/target_news_test.cc
@@ -48,7 +48,7 @@
 // Symptom: for eight seconds after all control nodes were killed hardly anyone
 // is served. Cause: an answer was made for each of hundreds of gateways.
 TEST_CASE("askers that know as much are told the same") {
-  traffic::TargetBook book(traffic::TargetBookOptions{});
+  traffic::TargetRegistry book(traffic::TargetRegistryOptions{});
   TargetNews news;
   for (std::uint64_t i = 0; i < 50; ++i) {
     book.Announce(Told(i, 1), At(0));
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("an asker is never told only what it knows while there is more") {
-  traffic::TargetBook book(traffic::TargetBookOptions{});
+  traffic::TargetRegistry book(traffic::TargetRegistryOptions{});
   TargetNews news;
   book.Announce(Told(1, 1), At(0));
   const auto first = news.Since(book, 0, kFreshness, At(0));
@@ -76,7 +76,7 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     Random random(seed);
-    traffic::TargetBook book(traffic::TargetBookOptions{});
+    traffic::TargetRegistry book(traffic::TargetRegistryOptions{});
     TargetNews news;
     std::vector<Gateway> gateways(6);
     std::uint64_t sequence = 0;
--- a/tests/auto/platform/configuration_codec_test.cc
+++ b/tests/auto/platform/configuration_codec_test.cc
@@ -37,7 +37,7 @@
   CHECK(route.kind == traffic::RequestKind::kStream);
   CHECK(route.timeout == Seconds(8));
   CHECK(route.objective == Milliseconds(400));
-  CHECK(route.longest_gap == Milliseconds(120));
+  CHECK(route.max_gap == Milliseconds(120));
   CHECK(route.attempts == 2);
   CHECK(route.priority == 1);
   CHECK(route.allows_anonymous);
--- a/tests/auto/replay/lockstep_world.cc
+++ b/tests/auto/replay/lockstep_world.cc
@@ -10,7 +10,7 @@
 
 const ServiceId kService("model");
 const FailureDomain kDomain("z");
-constexpr Duration kCallersPatience = Seconds(2);
+constexpr Duration kCallerTimeout = Seconds(2);
 // An engine takes a few more than it runs; beyond that it refuses.
 constexpr std::uint32_t kEngineQueue = 24;
 
@@ -29,7 +29,8 @@
   return asked == 0 ? 1.0 : static_cast<double>(in_time) / asked;
 }
 
-LockstepWorld::LockstepWorld(LockstepOptions options, std::uint64_t seed)
+LockstepSimulation::LockstepSimulation(LockstepOptions options,
+                                       std::uint64_t seed)
     : options_(options), random_(seed) {
   std::vector<traffic::TargetRecord> records;
   for (std::uint32_t rank = 0; rank < options_.ranks; ++rank) {
@@ -50,32 +51,32 @@
   }
 }
 
-TargetId LockstepWorld::TargetOf(RankIndex rank) const {
+TargetId LockstepSimulation::TargetOf(RankIndex rank) const {
   return TargetId("rank-" + std::to_string(rank.value()));
 }
 
-double LockstepWorld::PaceOf(RankIndex rank, TimePoint now) const {
+double LockstepSimulation::PaceOf(RankIndex rank, TimePoint now) const {
   double pace = 1.0;
-  for (const SlowSpell& spell : spells_) {
-    if (spell.rank == rank && now >= TimeAt(spell.begin) &&
-        now < TimeAt(spell.end)) {
-      pace = std::max(pace, spell.pace);
+  for (const SlowPeriod& period : slow_periods_) {
+    if (period.rank == rank && now >= TimeAt(period.begin) &&
+        now < TimeAt(period.end)) {
+      pace = std::max(pace, period.pace);
     }
   }
   return pace;
 }
 
-LockstepResult LockstepWorld::Run(Duration length, Duration from) {
+LockstepResult LockstepSimulation::Run(Duration length, Duration from) {
   TimePoint now = TimeAt(Seconds(1));
   counted_from_ = now + from;
   const TimePoint end = now + length;
   TimePoint next_arrival = now;
   while (now < end) {
-    TellSlow(now);
+    ReportSlowRanks(now);
     MoveStreams(now);
-    const TimePoint pass_end = now + Pass(now);
+    const TimePoint pass_end = now + RunPass(now);
     while (next_arrival < pass_end) {
-      Arrive(next_arrival);
+      AddArrival(next_arrival);
       const double wait = -std::log(1.0 - random_.Fraction());
       next_arrival += Scaled(Seconds(1), wait / options_.arrivals_per_second);
     }
@@ -85,7 +86,7 @@
   return result_;
 }
 
-void LockstepWorld::Arrive(TimePoint now) {
+void LockstepSimulation::AddArrival(TimePoint now) {
   Stream stream;
   stream.gateway = random_.Below(pools_.size());
   stream.arrived = now;
@@ -101,9 +102,9 @@
   }
 }
 
-bool LockstepWorld::Place(Stream& stream,
-                          const std::set<TargetId>& tried,
-                          TimePoint now) {
+bool LockstepSimulation::Place(Stream& stream,
+                               const std::set<TargetId>& tried,
+                               TimePoint now) {
   traffic::TargetPool& pool = pools_[stream.gateway];
   const auto outcome = pool.Choose(kService, tried, now);
   const auto* choice = std::get_if<traffic::Choice>(&outcome);
@@ -124,23 +125,23 @@
   return true;
 }
 
-void LockstepWorld::TellSlow(TimePoint now) {
+void LockstepSimulation::ReportSlowRanks(TimePoint now) {
   std::map<RankIndex, double> paces;
   for (std::uint32_t rank = 0; rank < options_.ranks; ++rank) {
     paces[RankIndex(rank)] = PaceOf(RankIndex(rank), now);
   }
   const auto slow = groups::FindSlowRanks(paces, options_.times);
-  if (slow != named_slow_) {
-    named_slow_ = slow;
-    named_at_ = now;
+  if (slow != detected_slow_) {
+    detected_slow_ = slow;
+    detected_at_ = now;
   }
-  if (!tells_slow_ || told_slow_ == named_slow_ ||
-      now - named_at_ < options_.news) {
+  if (!reports_slow_ranks_ || reported_slow_ == detected_slow_ ||
+      now - detected_at_ < options_.report_delay) {
     return;
   }
-  told_slow_ = named_slow_;
+  reported_slow_ = detected_slow_;
   std::map<std::string, double> by_address;
-  for (const RankIndex rank : told_slow_) {
+  for (const RankIndex rank : reported_slow_) {
     by_address[AddressOf(rank)] = paces[rank];
   }
   for (traffic::TargetPool& pool : pools_) {
@@ -148,12 +149,12 @@
   }
 }
 
-void LockstepWorld::MoveStreams(TimePoint now) {
+void LockstepSimulation::MoveStreams(TimePoint now) {
   for (auto it = streams_.begin(); it != streams_.end();) {
     const auto stream = it++;
     traffic::TargetPool& pool = pools_[stream->gateway];
     const TargetId target = TargetOf(stream->rank);
-    if (stream->is_moved || !pool.ShouldBeLeft(target, {target}, now)) {
+    if (stream->is_moved || !pool.ShouldMoveRequests(target, {target}, now)) {
       continue;
     }
     auto& count = stream->is_running ? running_ : waiting_;
@@ -161,7 +162,7 @@
     pool.OnEnded(target, traffic::TargetOutcome::kGood, now);
     stream->is_moved = true;
     if (!Place(*stream, {target}, now)) {
-      result_.left += stream->is_counted ? 1 : 0;
+      result_.abandoned += stream->is_counted ? 1 : 0;
       streams_.erase(stream);
     }
   }
@@ -169,12 +170,12 @@
 
 // Requests that wait begin with a pass; what the pass takes is decided by all
 // that run in it.
-Duration LockstepWorld::Pass(TimePoint now) {
+Duration LockstepSimulation::RunPass(TimePoint now) {
   for (Stream& stream : streams_) {
     if (!stream.is_running && running_[stream.rank] < options_.times.slots) {
       --waiting_[stream.rank];
       ++running_[stream.rank];
-      reading_[stream.rank] += options_.prompt_time;
+      prefill_time_[stream.rank] += options_.prompt_time;
       stream.is_running = true;
     }
   }
@@ -183,14 +184,14 @@
   double own_part = 0.0;
   double requests = 0.0;
   double speeds = 0.0;
-  double reading = 0.0;
+  double prefill_seconds = 0.0;
   for (std::uint32_t i = 0; i < options_.ranks; ++i) {
     const RankIndex rank(i);
     const double pace = PaceOf(rank, now);
     speeds += 1.0 / pace;
     const std::uint32_t count = running_[rank];
     requests += count;
-    reading += ToSeconds(reading_[rank]);
+    prefill_seconds += ToSeconds(prefill_time_[rank]);
     if (count == 0) {
       continue;
     }
@@ -198,33 +199,34 @@
         steps *
             (ToSeconds(options_.times.step) +
              count * own_share * ToSeconds(options_.times.step_per_request)) +
-        own_share * ToSeconds(reading_[rank]);
+        own_share * ToSeconds(prefill_time_[rank]);
     own_part = std::max(own_part, pace * part);
   }
-  reading_.clear();
+  prefill_time_.clear();
   const double expert_work =
       options_.times.expert_share *
-      (steps * requests * ToSeconds(options_.times.step_per_request) + reading);
+      (steps * requests * ToSeconds(options_.times.step_per_request) +
+       prefill_seconds);
   const double seconds =
       own_part + options_.imbalance * expert_work / std::max(speeds, 1e-9);
   const Duration pass = std::max(Scaled(Seconds(1), seconds), Milliseconds(5));
-  result_.longest_pass = std::max(result_.longest_pass, pass);
+  result_.max_pass = std::max(result_.max_pass, pass);
   return pass;
 }
 
-void LockstepWorld::EndPass(TimePoint now) {
+void LockstepSimulation::EndPass(TimePoint now) {
   for (auto it = streams_.begin(); it != streams_.end();) {
     const auto stream = it++;
     if (!stream->is_running) {
-      if (now - stream->last_event > kCallersPatience) {
-        result_.left += stream->is_counted ? 1 : 0;
+      if (now - stream->last_event > kCallerTimeout) {
+        result_.abandoned += stream->is_counted ? 1 : 0;
         End(stream, traffic::TargetOutcome::kGood, now);
       }
       continue;
     }
     if (!stream->has_begun) {
       Start(*stream, now);
-    } else if (now - stream->last_event > options_.longest_gap) {
+    } else if (now - stream->last_event > options_.max_gap) {
       stream->is_late = true;
     }
     stream->last_event = now;
@@ -236,7 +238,7 @@
   }
 }
 
-void LockstepWorld::Start(Stream& stream, TimePoint now) {
+void LockstepSimulation::Start(Stream& stream, TimePoint now) {
   stream.has_begun = true;
   stream.is_late = now - stream.arrived > options_.objective;
   traffic::TargetPool& pool = pools_[stream.gateway];
@@ -245,9 +247,9 @@
   pool.OnLoad(target, running_[stream.rank], waiting_[stream.rank], now);
 }
 
-void LockstepWorld::End(Streams::iterator stream,
-                        traffic::TargetOutcome outcome,
-                        TimePoint now) {
+void LockstepSimulation::End(Streams::iterator stream,
+                             traffic::TargetOutcome outcome,
+                             TimePoint now) {
   auto& count = stream->is_running ? running_ : waiting_;
   --count[stream->rank];
   pools_[stream->gateway].OnEnded(TargetOf(stream->rank), outcome, now);
--- a/tests/auto/replay/lockstep_world.h
+++ b/tests/auto/replay/lockstep_world.h
@@ -33,13 +33,13 @@
   std::uint32_t events = 24;  // of a stream, on the mean
   Duration prompt_time = Milliseconds(14);
   // How long until gateways are told of a slow rank.
-  Duration news = Milliseconds(250);
+  Duration report_delay = Milliseconds(250);
   Duration objective = Milliseconds(500);
-  Duration longest_gap = Milliseconds(120);
+  Duration max_gap = Milliseconds(120);
 };
 
 // One rank takes `pace` times as long from `begin` to `end`.
-struct SlowSpell {
+struct SlowPeriod {
   RankIndex rank;
   double pace = 1.0;
   Duration begin{};
@@ -51,20 +51,20 @@
   std::uint32_t in_time = 0;
   std::uint32_t late = 0;
   std::uint32_t refused = 0;
-  std::uint32_t left = 0;  // callers who went away without an answer
-  Duration longest_pass{};
+  std::uint32_t abandoned = 0;  // callers who went away without an answer
+  Duration max_pass{};
 
   double in_time_share() const;
 };
 
-class LockstepWorld {
+class LockstepSimulation {
  public:
-  LockstepWorld(LockstepOptions options, std::uint64_t seed);
+  LockstepSimulation(LockstepOptions options, std::uint64_t seed);
 
   // Whether gateways are told which ranks FindSlowRanks() names; otherwise no
   // rank is left out.
-  void set_tells_slow(bool tells) { tells_slow_ = tells; }
-  void Add(SlowSpell spell) { spells_.push_back(spell); }
+  void set_reports_slow_ranks(bool reports) { reports_slow_ranks_ = reports; }
+  void Add(SlowPeriod period) { slow_periods_.push_back(period); }
 
   // Callers who arrive from `from` on are counted.
   LockstepResult Run(Duration length, Duration from);
@@ -86,11 +86,11 @@
 
   double PaceOf(RankIndex rank, TimePoint now) const;
   TargetId TargetOf(RankIndex rank) const;
-  void Arrive(TimePoint now);
+  void AddArrival(TimePoint now);
   bool Place(Stream& stream, const std::set<TargetId>& tried, TimePoint now);
-  void TellSlow(TimePoint now);
+  void ReportSlowRanks(TimePoint now);
   void MoveStreams(TimePoint now);
-  Duration Pass(TimePoint now);
+  Duration RunPass(TimePoint now);
   void EndPass(TimePoint now);
   void Start(Stream& stream, TimePoint now);
   void End(Streams::iterator stream,
@@ -100,15 +100,15 @@
   LockstepOptions options_;
   Random random_;
   std::vector<traffic::TargetPool> pools_;
-  std::vector<SlowSpell> spells_;
-  bool tells_slow_ = true;
+  std::vector<SlowPeriod> slow_periods_;
+  bool reports_slow_ranks_ = true;
   Streams streams_;
   std::map<RankIndex, std::uint32_t> running_;
   std::map<RankIndex, std::uint32_t> waiting_;
-  std::map<RankIndex, Duration> reading_;
-  std::set<RankIndex> told_slow_;
-  std::set<RankIndex> named_slow_;
-  TimePoint named_at_;
+  std::map<RankIndex, Duration> prefill_time_;
+  std::set<RankIndex> reported_slow_;
+  std::set<RankIndex> detected_slow_;
+  TimePoint detected_at_;
   TimePoint counted_from_;
   LockstepResult result_;
 };
--- a/tests/auto/replay/slow_rank_test.cc
+++ b/tests/auto/replay/slow_rank_test.cc
@@ -64,9 +64,9 @@
 TEST_CASE("a slow rank does not make its group's answers late") {
   struct Row {
     double pace;
-    bool tells_slow;
-    double least;  // share in time
-    double most;
+    bool reports_slow_ranks;
+    double min_share;  // share in time
+    double max_share;
   };
   const std::vector<Row> rows = {
       {2.5, true, 0.85, 1.0}, {5.5, true, 0.85, 1.0},  {12.0, true, 0.85, 1.0},
@@ -75,17 +75,17 @@
   for (const Row& row : rows) {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
       CAPTURE(row.pace);
-      CAPTURE(row.tells_slow);
+      CAPTURE(row.reports_slow_ranks);
       CAPTURE(seed);
-      LockstepWorld world(LockstepOptions{}, seed);
-      world.set_tells_slow(row.tells_slow);
-      world.Add({RankIndex(5), row.pace, Seconds(10), Seconds(17)});
-      const LockstepResult result = world.Run(Seconds(24), Seconds(9));
+      LockstepSimulation simulation(LockstepOptions{}, seed);
+      simulation.set_reports_slow_ranks(row.reports_slow_ranks);
+      simulation.Add({RankIndex(5), row.pace, Seconds(10), Seconds(17)});
+      const LockstepResult result = simulation.Run(Seconds(24), Seconds(9));
       CAPTURE(result.late);
-      CAPTURE(result.left);
+      CAPTURE(result.abandoned);
       CAPTURE(result.refused);
-      CHECK(result.in_time_share() >= row.least);
-      CHECK(result.in_time_share() <= row.most);
+      CHECK(result.in_time_share() >= row.min_share);
+      CHECK(result.in_time_share() <= row.max_share);
     }
   }
 }
@@ -95,13 +95,13 @@
 TEST_CASE("with ranks slow alike the group goes on as it can") {
   LockstepOptions options;
   options.arrivals_per_second = 15.0;
-  LockstepWorld world(options, 4);
+  LockstepSimulation simulation(options, 4);
   for (std::uint32_t rank = 0; rank < options.ranks; ++rank) {
-    world.Add({RankIndex(rank), 3.0, Seconds(5), Seconds(15)});
+    simulation.Add({RankIndex(rank), 3.0, Seconds(5), Seconds(15)});
   }
-  const LockstepResult result = world.Run(Seconds(15), Seconds(5));
+  const LockstepResult result = simulation.Run(Seconds(15), Seconds(5));
   CHECK(result.refused == 0);
-  CHECK(result.left == 0);
+  CHECK(result.abandoned == 0);
 }
 
 }  // namespace
--- a/tests/auto/traffic/codecs_test.cc
+++ b/tests/auto/traffic/codecs_test.cc
@@ -58,7 +58,7 @@
 
 TEST_CASE("a watch and its answer survive the way") {
   WatchQuery query;
-  query.asker = "gateway-1";
+  query.requester = "gateway-1";
   query.control_address = "10.0.0.9:7000";
   query.boot = 1;
   query.revision = 2;
@@ -72,7 +72,7 @@
   query.wants_configuration = false;
   const auto asked = WatchQueryFromJson(ToJson(query));
   REQUIRE(asked.has_value());
-  CHECK(asked->asker == "gateway-1");
+  CHECK(asked->requester == "gateway-1");
   CHECK(asked->control_address == "10.0.0.9:7000");
   CHECK(asked->boot == 1);
   CHECK(asked->revision == 2);
--- a/tests/auto/traffic/event_splitter_test.cc
+++ b/tests/auto/traffic/event_splitter_test.cc
@@ -33,7 +33,7 @@
   CHECK(splitter.Take("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(splitter.unfinished() == "id: 2\nda");
   CHECK(*splitter.last_id() == "1");
-  splitter.ForgetUnfinished();
+  splitter.DiscardUnfinished();
   CHECK(splitter.Take("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
   CHECK(*splitter.last_id() == "2");
 }
--- a/tests/auto/traffic/group_outlook_test.cc
+++ b/tests/auto/traffic/group_outlook_test.cc
@@ -15,82 +15,89 @@
                         std::uint64_t epoch,
                         bool is_open,
                         const std::string& group = "g") {
-  TargetAnnouncement told;
-  told.target = TargetId("i-" + std::to_string(rank));
-  told.service = kService;
-  told.address = "a:1";
-  told.group = GroupMembership{GroupId(group), epoch, rank, 4, is_open};
-  return told;
+  TargetAnnouncement announcement;
+  announcement.target = TargetId("i-" + std::to_string(rank));
+  announcement.service = kService;
+  announcement.address = "a:1";
+  announcement.group = GroupMembership{GroupId(group), epoch, rank, 4, is_open};
+  return announcement;
 }
 
-GroupOutlook OpenGroup() {
-  GroupOutlook outlook(GroupOutlookOptions{});
+GroupAvailability OpenGroup() {
+  GroupAvailability availability(GroupAvailabilityOptions{});
   for (std::uint32_t rank = 0; rank < 4; ++rank) {
-    outlook.Note(Rank(rank, 1, true), true, At(0));
+    availability.OnAnnouncement(Rank(rank, 1, true), true, At(0));
   }
-  return outlook;
+  return availability;
 }
 
 TEST_CASE("a service without groups is open") {
-  GroupOutlook outlook(GroupOutlookOptions{});
+  GroupAvailability availability(GroupAvailabilityOptions{});
   TargetAnnouncement plain = Rank(0, 1, true);
   plain.group.reset();
-  outlook.Note(plain, true, At(0));
-  CHECK(outlook.OutlookOf(kService, At(1)) == Outlook::kOpen);
+  availability.OnAnnouncement(plain, true, At(0));
+  CHECK(availability.AvailabilityOf(kService, At(1)) == Availability::kOpen);
 }
 
 // Symptom: callers are refused, and told to come back seconds later, half a
 // second before the group works again.
 TEST_CASE("a lost rank breaks the group, its return announces the next epoch") {
-  GroupOutlook outlook = OpenGroup();
-  CHECK(outlook.OutlookOf(kService, At(1)) == Outlook::kOpen);
-  outlook.Note(Rank(2, 1, false), false, At(1500));
-  CHECK(outlook.OutlookOf(kService, At(1501)) == Outlook::kBroken);
+  GroupAvailability availability = OpenGroup();
+  CHECK(availability.AvailabilityOf(kService, At(1)) == Availability::kOpen);
+  availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
+  CHECK(availability.AvailabilityOf(kService, At(1501)) ==
+        Availability::kBroken);
   // Another rank's older word does not mend it.
-  outlook.Note(Rank(1, 1, true), false, At(1502));
-  CHECK(outlook.OutlookOf(kService, At(1503)) == Outlook::kBroken);
-  outlook.Note(Rank(3, 1, false), true, At(4000));
-  CHECK(outlook.OutlookOf(kService, At(4001)) == Outlook::kForming);
-  CHECK(outlook.forms_until(kService) == At(4900));
-  outlook.Note(Rank(0, 2, true), false, At(4600));
-  CHECK(outlook.OutlookOf(kService, At(4601)) == Outlook::kOpen);
+  availability.OnAnnouncement(Rank(1, 1, true), false, At(1502));
+  CHECK(availability.AvailabilityOf(kService, At(1503)) ==
+        Availability::kBroken);
+  availability.OnAnnouncement(Rank(3, 1, false), true, At(4000));
+  CHECK(availability.AvailabilityOf(kService, At(4001)) ==
+        Availability::kForming);
+  CHECK(availability.forming_until(kService) == At(4900));
+  availability.OnAnnouncement(Rank(0, 2, true), false, At(4600));
+  CHECK(availability.AvailabilityOf(kService, At(4601)) == Availability::kOpen);
 }
 
 TEST_CASE("a group that does not form in time is broken again") {
-  GroupOutlook outlook = OpenGroup();
-  outlook.Note(Rank(2, 1, false), false, At(1500));
-  outlook.NoteReturn(At(3000));
-  CHECK(outlook.OutlookOf(kService, At(3100)) == Outlook::kForming);
-  CHECK(outlook.OutlookOf(kService, At(4000)) == Outlook::kBroken);
+  GroupAvailability availability = OpenGroup();
+  availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
+  availability.OnReconnected(At(3000));
+  CHECK(availability.AvailabilityOf(kService, At(3100)) ==
+        Availability::kForming);
+  CHECK(availability.AvailabilityOf(kService, At(4000)) ==
+        Availability::kBroken);
 }
 
 TEST_CASE("the return of a part of the system says nothing of an open group") {
-  GroupOutlook outlook = OpenGroup();
-  outlook.NoteReturn(At(3000));
-  CHECK(outlook.OutlookOf(kService, At(3100)) == Outlook::kOpen);
+  GroupAvailability availability = OpenGroup();
+  availability.OnReconnected(At(3000));
+  CHECK(availability.AvailabilityOf(kService, At(3100)) == Availability::kOpen);
 }
 
 TEST_CASE("a rank that starts in an older epoch has returned") {
-  GroupOutlook outlook = OpenGroup();
-  outlook.Note(Rank(0, 2, false), false, At(1000));
-  outlook.Note(Rank(3, 0, false), true, At(2000));
-  CHECK(outlook.OutlookOf(kService, At(2001)) == Outlook::kForming);
+  GroupAvailability availability = OpenGroup();
+  availability.OnAnnouncement(Rank(0, 2, false), false, At(1000));
+  availability.OnAnnouncement(Rank(3, 0, false), true, At(2000));
+  CHECK(availability.AvailabilityOf(kService, At(2001)) ==
+        Availability::kForming);
 }
 
 TEST_CASE("what serves works, whatever was told") {
-  GroupOutlook outlook = OpenGroup();
-  outlook.Note(Rank(2, 1, false), false, At(1500));
-  outlook.NoteServed(kService);
-  CHECK(outlook.OutlookOf(kService, At(1600)) == Outlook::kOpen);
+  GroupAvailability availability = OpenGroup();
+  availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
+  availability.OnServed(kService);
+  CHECK(availability.AvailabilityOf(kService, At(1600)) == Availability::kOpen);
 }
 
 TEST_CASE("one open group of several is enough") {
-  GroupOutlook outlook = OpenGroup();
-  outlook.Note(Rank(0, 1, true, "h"), true, At(0));
-  outlook.Note(Rank(2, 1, false), false, At(1500));
-  CHECK(outlook.OutlookOf(kService, At(1600)) == Outlook::kOpen);
-  outlook.Note(Rank(0, 1, false, "h"), false, At(1700));
-  CHECK(outlook.OutlookOf(kService, At(1800)) == Outlook::kBroken);
+  GroupAvailability availability = OpenGroup();
+  availability.OnAnnouncement(Rank(0, 1, true, "h"), true, At(0));
+  availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
+  CHECK(availability.AvailabilityOf(kService, At(1600)) == Availability::kOpen);
+  availability.OnAnnouncement(Rank(0, 1, false, "h"), false, At(1700));
+  CHECK(availability.AvailabilityOf(kService, At(1800)) ==
+        Availability::kBroken);
 }
 
 }  // namespace
--- a/tests/auto/traffic/relay_rules_test.cc
+++ b/tests/auto/traffic/relay_rules_test.cc
@@ -21,25 +21,25 @@
   const Row rows[] = {
       {"not sent, may not repeat",
        {false, SendResult::kNotSent, false, 1, 2, kTime},
-       RelayStep::kSendAgain},
+       RelayStep::kRetry},
       {"not executed, may not repeat",
        {false, SendResult::kNotExecuted, false, 1, 2, kTime},
-       RelayStep::kSendAgain},
+       RelayStep::kRetry},
       {"unknown, may not repeat",
        {false, SendResult::kUnknown, false, 1, 2, kTime},
        RelayStep::kFail},
       {"unknown, may repeat",
        {true, SendResult::kUnknown, false, 1, 2, kTime},
-       RelayStep::kSendAgain},
+       RelayStep::kRetry},
       {"failed, may repeat",
        {true, SendResult::kFailed, false, 1, 2, kTime},
-       RelayStep::kSendAgain},
+       RelayStep::kRetry},
       {"failed, may not repeat",
        {false, SendResult::kFailed, false, 1, 2, kTime},
-       RelayStep::kPassFailureOn},
+       RelayStep::kForwardFailure},
       {"failed, sends used up",
        {true, SendResult::kFailed, false, 2, 2, kTime},
-       RelayStep::kPassFailureOn},
+       RelayStep::kForwardFailure},
       {"not executed, sends used up",
        {false, SendResult::kNotExecuted, false, 2, 2, kTime},
        RelayStep::kRefuse},
@@ -54,7 +54,7 @@
        RelayStep::kFail},
       {"unknown, no time left",
        {true, SendResult::kUnknown, false, 1, 2, Duration(0)},
-       RelayStep::kFailInTime},
+       RelayStep::kFailTimeout},
       {"not sent, no time left",
        {false, SendResult::kNotSent, false, 1, 2, Duration(0)},
        RelayStep::kRefuse},
@@ -69,7 +69,7 @@
 TEST_CASE("a caller is told of a lost target before he leaves") {
   struct Row {
     const char* name;
-    Wait wait;
+    CallerWait wait;
     bool is_lost;
   };
   const Row rows[] = {
--- a/tests/auto/traffic/target_book_test.cc
+++ b/tests/auto/traffic/target_book_test.cc
@@ -10,68 +10,69 @@
 
 constexpr TimePoint kStart = TimeAt(Seconds(50));
 
-TargetAnnouncement Beat(const std::string& target,
-                        std::uint64_t sequence,
-                        Standing standing = Standing::kReady) {
-  TargetAnnouncement told;
-  told.target = TargetId(target);
-  told.service = ServiceId("model");
-  told.address = "10.0.0.1:80";
-  told.slots = 4;
-  told.standing = standing;
-  told.sequence = sequence;
-  return told;
+TargetAnnouncement MakeAnnouncement(const std::string& target,
+                                    std::uint64_t sequence,
+                                    Standing standing = Standing::kReady) {
+  TargetAnnouncement result;
+  result.target = TargetId(target);
+  result.service = ServiceId("model");
+  result.address = "10.0.0.1:80";
+  result.slots = 4;
+  result.standing = standing;
+  result.sequence = sequence;
+  return result;
 }
 
-Standing StandingOf(const TargetBook& book, const std::string& target) {
-  return book.records().at(TargetId(target)).announcement.standing;
+Standing StandingOf(const TargetRegistry& registry, const std::string& target) {
+  return registry.records().at(TargetId(target)).announcement.standing;
 }
 
 TEST_CASE("only what gateways act on is news") {
-  TargetBook book{TargetBookOptions{}};
-  CHECK(book.Announce(Beat("t", 1), kStart));
-  CHECK_FALSE(book.Announce(Beat("t", 2), kStart));
-  TargetAnnouncement moved = Beat("t", 3);
+  TargetRegistry registry{TargetRegistryOptions{}};
+  CHECK(registry.Announce(MakeAnnouncement("t", 1), kStart));
+  CHECK_FALSE(registry.Announce(MakeAnnouncement("t", 2), kStart));
+  TargetAnnouncement moved = MakeAnnouncement("t", 3);
   moved.slots = 8;
-  CHECK(book.Announce(moved, kStart));
-  CHECK(book.ChangedSince(1).size() == 1);
-  CHECK(book.ChangedSince(book.revision()).empty());
+  CHECK(registry.Announce(moved, kStart));
+  CHECK(registry.ChangedSince(1).size() == 1);
+  CHECK(registry.ChangedSince(registry.revision()).empty());
 }
 
 // Symptom: a target that has said that it leaves gets new work. Sequence: its
 // announcements overtake each other on the way. Cause: the later arrival was
 // taken for the later word.
 TEST_CASE("late announcements change nothing") {
-  TargetBook book{TargetBookOptions{}};
-  book.Announce(Beat("t", 5, Standing::kLeaving), kStart);
-  CHECK_FALSE(book.Announce(Beat("t", 4), kStart));
-  CHECK(StandingOf(book, "t") == Standing::kLeaving);
+  TargetRegistry registry{TargetRegistryOptions{}};
+  registry.Announce(MakeAnnouncement("t", 5, Standing::kLeaving), kStart);
+  CHECK_FALSE(registry.Announce(MakeAnnouncement("t", 4), kStart));
+  CHECK(StandingOf(registry, "t") == Standing::kLeaving);
   // Nor does a later one that says otherwise: leaving is final.
-  book.Announce(Beat("t", 6), kStart);
-  CHECK(StandingOf(book, "t") == Standing::kLeaving);
+  registry.Announce(MakeAnnouncement("t", 6), kStart);
+  CHECK(StandingOf(registry, "t") == Standing::kLeaving);
 }
 
 TEST_CASE("a target that left does not come back by a late announcement") {
-  TargetBook book{TargetBookOptions{}};
-  book.Announce(Beat("t", 1), kStart);
-  CHECK(book.Withdraw(TargetId("t"), Incarnation(), kStart));
-  CHECK_FALSE(book.Withdraw(TargetId("t"), Incarnation(), kStart));
-  CHECK_FALSE(book.Announce(Beat("t", 9), kStart + Seconds(30)));
-  CHECK(StandingOf(book, "t") == Standing::kGone);
+  TargetRegistry registry{TargetRegistryOptions{}};
+  registry.Announce(MakeAnnouncement("t", 1), kStart);
+  CHECK(registry.Withdraw(TargetId("t"), Incarnation(), kStart));
+  CHECK_FALSE(registry.Withdraw(TargetId("t"), Incarnation(), kStart));
+  CHECK_FALSE(
+      registry.Announce(MakeAnnouncement("t", 9), kStart + Seconds(30)));
+  CHECK(StandingOf(registry, "t") == Standing::kGone);
   // Also where the node hears of it for the first time by its leaving.
-  CHECK(book.Withdraw(TargetId("u"), Incarnation(), kStart));
-  CHECK_FALSE(book.Announce(Beat("u", 1), kStart));
+  CHECK(registry.Withdraw(TargetId("u"), Incarnation(), kStart));
+  CHECK_FALSE(registry.Announce(MakeAnnouncement("u", 1), kStart));
 }
 
-TargetAnnouncement BeatOf(std::uint64_t incarnation,
-                          std::uint64_t sequence,
-                          Standing standing = Standing::kReady) {
-  TargetAnnouncement told = Beat("t", sequence, standing);
-  told.incarnation = Incarnation(incarnation);
-  return told;
+TargetAnnouncement MakeAnnouncementOf(std::uint64_t incarnation,
+                                      std::uint64_t sequence,
+                                      Standing standing = Standing::kReady) {
+  TargetAnnouncement result = MakeAnnouncement("t", sequence, standing);
+  result.incarnation = Incarnation(incarnation);
+  return result;
 }
 
-struct Word {
+struct Received {
   std::uint64_t incarnation;
   std::uint64_t sequence;
   Standing standing;
@@ -87,7 +88,7 @@
   constexpr Standing kLeaving = Standing::kLeaving;
   struct Row {
     std::string name;
-    std::vector<Word> words;
+    std::vector<Received> received;
     std::uint64_t incarnation;
     std::uint64_t sequence;
     Standing standing;
@@ -135,13 +136,14 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    TargetBook book{TargetBookOptions{}};
-    for (const Word& word : row.words) {
-      book.Announce(BeatOf(word.incarnation, word.sequence, word.standing),
-                    kStart + word.at);
+    TargetRegistry registry{TargetRegistryOptions{}};
+    for (const Received& message : row.received) {
+      registry.Announce(MakeAnnouncementOf(message.incarnation,
+                                           message.sequence, message.standing),
+                        kStart + message.at);
     }
     const TargetAnnouncement& known =
-        book.records().at(TargetId("t")).announcement;
+        registry.records().at(TargetId("t")).announcement;
     CHECK(known.incarnation == Incarnation(row.incarnation));
     CHECK(known.sequence == row.sequence);
     CHECK(known.standing == row.standing);
@@ -149,43 +151,44 @@
 }
 
 TEST_CASE("a start that left does not shut out the next one") {
-  TargetBook book{TargetBookOptions{}};
-  book.Announce(BeatOf(7, 40), kStart);
-  CHECK(book.Withdraw(TargetId("t"), Incarnation(7), kStart));
-  CHECK(book.Announce(BeatOf(9, 1), kStart + Seconds(1)));
-  CHECK(StandingOf(book, "t") == Standing::kReady);
+  TargetRegistry registry{TargetRegistryOptions{}};
+  registry.Announce(MakeAnnouncementOf(7, 40), kStart);
+  CHECK(registry.Withdraw(TargetId("t"), Incarnation(7), kStart));
+  CHECK(registry.Announce(MakeAnnouncementOf(9, 1), kStart + Seconds(1)));
+  CHECK(StandingOf(registry, "t") == Standing::kReady);
   // The leave of the old start arrives after the new one's announcement.
-  CHECK_FALSE(book.Withdraw(TargetId("t"), Incarnation(7), kStart));
-  CHECK(StandingOf(book, "t") == Standing::kReady);
-  CHECK(book.Withdraw(TargetId("t"), Incarnation(9), kStart));
-  CHECK_FALSE(book.Announce(BeatOf(9, 2), kStart + Seconds(2)));
-  CHECK(StandingOf(book, "t") == Standing::kGone);
+  CHECK_FALSE(registry.Withdraw(TargetId("t"), Incarnation(7), kStart));
+  CHECK(StandingOf(registry, "t") == Standing::kReady);
+  CHECK(registry.Withdraw(TargetId("t"), Incarnation(9), kStart));
+  CHECK_FALSE(registry.Announce(MakeAnnouncementOf(9, 2), kStart + Seconds(2)));
+  CHECK(StandingOf(registry, "t") == Standing::kGone);
 }
 
 TEST_CASE("a target falls silent and is heard again") {
-  TargetBookOptions options;
-  options.silence = Seconds(4);
-  TargetBook book(options);
-  book.Announce(Beat("t", 1), kStart);
-  CHECK_FALSE(book.Tick(kStart + Seconds(3)));
-  CHECK(book.Tick(kStart + Seconds(4)));
-  CHECK(book.records().at(TargetId("t")).is_silent);
-  CHECK(book.Announce(Beat("t", 2), kStart + Seconds(5)));
-  CHECK_FALSE(book.records().at(TargetId("t")).is_silent);
+  TargetRegistryOptions options;
+  options.silence_timeout = Seconds(4);
+  TargetRegistry registry(options);
+  registry.Announce(MakeAnnouncement("t", 1), kStart);
+  CHECK_FALSE(registry.Tick(kStart + Seconds(3)));
+  CHECK(registry.Tick(kStart + Seconds(4)));
+  CHECK(registry.records().at(TargetId("t")).is_silent);
+  CHECK(registry.Announce(MakeAnnouncement("t", 2), kStart + Seconds(5)));
+  CHECK_FALSE(registry.records().at(TargetId("t")).is_silent);
 }
 
 TEST_CASE("the book stays bounded") {
-  TargetBookOptions options;
+  TargetRegistryOptions options;
   options.max_records = 3;
-  TargetBook book(options);
+  TargetRegistry registry(options);
   for (int i = 0; i < 10; ++i) {
-    book.Announce(Beat("t" + std::to_string(i), 1), kStart + Seconds(i));
+    registry.Announce(MakeAnnouncement("t" + std::to_string(i), 1),
+                      kStart + Seconds(i));
   }
-  book.Tick(kStart + Seconds(10));
-  CHECK(book.records().size() == 3);
-  CHECK(book.records().count(TargetId("t9")) == 1);
-  book.Tick(kStart + Seconds(600));
-  CHECK(book.records().empty());
+  registry.Tick(kStart + Seconds(10));
+  CHECK(registry.records().size() == 3);
+  CHECK(registry.records().count(TargetId("t9")) == 1);
+  registry.Tick(kStart + Seconds(600));
+  CHECK(registry.records().empty());
 }
 
 }  // namespace
--- a/tests/auto/traffic/target_pool_test.cc
+++ b/tests/auto/traffic/target_pool_test.cc
@@ -44,7 +44,7 @@
       return "none";
     case NoChoice::kFull:
       return "full";
-    case NoChoice::kResting:
+    case NoChoice::kInCooldown:
       return "resting";
   }
   return "";
@@ -66,7 +66,7 @@
   CHECK(counts["a"] >= 5);
   CHECK(counts["a"] <= 11);
   CHECK(counts["a"] + counts["b"] == 200);
-  CHECK_FALSE(pool.LimitedFor(kService, kStart).has_value());
+  CHECK_FALSE(pool.TimeUntilWithinLimit(kService, kStart).has_value());
 }
 
 TEST_CASE("where all are limited, callers are told when the first is not") {
@@ -77,7 +77,7 @@
                        {{TargetId("b"), Incarnation(0)}, 4.0, 0.25}},
                       kStart);
   CHECK(Chosen(pool, kStart) == "full");
-  const auto wait = pool.LimitedFor(kService, kStart);
+  const auto wait = pool.TimeUntilWithinLimit(kService, kStart);
   REQUIRE(wait.has_value());
   CHECK(*wait > Milliseconds(1990));
   CHECK(*wait < Milliseconds(2010));
@@ -246,15 +246,15 @@
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
   const TargetId a("a");
-  CHECK_FALSE(pool.ShouldBeLeft(a, {a}, kStart));
+  CHECK_FALSE(pool.ShouldMoveRequests(a, {a}, kStart));
   pool.SetSlow("c1", {{"a:80", 4.0}});
-  CHECK(pool.ShouldBeLeft(a, {a}, kStart));
-  CHECK_FALSE(pool.ShouldBeLeft(TargetId("b"), {a}, kStart));
-  CHECK_FALSE(pool.ShouldBeLeft(a, {a, TargetId("b")}, kStart));
+  CHECK(pool.ShouldMoveRequests(a, {a}, kStart));
+  CHECK_FALSE(pool.ShouldMoveRequests(TargetId("b"), {a}, kStart));
+  CHECK_FALSE(pool.ShouldMoveRequests(a, {a, TargetId("b")}, kStart));
   for (int i = 0; i < 4; ++i) {
     CHECK(Chosen(pool, kStart) == "b");
   }
-  CHECK_FALSE(pool.ShouldBeLeft(a, {a}, kStart));
+  CHECK_FALSE(pool.ShouldMoveRequests(a, {a}, kStart));
 }
 
 // Symptom: requests go on to a target whose VM is frozen. Cause: it is the one
@@ -262,9 +262,9 @@
 TEST_CASE("a target that answers nobody comes after all that answer") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
-  pool.SetSlow("c1", {{"a:80", kMissingPace}});
-  CHECK(pool.IsMissing(TargetId("a")));
-  CHECK_FALSE(pool.IsMissing(TargetId("b")));
+  pool.SetSlow("c1", {{"a:80", kUnresponsivePace}});
+  CHECK(pool.IsUnresponsive(TargetId("a")));
+  CHECK_FALSE(pool.IsUnresponsive(TargetId("b")));
   CHECK(Chosen(pool, kStart) == "b");
   CHECK(Chosen(pool, kStart) == "b");
   // It is no reason to refuse.
@@ -278,7 +278,7 @@
   CHECK(Chosen(pool, kStart, {TargetId("a")}) == "b");
   pool.OnFirstByte(TargetId("b"), Milliseconds(50), kStart + Milliseconds(900));
   const TimePoint later = kStart + Milliseconds(1200);
-  pool.OnHeard(TargetId("b"), later);
+  pool.OnBytesReceived(TargetId("b"), later);
   CHECK(pool.IsSuspect(TargetId("a"), later));
   CHECK(Chosen(pool, later) == "b");
   CHECK(Chosen(pool, later) == "b");
--- a/tests/auto/traffic/text_fetch_test.cc
+++ b/tests/auto/traffic/text_fetch_test.cc
@@ -13,65 +13,67 @@
   return TimeAt(Seconds(100) + Milliseconds(ms));
 }
 
-ToldText Told(std::uint64_t version, std::uint64_t bytes, bool is_from_home) {
-  return {version, bytes, kGateways, is_from_home};
+ReportedConfiguration Reported(std::uint64_t version,
+                               std::uint64_t bytes,
+                               bool is_from_home_node) {
+  return {version, bytes, kGateways, is_from_home_node};
 }
 
-TextFetch MakeFetch() {
-  return TextFetch(TextFetchOptions{});
+ConfigurationFetch MakeFetch() {
+  return ConfigurationFetch(ConfigurationFetchOptions{});
 }
 
 TEST_CASE("a small text is fetched from whoever tells first, once") {
-  TextFetch fetch = MakeFetch();
-  CHECK(fetch.ShouldStart(Told(5, kSmall, false), 4, At(0)));
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kSmall, true), 4, At(10)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK(fetch.ShouldStart(Reported(5, kSmall, false), 4, At(0)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kSmall, true), 4, At(10)));
 }
 
 TEST_CASE("what is in force is not fetched") {
-  TextFetch fetch = MakeFetch();
-  CHECK_FALSE(fetch.ShouldStart(Told(4, kSmall, true), 4, At(0)));
-  CHECK_FALSE(fetch.ShouldStart(Told(3, kSmall, true), 4, At(0)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK_FALSE(fetch.ShouldStart(Reported(4, kSmall, true), 4, At(0)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(3, kSmall, true), 4, At(0)));
 }
 
 // Symptom: a gateway serves by an old configuration 2.5 s after the new one was
 // confirmed. Sequence: a text of half a megabyte is accepted; all gateways ask
 // the node that leads. Cause: nobody waited for another node that has it too.
 TEST_CASE("a large text is fetched from the gateway's own node") {
-  TextFetch fetch = MakeFetch();
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, false), 4, At(0)));
-  CHECK(fetch.ShouldStart(Told(5, kLarge, true), 4, At(120)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(0)));
+  CHECK(fetch.ShouldStart(Reported(5, kLarge, true), 4, At(120)));
 }
 
 TEST_CASE("a node of one's own that says nothing is not waited for long") {
-  TextFetch fetch = MakeFetch();
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, false), 4, At(0)));
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, false), 4, At(300)));
-  CHECK(fetch.ShouldStart(Told(5, kLarge, false), 4, At(400)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(0)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(300)));
+  CHECK(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(400)));
 }
 
 // Cause of the same symptom: a fetch counted as failed after 300 ms, and the
 // text was asked for up to six times.
 TEST_CASE("a large text that is on its way is not asked for again") {
-  TextFetch fetch = MakeFetch();
-  CHECK(fetch.ShouldStart(Told(5, kLarge, true), 4, At(0)));
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, false), 4, At(500)));
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, false), 4, At(1400)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK(fetch.ShouldStart(Reported(5, kLarge, true), 4, At(0)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(500)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(1400)));
   // 0.3 s and 600,000 bytes at 500,000 a second.
-  CHECK(fetch.ShouldStart(Told(5, kLarge, false), 4, At(1500)));
+  CHECK(fetch.ShouldStart(Reported(5, kLarge, false), 4, At(1500)));
 }
 
 TEST_CASE("a fetch that failed is followed by another") {
-  TextFetch fetch = MakeFetch();
-  CHECK(fetch.ShouldStart(Told(5, kSmall, false), 4, At(0)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK(fetch.ShouldStart(Reported(5, kSmall, false), 4, At(0)));
   fetch.OnFailed();
-  CHECK(fetch.ShouldStart(Told(5, kSmall, false), 4, At(1)));
+  CHECK(fetch.ShouldStart(Reported(5, kSmall, false), 4, At(1)));
 }
 
 TEST_CASE("a newer text does not wait for an older one") {
-  TextFetch fetch = MakeFetch();
-  CHECK(fetch.ShouldStart(Told(5, kLarge, true), 4, At(0)));
-  CHECK(fetch.ShouldStart(Told(6, kLarge, true), 4, At(50)));
-  CHECK_FALSE(fetch.ShouldStart(Told(5, kLarge, true), 4, At(60)));
+  ConfigurationFetch fetch = MakeFetch();
+  CHECK(fetch.ShouldStart(Reported(5, kLarge, true), 4, At(0)));
+  CHECK(fetch.ShouldStart(Reported(6, kLarge, true), 4, At(50)));
+  CHECK_FALSE(fetch.ShouldStart(Reported(5, kLarge, true), 4, At(60)));
 }
 
 }  // namespace
