--- a/src/libs/traffic/text_fetch.h
+++ b/src/libs/traffic/configuration_fetch.h
@@ -11,8 +11,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_TRAFFIC_TEXT_FETCH_H_
-#define LIBS_TRAFFIC_TEXT_FETCH_H_
+#ifndef LIBS_TRAFFIC_CONFIGURATION_FETCH_H_
+#define LIBS_TRAFFIC_CONFIGURATION_FETCH_H_
 
 #include <cstdint>
 
@@ -64,4 +64,4 @@
 
 }  // namespace bilberryspool::traffic
 
-#endif  // LIBS_TRAFFIC_TEXT_FETCH_H_
+#endif  // LIBS_TRAFFIC_CONFIGURATION_FETCH_H_
--- a/src/libs/traffic/group_outlook.h
+++ b/src/libs/traffic/group_availability.h
@@ -10,8 +10,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_TRAFFIC_GROUP_OUTLOOK_H_
-#define LIBS_TRAFFIC_GROUP_OUTLOOK_H_
+#ifndef LIBS_TRAFFIC_GROUP_AVAILABILITY_H_
+#define LIBS_TRAFFIC_GROUP_AVAILABILITY_H_
 
 #include <map>
 #include <optional>
@@ -65,4 +65,4 @@
 
 }  // namespace bilberryspool::traffic
 
-#endif  // LIBS_TRAFFIC_GROUP_OUTLOOK_H_
+#endif  // LIBS_TRAFFIC_GROUP_AVAILABILITY_H_
--- a/src/libs/traffic/wire_dialect.h
+++ b/src/libs/traffic/header_names.h
@@ -2,8 +2,8 @@
 // answers. The product says what a field means; what it is called is decided
 // where the program is put together.
 
-#ifndef LIBS_TRAFFIC_WIRE_DIALECT_H_
-#define LIBS_TRAFFIC_WIRE_DIALECT_H_
+#ifndef LIBS_TRAFFIC_HEADER_NAMES_H_
+#define LIBS_TRAFFIC_HEADER_NAMES_H_
 
 #include <functional>
 #include <string>
@@ -48,4 +48,4 @@
 
 }  // namespace bilberryspool::traffic
 
-#endif  // LIBS_TRAFFIC_WIRE_DIALECT_H_
+#endif  // LIBS_TRAFFIC_HEADER_NAMES_H_
--- a/src/libs/traffic/target_codec.h
+++ b/src/libs/traffic/target_codec.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "libs/packing/packed_text.h"
-#include "libs/traffic/target_book.h"
+#include "libs/traffic/target_registry.h"
 
 namespace bilberryspool::traffic {
 
--- a/src/libs/traffic/target_hearing.cc
+++ b/src/libs/traffic/target_liveness.cc
@@ -1,4 +1,4 @@
-#include "libs/traffic/target_hearing.h"
+#include "libs/traffic/target_liveness.h"
 
 #include <algorithm>
 
--- a/src/libs/traffic/target_hearing.h
+++ b/src/libs/traffic/target_liveness.h
@@ -8,8 +8,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_TRAFFIC_TARGET_HEARING_H_
-#define LIBS_TRAFFIC_TARGET_HEARING_H_
+#ifndef LIBS_TRAFFIC_TARGET_LIVENESS_H_
+#define LIBS_TRAFFIC_TARGET_LIVENESS_H_
 
 #include <cstdint>
 #include <map>
@@ -87,4 +87,4 @@
 
 }  // namespace bilberryspool::traffic
 
-#endif  // LIBS_TRAFFIC_TARGET_HEARING_H_
+#endif  // LIBS_TRAFFIC_TARGET_LIVENESS_H_
--- a/src/libs/traffic/target_pool.h
+++ b/src/libs/traffic/target_pool.h
@@ -21,9 +21,9 @@
 
 #include "libs/base/random.h"
 #include "libs/declared_limits/limit_accounts.h"
-#include "libs/traffic/group_outlook.h"
-#include "libs/traffic/target_book.h"
-#include "libs/traffic/target_hearing.h"
+#include "libs/traffic/group_availability.h"
+#include "libs/traffic/target_liveness.h"
+#include "libs/traffic/target_registry.h"
 
 namespace bilberryspool::traffic {
 
--- a/src/libs/traffic/target_book.cc
+++ b/src/libs/traffic/target_registry.cc
@@ -1,4 +1,4 @@
-#include "libs/traffic/target_book.h"
+#include "libs/traffic/target_registry.h"
 
 #include <algorithm>
 
--- a/src/libs/traffic/target_book.h
+++ b/src/libs/traffic/target_registry.h
@@ -14,8 +14,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_TRAFFIC_TARGET_BOOK_H_
-#define LIBS_TRAFFIC_TARGET_BOOK_H_
+#ifndef LIBS_TRAFFIC_TARGET_REGISTRY_H_
+#define LIBS_TRAFFIC_TARGET_REGISTRY_H_
 
 #include <cstdint>
 #include <map>
@@ -88,4 +88,4 @@
 
 }  // namespace bilberryspool::traffic
 
-#endif  // LIBS_TRAFFIC_TARGET_BOOK_H_
+#endif  // LIBS_TRAFFIC_TARGET_REGISTRY_H_
--- a/src/libs/traffic/watch_codec.h
+++ b/src/libs/traffic/watch_codec.h
@@ -14,7 +14,7 @@
 #include "libs/declared_limits/declared_limit.h"
 #include "libs/packing/packed_text.h"
 #include "libs/quarantine/quarantine_record.h"
-#include "libs/traffic/target_book.h"
+#include "libs/traffic/target_registry.h"
 
 namespace bilberryspool::traffic {
 
--- a/src/plugins/control_node/control_node_process.h
+++ b/src/plugins/control_node/control_node_process.h
@@ -8,7 +8,7 @@
 
 #include "libs/net/http_server.h"
 #include "libs/settings/settings.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 #include "plugins/sidecar/engine_protocol.h"
 
 namespace bilberryspool::control_node {
--- a/src/plugins/control_node/target_news.h
+++ b/src/plugins/control_node/target_news.h
@@ -17,7 +17,7 @@
 
 #include "libs/base/time.h"
 #include "libs/packing/packed_text.h"
-#include "libs/traffic/target_book.h"
+#include "libs/traffic/target_registry.h"
 
 namespace bilberryspool::control_node {
 
--- a/src/plugins/gateway/control_follower.h
+++ b/src/plugins/gateway/control_follower.h
@@ -14,9 +14,9 @@
 
 #include "libs/links/link_client.h"
 #include "libs/telemetry/log.h"
-#include "libs/traffic/text_fetch.h"
+#include "libs/traffic/configuration_fetch.h"
+#include "libs/traffic/header_names.h"
 #include "libs/traffic/watch_codec.h"
-#include "libs/traffic/wire_dialect.h"
 #include "plugins/gateway/gateway_state.h"
 
 namespace bilberryspool::gateway {
--- a/src/plugins/gateway/gateway_process.h
+++ b/src/plugins/gateway/gateway_process.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "libs/settings/settings.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 
 namespace bilberryspool::gateway {
 
--- a/src/plugins/gateway/request_head.h
+++ b/src/plugins/gateway/request_head.h
@@ -9,7 +9,7 @@
 
 #include "libs/base/time.h"
 #include "libs/net/http_message.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 
 namespace bilberryspool::gateway {
 
--- a/src/tools/soak/soak_callers.h
+++ b/src/tools/soak/soak_callers.h
@@ -12,7 +12,7 @@
 #include "libs/base/random.h"
 #include "libs/net/http_client.h"
 #include "libs/net/network_loop.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 #include "tools/soak/ledger.h"
 
 namespace bilberryspool::soak {
--- a/src/tools/soak/soak_run.h
+++ b/src/tools/soak/soak_run.h
@@ -13,7 +13,7 @@
 
 #include "libs/net/http_client.h"
 #include "libs/net/network_loop.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 #include "tools/soak/deployment.h"
 #include "tools/soak/fault_plan.h"
 #include "tools/soak/ledger.h"
--- a/src/tools/soak/soak_target.h
+++ b/src/tools/soak/soak_target.h
@@ -12,8 +12,8 @@
 #include "libs/net/http_client.h"
 #include "libs/net/http_server.h"
 #include "libs/net/network_loop.h"
+#include "libs/traffic/header_names.h"
 #include "libs/traffic/target_announcement.h"
-#include "libs/traffic/wire_dialect.h"
 #include "tools/blackhole/relay.h"
 #include "tools/soak/ledger.h"
 
--- a/tests/auto/declared_limits/limit_world.cc
+++ b/tests/auto/declared_limits/limit_world.cc
@@ -11,7 +11,7 @@
 constexpr Duration kSettling = Seconds(3);
 constexpr Duration kUntilCounted = Milliseconds(500);
 constexpr Duration kWindow = Seconds(4);
-constexpr Duration kMaxWatchDuration = Seconds(1);
+constexpr Duration kLongestWatch = Seconds(1);
 constexpr Duration kBetweenNews = Milliseconds(250);
 constexpr Duration kWatchPoll = Milliseconds(10);
 constexpr Duration kUnlimited = Seconds(3);
@@ -211,7 +211,7 @@
     for (const LimitStatement& statement : statements) {
       controls_[control]->book.Note(statement, now_);
     }
-    Answer(number, control, now_ + kMaxWatchDuration);
+    Answer(number, control, now_ + kLongestWatch);
   });
 }
 
@@ -222,7 +222,7 @@
   const bool has_news = gateways_[number].revisions[control] != book.revision();
   // News are gathered for a moment.
   const TimePoint until =
-      has_news ? limit - kMaxWatchDuration + kBetweenNews : limit;
+      has_news ? limit - kLongestWatch + kBetweenNews : limit;
   if (now_ < until) {
     After(kWatchPoll, [=, this] { Answer(number, control, limit); });
     return;
--- a/tests/auto/replay/lockstep_world.cc
+++ b/tests/auto/replay/lockstep_simulation.cc
@@ -1,4 +1,4 @@
-#include "auto/replay/lockstep_world.h"
+#include "auto/replay/lockstep_simulation.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/auto/replay/lockstep_world.h
+++ b/tests/auto/replay/lockstep_simulation.h
@@ -5,8 +5,8 @@
 // rank's own part and the part of the experts; a rank without requests has no
 // own part. Callers leave after two seconds without an event.
 
-#ifndef AUTO_REPLAY_LOCKSTEP_WORLD_H_
-#define AUTO_REPLAY_LOCKSTEP_WORLD_H_
+#ifndef AUTO_REPLAY_LOCKSTEP_SIMULATION_H_
+#define AUTO_REPLAY_LOCKSTEP_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -115,4 +115,4 @@
 
 }  // namespace bilberryspool::replay
 
-#endif  // AUTO_REPLAY_LOCKSTEP_WORLD_H_
+#endif  // AUTO_REPLAY_LOCKSTEP_SIMULATION_H_
--- a/tests/auto/replay/slow_rank_test.cc
+++ b/tests/auto/replay/slow_rank_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "auto/replay/lockstep_world.h"
+#include "auto/replay/lockstep_simulation.h"
 #include "libs/groups/slow_ranks.h"
 
 namespace bilberryspool::replay {
--- a/tests/auto/traffic/text_fetch_test.cc
+++ b/tests/auto/traffic/configuration_fetch_test.cc
@@ -1,4 +1,4 @@
-#include "libs/traffic/text_fetch.h"
+#include "libs/traffic/configuration_fetch.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/traffic/group_outlook_test.cc
+++ b/tests/auto/traffic/group_availability_test.cc
@@ -1,4 +1,4 @@
-#include "libs/traffic/group_outlook.h"
+#include "libs/traffic/group_availability.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/traffic/target_book_test.cc
+++ b/tests/auto/traffic/target_registry_test.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "libs/traffic/target_book.h"
+#include "libs/traffic/target_registry.h"
 
 namespace bilberryspool::traffic {
 namespace {
