--- a/src/libs/traffic/event_splitter.cc
+++ b/src/libs/traffic/event_splitter.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The end of the last blank line of `text`, or 0: an event ends with one, and
-// its lines end with "\n" or "\r\n".
+// Position after the last blank line of `text`, or 0. A blank line ends an
+// event; lines end with "\n" or "\r\n".
 std::size_t EndOfLastEvent(std::string_view text) {
   std::size_t end = 0;
   const std::size_t plain = text.rfind("\n\n");
--- a/src/libs/traffic/event_splitter.h
+++ b/src/libs/traffic/event_splitter.h
@@ -1,4 +1,4 @@
-// Cuts the bytes of a stream into whole events.
+// Splits the bytes of an event stream into complete events.
 
 #ifndef LIBS_TRAFFIC_EVENT_SPLITTER_H_
 #define LIBS_TRAFFIC_EVENT_SPLITTER_H_
@@ -9,20 +9,21 @@
 
 namespace bilberryspool::traffic {
 
-// Engines may stop in the middle of an event. A caller that was given half an
-// event could not be given the rest by another engine, so only whole events
-// go on; the half one waits here and is forgotten with its run.
+// Buffers the incomplete last event of a stream. An engine may stop in the
+// middle of an event, and another engine cannot supply the rest of it, so only
+// complete events are forwarded to the caller. The incomplete one is discarded
+// together with its run.
 class EventSplitter {
  public:
-  // Takes bytes and gives back the whole events among them, as they came;
-  // empty where none has ended.
+  // Appends bytes and returns the events that are complete now, unchanged;
+  // empty if there are none.
   std::string Take(std::string_view bytes);
 
-  // The id of the last whole event, once there was one with an id.
+  // The id of the last complete event that had one.
   const std::optional<std::string>& last_id() const { return last_id_; }
-  // Bytes of an event that has not ended.
+  // Bytes of the incomplete event.
   const std::string& unfinished() const { return pending_; }
-  // For a new run that goes on after the last whole event.
+  // Call before a new run that continues after the last complete event.
   void DiscardUnfinished();
 
  private:
--- a/src/libs/traffic/group_availability.cc
+++ b/src/libs/traffic/group_availability.cc
@@ -13,7 +13,7 @@
   }
   Group& group = groups_[announcement.service][announcement.group->group];
   if (announcement.group->epoch < group.epoch) {
-    // A rank that has not heard of the newer epoch, or has just started.
+    // The rank has not learned of the newer epoch yet, or has just started.
     if (has_returned && !group.is_open) {
       group.returned_at = now;
     }
@@ -22,7 +22,7 @@
   const bool is_newer = announcement.group->epoch > group.epoch;
   const bool was_open = group.is_open;
   group.epoch = announcement.group->epoch;
-  // Within one epoch a group that has broken does not open again.
+  // A group that broke does not open again within the same epoch.
   group.is_open = announcement.group->is_open && (is_newer || was_open);
   if (group.is_open) {
     group.returned_at.reset();
@@ -43,7 +43,7 @@
 
 void GroupAvailability::OnServed(const ServiceId& service) {
   const auto found = groups_.find(service);
-  // With several groups it is not known which one served.
+  // With several groups it is unknown which one served the request.
   if (found != groups_.end() && found->second.size() == 1) {
     Group& group = found->second.begin()->second;
     group.is_open = true;
--- a/src/libs/traffic/group_availability.h
+++ b/src/libs/traffic/group_availability.h
@@ -1,14 +1,14 @@
-// Whether the lock-step group behind a service works, and if not whether it is
-// about to.
+// Tracks whether the lock-step group behind a service is available, and if not,
+// whether it is about to be.
 //
-// One lost rank stops its whole group for seconds. A request that is refused
-// just before the group forms anew comes back too late for its caller, and one
-// that is sent there meanwhile is only refused by the engine. Groups form
-// within a known time of the return of the last rank; that return shows, as a
-// new target with a place in the group, as a target that was silent, or as a
-// control node that was cut off and answers again.
+// A lost rank stops its whole group for seconds. A request that is refused just
+// before the group forms again is retried too late by its caller, and one that
+// is sent in the meantime is refused by the engine. A group forms within a
+// known time after its last rank returns. That return shows as a new target
+// with a rank in the group, as a target that was silent before, or as a control
+// node that was disconnected and responds again.
 //
-// Pure: events and `now` in, decisions out.
+// Pure: takes events and `now`, has no input or output.
 
 #ifndef LIBS_TRAFFIC_GROUP_AVAILABILITY_H_
 #define LIBS_TRAFFIC_GROUP_AVAILABILITY_H_
@@ -22,15 +22,16 @@
 namespace bilberryspool::traffic {
 
 enum class Availability {
-  kOpen,     // works, or nothing is known to the contrary
-  kForming,  // about to work
+  kOpen,     // available as far as is known
+  kForming,  // unavailable, about to be available
   kBroken,
 };
 
 struct GroupAvailabilityOptions {
-  // From the return of the last rank until the group works: engines take 0.6 s
-  // by their description, 0.38 to 0.61 s were left when the news came here, and
-  // a third on top for a slow node on the way.
+  // Time from the return of the last rank until the group is available. Engines
+  // need 0.6 s according to their description, of which 0.38 to 0.61 s were
+  // left when the update arrived here; a third is added for a slow control node
+  // on the way.
   Duration formation_time = Milliseconds(900);
 };
 
@@ -39,24 +40,26 @@
   explicit GroupAvailability(GroupAvailabilityOptions options)
       : options_(options) {}
 
-  // News of a target. `has_returned`: it was not known, or was silent.
+  // Handles an update about a target. `has_returned` says that the target was
+  // unknown or silent before.
   void OnAnnouncement(const TargetAnnouncement& announcement,
                       bool has_returned,
                       TimePoint now);
-  // A part of the system is reachable again.
+  // Call when a part of the system, such as a control node, is reachable again.
   void OnReconnected(TimePoint now);
-  // A request was served there: whatever was told before, it works.
+  // Call when the service has served a request. Its group is available then,
+  // whatever was reported before.
   void OnServed(const ServiceId& service);
 
   Availability AvailabilityOf(const ServiceId& service, TimePoint now) const;
-  // While it is forming: when that is over.
+  // When the formation of a group in state kForming is expected to end.
   TimePoint forming_until(const ServiceId& service) const;
 
  private:
   struct Group {
     std::uint64_t epoch = 0;
     bool is_open = true;
-    std::optional<TimePoint> returned_at;  // while it is broken
+    std::optional<TimePoint> returned_at;  // only while not open
   };
 
   GroupAvailabilityOptions options_;
--- a/src/libs/traffic/header_names.h
+++ b/src/libs/traffic/header_names.h
@@ -1,6 +1,6 @@
-// The names that a deployment gives to the header fields of requests and
-// answers. The product says what a field means; what it is called is decided
-// where the program is put together.
+// The names of the header fields of requests and responses. This library
+// defines the meaning of the fields; the program that is built for a deployment
+// sets their names.
 
 #ifndef LIBS_TRAFFIC_HEADER_NAMES_H_
 #define LIBS_TRAFFIC_HEADER_NAMES_H_
@@ -15,33 +15,34 @@
 namespace bilberryspool::traffic {
 
 struct HeaderNames {
-  // Of the caller's request; each try of a caller has its own.
+  // From a caller: the id of the request; each retry of a caller has its own.
   std::string request_id;
-  // How many milliseconds the caller waits; to a target: how many are left.
+  // From a caller: its timeout in milliseconds. To a target: the milliseconds
+  // left.
   std::string deadline_ms;
-  // The caller's key; never passed on.
+  // From a caller: its key; never forwarded.
   std::string key;
-  // To a target: the workspace that holds the key.
+  // To a target: the workspace that the key belongs to.
   std::string workspace;
-  // To a target: the one that is meant; any other refuses.
+  // To a target: the target that is meant; any other one refuses the request.
   std::string expected_target;
-  // To an engine: 0 (first) to 9.
+  // To an engine: the priority from 0 (highest) to 9.
   std::string priority;
   // From a target: it did not run the request and never will.
   std::string not_executed;
-  // From a target: the signature over its answer, passed on.
+  // From a target: the signature of its response; forwarded to the caller.
   std::string signature;
   // From a target: "RUNNING,WAITING,SLOTS".
   std::string load;
-  // From a target that refuses: the one that is at fault, where it knows.
+  // From a target that refuses a request: the target at fault, if known.
   std::string at_fault;
-  // From a target: requests a second that it takes from all callers together;
-  // as long as it says so.
+  // From a target: the number of requests per second that it accepts from all
+  // callers together. Valid as long as the target sends it.
   std::string limit;
 };
 
-// Reads a whole configuration as the operator sends it; a sentence that says
-// what is wrong where it can't be read. FindFault() is asked separately.
+// Parses a complete configuration as sent by the operator, or returns a
+// sentence that describes the error. Does not call FindFault().
 using ConfigurationReader =
     std::function<std::variant<TrafficConfiguration, std::string>(
         std::string_view text)>;
--- a/src/libs/traffic/relay_rules.cc
+++ b/src/libs/traffic/relay_rules.cc
@@ -4,10 +4,11 @@
 
 namespace {
 
-// With less time than this left no target can answer.
+// Minimum time left for another send; with less no target can respond in time.
 constexpr Duration kMinSendTime = Milliseconds(10);
 
-// Callers leave after two seconds without an event.
+// Callers disconnect after two seconds without an event; the response has to
+// reach them before.
 constexpr Duration kMaxSilenceOfLostTarget = Milliseconds(1700);
 
 }  // namespace
--- a/src/libs/traffic/relay_rules.h
+++ b/src/libs/traffic/relay_rules.h
@@ -1,4 +1,4 @@
-// What follows when a target did not serve a request.
+// Decides what to do after a target did not serve a request.
 
 #ifndef LIBS_TRAFFIC_RELAY_RULES_H_
 #define LIBS_TRAFFIC_RELAY_RULES_H_
@@ -9,19 +9,19 @@
 
 namespace bilberryspool::traffic {
 
-// How one send ended, where it was not a whole success.
+// How a send ended that was not fully successful.
 enum class SendResult {
-  kNotSent,      // no connection: not a byte left this process
-  kNotExecuted,  // the target says that it did not run it and never will
-  kFailed,       // the target ran it and answered a failure
-  kUnknown,      // it may have run: broke off, silent, or spoke nonsense
+  kNotSent,      // no connection; not a byte was sent
+  kNotExecuted,  // the target did not run it and never will
+  kFailed,       // the target ran it and responded with a failure
+  kUnknown,      // may have run: disconnected, silent or invalid response
 };
 
 struct RelayState {
   // Whether the request may run more than once.
   bool may_repeat = false;
   SendResult last = SendResult::kNotSent;
-  // Whether a send before the last one may have run it.
+  // Whether a send before the last one may have run the request.
   bool may_have_run_before = false;
   std::uint32_t sends = 0;
   std::uint32_t allowed_sends = 1;
@@ -29,31 +29,33 @@
 };
 
 enum class RelayStep {
-  kRetry,           // to another target
-  kForwardFailure,  // the target's own failure, as it is
-  kRefuse,          // not run, and never will be: say when to come back
-  kFail,            // it may have run, or ran and left no answer
-  kFailTimeout,     // the same, because the time is over
+  kRetry,           // send to another target
+  kForwardFailure,  // forward the target's own failure unchanged
+  kRefuse,          // not run and never will be; tell when to retry
+  kFail,            // may have run, or has run without a response
+  kFailTimeout,     // as kFail, because the deadline has passed
 };
 
-// What a caller waits for.
+// The state of a caller that waits for a response.
 struct CallerWait {
-  // Since the last event, or since the request came.
+  // Time since the last event, or since the request arrived.
   Duration silent_for{};
-  // Control nodes tell that the target answers nobody.
+  // Control nodes report that the target responds to nobody.
   bool is_target_unresponsive = false;
 };
 
-// Whether the caller is about to leave a target that can't be told so. The VM
-// beside it is frozen or cut off: its run goes on there whatever is sent, and
-// where its group stands still no other target is a better place. An answer now
-// lets the caller come back while there is time; left alone, the caller leaves
-// a moment later and the run goes on for nobody.
+// Whether the caller is about to disconnect from a target that cannot be
+// notified of it because the VM beside it is frozen or disconnected. The run
+// continues there whatever is sent, and if its group is stalled, no other
+// target is better. A response now lets the caller retry while there is time;
+// without one, the caller disconnects a moment later and the run continues for
+// nobody.
 bool IsTargetLost(const CallerWait& wait);
 
-// The rules: what may not be repeated is sent again only on proof that it did
-// not run, since a caller may act twice on an answer given twice; what may
-// have run is never called refused, since the caller would send it again.
+// Returns the next step. A request that may not be repeated is only sent again
+// if it provably did not run, because the caller may act on both responses. A
+// request that may have run is never reported as refused, because the caller
+// would send it again.
 RelayStep NextStep(const RelayState& state);
 
 }  // namespace bilberryspool::traffic
--- a/src/libs/traffic/route_table.cc
+++ b/src/libs/traffic/route_table.cc
@@ -12,8 +12,8 @@
   }
 }
 
-// Prefixes end with a slash, so only the path's own slashes can end one; the
-// longest is tried first.
+// Prefixes end with a slash, so only the prefixes of `path` that end with a
+// slash are looked up, the longest first.
 const Route* RouteTable::FindRoute(std::string_view host,
                                    std::string_view path) const {
   const auto prefixes = routes_.find(host);
--- a/src/libs/traffic/route_table.h
+++ b/src/libs/traffic/route_table.h
@@ -1,4 +1,4 @@
-// Finds the route of a request and whose it is.
+// Finds the route of a request and the workspace that it belongs to.
 
 #ifndef LIBS_TRAFFIC_ROUTE_TABLE_H_
 #define LIBS_TRAFFIC_ROUTE_TABLE_H_
@@ -15,7 +15,7 @@
 namespace bilberryspool::traffic {
 
 struct NoRoute {};
-// No key, or one that no workspace holds.
+// The request has no key or one that belongs to no workspace.
 struct KeyUnknown {};
 
 // A request that the configuration allows.
@@ -34,8 +34,8 @@
   explicit RouteTable(
       std::shared_ptr<const TrafficConfiguration> configuration);
 
-  // `host` without a port, `path` without a query; `key` is empty where the
-  // request shows none.
+  // `host` has no port, `path` has no query; `key` is empty if the request has
+  // none.
   RouteOutcome Match(std::string_view host,
                      std::string_view path,
                      std::string_view key) const;
@@ -46,14 +46,15 @@
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
   std::shared_ptr<const TrafficConfiguration> configuration_;
-  // By host, then by prefix.
+  // By host, then by path prefix.
   std::map<std::string,
            std::map<std::string, const Route*, std::less<>>,
            std::less<>>
       routes_;
 };
 
-// The service that a request goes to: `draw` is uniform in [0, 1).
+// Chooses the service for a request according to the weights of the splits.
+// `draw` is a uniform random number in [0, 1).
 const ServiceId& ChooseService(const Route& route, double draw);
 
 }  // namespace bilberryspool::traffic
--- a/src/libs/traffic/target_announcement.h
+++ b/src/libs/traffic/target_announcement.h
@@ -1,4 +1,4 @@
-// What a target says of itself, and how the system sees it.
+// What a target announces about itself.
 
 #ifndef LIBS_TRAFFIC_TARGET_ANNOUNCEMENT_H_
 #define LIBS_TRAFFIC_TARGET_ANNOUNCEMENT_H_
@@ -11,15 +11,15 @@
 
 namespace bilberryspool::traffic {
 
-// In the order in which one start of a target passes through them; none goes
-// back.
+// Lifecycle state of a target. One incarnation passes through the states in
+// this order and never goes back.
 enum class Standing {
   kReady,
-  kLeaving,  // finishes what it has; takes no new work
-  kGone,     // ended, or never to be used again
+  kLeaving,  // finishes its requests; takes no new ones
+  kGone,     // terminated, or not to be used any more
 };
 
-// The place of a target in a group that runs in lock-step.
+// The rank of a target in a group that runs in lock-step.
 struct GroupMembership {
   GroupId group;
   std::uint64_t epoch = 0;
@@ -30,20 +30,22 @@
   bool operator==(const GroupMembership&) const = default;
 };
 
-// `target` names a back end. A restart may be another target, also at the same
-// address, or the same one as a later incarnation, which knows nothing of what
-// the earlier one ran or was ordered.
+// After a restart there may be a different target, possibly at the same
+// address, or the same target with a later incarnation. A later incarnation
+// does not know what the earlier one ran or which orders it received.
 struct TargetAnnouncement {
   TargetId target;
-  // The start that speaks; later starts have higher ones as long as the clock
-  // of its VM does not step back. 0: not told.
+  // The start of the target that sent this. Later starts have higher
+  // incarnations unless the clock of the target's VM steps back. 0 if not
+  // reported.
   Incarnation incarnation;
   ServiceId service;
   std::string address;  // "ip:port"
   FailureDomain domain;
   std::uint32_t slots = 0;
   Standing standing = Standing::kReady;
-  // Grows with each announcement of one incarnation: a late one is told by it.
+  // Increases with each announcement of one incarnation, so that late
+  // announcements are recognized.
   std::uint64_t sequence = 0;
   std::optional<GroupMembership> group;
 
--- a/src/libs/traffic/target_codec.cc
+++ b/src/libs/traffic/target_codec.cc
@@ -71,7 +71,7 @@
   const auto slots = Number(*object, "slots");
   const auto standing = Number(*object, "standing");
   const auto sequence = Number(*object, "sequence");
-  // Nodes of an earlier version don't tell it.
+  // Nodes of an earlier version don't send it.
   const auto incarnation = object->contains("incarnation")
                                ? Number(*object, "incarnation")
                                : std::optional<std::uint64_t>(0);
@@ -102,8 +102,8 @@
 }
 
 packing::PackedText PackTargets(const std::vector<TargetRecord>& records) {
-  // Bytes; about three records. Below it the frame and base64 take what packing
-  // saves.
+  // In bytes; about three records. Below this size the frame and base64 take up
+  // what compression saves.
   constexpr std::size_t kWorthPacking = 1024;
   json::array array;
   for (const TargetRecord& record : records) {
--- a/src/libs/traffic/target_codec.h
+++ b/src/libs/traffic/target_codec.h
@@ -1,4 +1,4 @@
-// Target records between control nodes and gateways, as JSON.
+// JSON encoding of target records, as sent by control nodes to gateways.
 
 #ifndef LIBS_TRAFFIC_TARGET_CODEC_H_
 #define LIBS_TRAFFIC_TARGET_CODEC_H_
@@ -12,15 +12,17 @@
 
 namespace bilberryspool::traffic {
 
-// The revision and the time stay behind: they mean something in one book only.
+// The revision and the time are left out: they are only meaningful within one
+// registry.
 boost::json::value ToJson(const TargetRecord& record);
-// Nothing where `json` is not what ToJson makes.
+// Returns nothing if `json` does not have the form that ToJson() writes.
 std::optional<TargetRecord> TargetRecordFromJson(
     const boost::json::value& json);
 
-// Many records as one text; short ones are not packed, which gains nothing.
+// Packs records into one text. Short texts are not compressed because that
+// saves nothing.
 packing::PackedText PackTargets(const std::vector<TargetRecord>& records);
-// Nothing where the text is not what PackTargets makes.
+// Returns nothing if the text does not have the form that PackTargets() writes.
 std::optional<std::vector<TargetRecord>> UnpackTargets(
     const packing::PackedText& text);
 
--- a/src/libs/traffic/target_pool.cc
+++ b/src/libs/traffic/target_pool.cc
@@ -6,14 +6,15 @@
 
 namespace {
 
-// Costs beside the share of slots in use. A silent target comes after all that
-// are heard, a resting one after all that are not.
+// Costs in addition to the share of slots in use. Silent targets come after all
+// others, and targets in cooldown after all that are not.
 constexpr double kSilentCost = 100.0;
 constexpr double kCooldownCost = 10.0;
-// One that has fallen silent comes after those that answer, but is no reason
-// to refuse.
+// A suspect target comes after those that respond, but is no reason to refuse a
+// request.
 constexpr double kSuspectCost = 5.0;
-// Another failure domain costs little: a hop more, and bytes between domains.
+// A target in another failure domain costs slightly more: one more hop, and
+// traffic between domains.
 constexpr double kOtherDomainCost = 0.02;
 // Breaks ties differently on each gateway, so that they don't all choose the
 // same target.
@@ -71,8 +72,9 @@
   target.reported_by[source] = {reported.incarnation, record.is_silent};
   target.changed_at = now;
   if (!is_new && reported.incarnation != known.incarnation) {
-    // A lower one is a word from before, unless the clock of the target's VM
-    // has stepped back: then nobody hears the higher one any more.
+    // A lower incarnation is an outdated report, unless the clock of the
+    // target's VM has stepped back. In that case nobody receives announcements
+    // of the higher one any more.
     const bool is_restart = reported.incarnation > known.incarnation ||
                             (target.is_silent() && !record.is_silent &&
                              known.standing != Standing::kGone);
@@ -83,7 +85,7 @@
     return;
   }
   const Standing standing = std::max(known.standing, reported.standing);
-  // A withdrawal says nothing but the name.
+  // A withdrawal holds only the name.
   const bool has_details = !reported.address.empty();
   if (has_details && (is_new || reported.sequence >= known.sequence)) {
     known = reported;
@@ -283,7 +285,7 @@
                                  const std::set<TargetId>& tried,
                                  TimePoint now) {
   Candidate best = FindCheapest(service, tried, /*may_be_slow=*/false, now);
-  // A slow target is better than one that may not answer at all.
+  // A slow target is better than one that may not respond at all.
   const bool is_any_good = best.target != nullptr && best.cost < kSuspectCost;
   if (!is_any_good && !best.is_any_full) {
     best = FindCheapest(service, tried, /*may_be_slow=*/true, now);
@@ -291,8 +293,8 @@
   if (!best.is_any_known) {
     return NoChoice::kNone;
   }
-  // Where the others are full, one that failed lately is the only place left
-  // to wait for.
+  // If the other targets are full, one that failed recently is not chosen; the
+  // service counts as full.
   if (best.target == nullptr ||
       (best.is_any_full && best.cost >= kCooldownCost)) {
     return best.is_any_full ? NoChoice::kFull : NoChoice::kInCooldown;
--- a/src/libs/traffic/target_pool.h
+++ b/src/libs/traffic/target_pool.h
@@ -1,12 +1,12 @@
-// A gateway's picture of the targets: which there are, how they do, and which
-// one takes the next request.
+// A gateway's state of the targets, and the choice of the target for each
+// request.
 //
-// Control nodes each tell of the targets that announce themselves to them; the
-// pool joins what they say. Beside what targets claim, it counts what they do:
-// failed sends make a target wait for its next request, longer each time, and
-// the first success ends that.
+// Each control node reports the targets that announce themselves to it; the
+// pool merges these reports. In addition to what targets announce, it tracks
+// the outcome of requests: after a failed send a target is in cooldown, longer
+// after each further failure, until the first success.
 //
-// Pure: events and `now` in, decisions out.
+// Pure: takes events and `now`, has no input or output.
 
 #ifndef LIBS_TRAFFIC_TARGET_POOL_H_
 #define LIBS_TRAFFIC_TARGET_POOL_H_
@@ -27,43 +27,45 @@
 
 namespace bilberryspool::traffic {
 
-// SourceReport as the pace of a target that answers nobody, slower than any
-// that works.
+// Pace reported for a target that responds to nobody; slower than that of any
+// target that works.
 constexpr double kUnresponsivePace = 1000.0;
 
 struct TargetPoolOptions {
   FailureDomain domain;
-  // A target that failed is not chosen for this long, twice as long at each
-  // further failure in a row, while there are others.
+  // A target that failed is in cooldown for this long, doubled at each
+  // consecutive failure up to the maximum. It is not chosen while there are
+  // others.
   Duration initial_cooldown = Milliseconds(250);
   Duration max_cooldown = Seconds(4);
-  // A reported load counts for this long; after that the mean of those that
-  // are still fresh stands for it.
+  // How long a reported load is used. After that the mean of the loads that are
+  // still fresh takes its place.
   Duration load_freshness = Milliseconds(1500);
-  // A target that refused as full is asked for nothing more for this long: a
-  // batch lets a place go every few steps.
+  // How long a target that refused a request as full gets no more: a place in
+  // its batch becomes free every few steps.
   Duration full_cooldown = Milliseconds(200);
-  // Requests that may be at a target, as a multiple of its slots; beyond this
-  // on every target a request is refused at once.
+  // Maximum number of requests at a target, as a multiple of its slots. If all
+  // targets have reached it, requests are refused at once.
   double max_load_factor = 1.25;
-  // Records of targets that left are kept for this long: a control node that
-  // was cut off may still tell of them.
+  // How long records of targets that left are kept: a control node that was
+  // disconnected may still report them.
   Duration retention = Seconds(120);
 };
 
-// What a request ended with, as far as it tells of its target.
+// The outcome of a request as far as it concerns the target.
 enum class TargetOutcome {
-  kGood,      // answered, whatever the answer
+  kGood,      // responded, whatever the response
   kFull,      // refused as full
-  kFailed,    // unreachable, silent, broke off, or answered a failure
-  kReplaced,  // another target answers at the address
+  kFailed,    // unreachable, silent, disconnected or responded with a failure
+  kReplaced,  // another target responds at the address
 };
 
 struct Choice {
   TargetId target;
   Incarnation incarnation;
   std::string address;
-  // What decided: requests thought to be there, and of how many slots.
+  // Estimated number of requests at the target when it was chosen, and its
+  // number of slots.
   double load = 0.0;
   std::uint32_t slots = 0;
 };
@@ -71,8 +73,8 @@
 // Why no target was chosen.
 enum class NoChoice {
   kNone,        // no target of the service is known
-  kFull,        // all of them have as much as they may
-  kInCooldown,  // all that are left have failed lately
+  kFull,        // all targets have the maximum number of requests
+  kInCooldown,  // all remaining targets failed recently
 };
 
 using ChoiceOutcome = std::variant<Choice, NoChoice>;
@@ -81,54 +83,58 @@
  public:
   TargetPool(TargetPoolOptions options, std::uint64_t seed);
 
-  // What the control node `source` tells. With `is_whole` it is all that the
-  // source knows, and what it told before is forgotten: the source has started
-  // anew.
+  // Merges the records that the control node `source` reported. If `is_whole`
+  // is set, they are all that the source has, and its earlier reports are
+  // dropped: the source has restarted.
   void Update(const std::string& source,
               bool is_whole,
               const std::vector<TargetRecord>& records,
               TimePoint now);
 
-  // The targets that `source` has found too slow to be given requests, by
-  // address, with how many times as long as a healthy one they take.
+  // Sets the targets that `source` found too slow to get requests. Maps their
+  // addresses to their pace: how many times as long as a healthy target they
+  // take.
   void SetSlow(const std::string& source,
                std::map<std::string, double> by_address);
 
-  // A target of `service` for one more request, not one of `tried`. It counts
-  // as sent there from now on: each Choice is followed by one OnEnded().
+  // Chooses a target of `service` for one request, excluding `tried`. The
+  // request counts as sent from now on: each Choice must be followed by one
+  // OnEnded().
   ChoiceOutcome Choose(const ServiceId& service,
                        const std::set<TargetId>& tried,
                        TimePoint now);
   void OnEnded(const TargetId& target, TargetOutcome outcome, TimePoint now);
-  // The load that an answer of the target told.
+  // Records the load that a target reported with a response.
   void OnLoad(const TargetId& target,
               std::uint32_t running,
               std::uint32_t waiting,
               TimePoint now);
 
-  // The first byte of a good answer came, so long after it was asked for.
+  // Call when the first byte of a successful response was received, `waited`
+  // after the request was sent.
   void OnFirstByte(const TargetId& target, Duration waited, TimePoint now);
   void OnBytesReceived(const TargetId& target, TimePoint now) {
     liveness_.OnBytesReceived(target, now);
   }
-  // Whether control nodes tell that the target answers nobody.
+  // Whether control nodes report that the target responds to nobody.
   bool IsUnresponsive(const TargetId& target) const;
-  // Whether its requests had better go on elsewhere: it is slow, and another
-  // target has a slot free.
+  // Whether requests at the target should be moved: it is slow, and another
+  // target has a free slot.
   bool ShouldMoveRequests(const TargetId& target,
                           const std::set<TargetId>& tried,
                           TimePoint now) const;
-  // Whether it has fallen silent while others of its service answer.
+  // Whether the target is silent while others of its service respond.
   bool IsSuspect(const TargetId& target, TimePoint now) const {
     return liveness_.IsSuspect(target, now);
   }
-  // Whether the service has gone on though one connection has been quiet.
+  // Whether the service has continued to respond although one connection has
+  // been silent.
   bool HasProgressed(const ServiceId& service,
                      TimePoint silent_since,
                      TimePoint now) const {
     return liveness_.HasProgressed(service, silent_since, now);
   }
-  // A part of the system is reachable again.
+  // Call when a part of the system, such as a control node, is reachable again.
   void OnReconnected(TimePoint now) { availability_.OnReconnected(now); }
   Availability AvailabilityOf(const ServiceId& service, TimePoint now) const {
     return availability_.AvailabilityOf(service, now);
@@ -137,18 +143,18 @@
     return availability_.forming_until(service);
   }
 
-  // What may be sent to targets that declare a limit.
+  // Accounts of the targets that declare a limit.
   declared_limits::LimitAccounts& limits() { return limits_; }
   const declared_limits::LimitAccounts& limits() const { return limits_; }
-  // Targets of `service` that are ready and declare a limit, not of `tried`.
+  // The ready targets of `service` that declare a limit, excluding `tried`.
   struct LimitedTargets {
     std::vector<declared_limits::DeclaredLimit> targets;
-    bool are_all = true;  // none that is ready declares no limit
+    bool are_all = true;  // every ready target declares a limit
   };
   LimitedTargets LimitedTargetsOf(const ServiceId& service,
                                   const std::set<TargetId>& tried) const;
-  // Where every target of `service` that is ready declares a limit: until the
-  // first of them takes one more request from this gateway.
+  // If every ready target of `service` declares a limit: the time until the
+  // first of them takes one more request from this gateway. Otherwise nothing.
   std::optional<Duration> TimeUntilWithinLimit(const ServiceId& service,
                                                TimePoint now) const;
 
@@ -159,21 +165,21 @@
     std::uint64_t in_flight = 0;
   };
   Counts CountsOf(const ServiceId& service) const;
-  // Whether a target that was chosen may still be used.
+  // Whether a target that was chosen earlier may still be used.
   bool IsUsable(const TargetId& target) const;
 
  private:
   struct Target {
     TargetAnnouncement announcement;
-    // What control nodes that list the target tell of it.
+    // What a control node that lists the target reports about it.
     struct SourceReport {
       Incarnation incarnation;
       bool is_silent = false;
     };
     std::map<std::string, SourceReport> reported_by;
-    // Requests of this gateway.
+    // Number of requests of this gateway.
     std::uint32_t in_flight = 0;
-    // Requests of all others, when last reported.
+    // Number of requests of all other gateways, as last reported.
     double others_load = 0.0;
     TimePoint others_reported_at;
     std::uint32_t failures_in_row = 0;
@@ -181,9 +187,9 @@
     TimePoint full_until;
     TimePoint changed_at;
 
-    // No control node hears the incarnation that is known.
+    // Whether no control node receives announcements of the known incarnation.
     bool is_silent() const;
-    // Another incarnation has taken the place of the one that was known.
+    // Replaces the known incarnation by another one and drops its failures.
     void ResetForRestart(const TargetAnnouncement& reported);
   };
 
@@ -191,10 +197,12 @@
              const TargetRecord& record,
              TimePoint now);
   void RemoveExpired(TimePoint now);
+  // How many times as long as a healthy target it takes; the maximum over all
+  // sources.
   double PaceOf(const Target& target) const;
   bool IsSlow(const Target& target) const;
   bool IsWithinLimit(const Target& target, TimePoint now) const;
-  // Choose() among all, or among those that are not slow.
+  // The cheapest target, and why others were left out.
   struct Candidate {
     Target* target = nullptr;
     double cost = 0.0;
@@ -202,13 +210,16 @@
     bool is_any_known = false;
     bool is_any_full = false;
   };
+  // Finds the cheapest target that may take a request, with or without the slow
+  // ones.
   Candidate FindCheapest(const ServiceId& service,
                          const std::set<TargetId>& tried,
                          bool may_be_slow,
                          TimePoint now);
+  // Whether the reported load of the target is still used.
   bool IsFresh(const Target& target, TimePoint now) const;
-  // Requests of others at a target of `service`, on the mean of those that
-  // told lately.
+  // Mean number of requests of other gateways at the targets of `service` with
+  // a fresh load report.
   double MeanOthersLoad(const ServiceId& service, TimePoint now) const;
   double LoadOf(const Target& target,
                 double mean_others_load,
--- a/src/libs/traffic/target_registry.cc
+++ b/src/libs/traffic/target_registry.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// What gateways act on; the sequence alone is no news.
+// Compares what gateways depend on; the sequence alone is no change.
 bool IsSameForGateways(const TargetAnnouncement& left,
                        const TargetAnnouncement& right) {
   TargetAnnouncement aligned = right;
@@ -39,7 +39,7 @@
   }
   record.heard_at = now;
   TargetAnnouncement next = announcement;
-  // Leaving is final: an announcement that says otherwise was overtaken.
+  // Leaving is final: an announcement that says otherwise was sent earlier.
   next.standing = std::max(known.standing, announcement.standing);
   const bool is_change = record.is_silent || !IsSameForGateways(known, next);
   record.announcement = std::move(next);
@@ -74,7 +74,7 @@
   TargetRecord& record = records_[target];
   const bool has_incarnation = incarnation != Incarnation();
   const Incarnation known = record.announcement.incarnation;
-  // A leaving that was delayed until after the next start.
+  // A withdrawal of an earlier start that arrived after the next start.
   if (has_incarnation && incarnation < known) {
     return false;
   }
--- a/src/libs/traffic/target_registry.h
+++ b/src/libs/traffic/target_registry.h
@@ -1,18 +1,19 @@
-// A control node's record of the targets that announce themselves to it.
+// A control node's registry of the targets that announce themselves to it.
 //
-// Targets choose the control node that they announce themselves to, so each
-// node holds a part, and gateways follow all of them. The book keeps targets
-// that have left: an announcement that was delayed on its way would bring a
-// target back that no longer runs.
+// Each target chooses the control node that it announces itself to, so each
+// node has a part of the targets and gateways follow all nodes. The registry
+// keeps targets that have left, because a delayed announcement would otherwise
+// bring back a target that no longer runs.
 //
-// What else can go wrong: a target starts again under its name and counts its
-// announcements anew. Ordered by those counts alone, all that it says is taken
-// for late until it has said as much as before, and one that had left is shut
-// out for good. So announcements are ordered by incarnation first. A clock that
-// steps back gives a new start a lower incarnation; that one is believed once
-// it goes on speaking while the other is not heard.
+// A target that restarts under the same name starts its announcement sequence
+// again. Ordered by the sequence alone, its announcements would count as late
+// until the sequence passes the old one, and a target that had left would be
+// excluded for good. Therefore announcements are ordered by incarnation first.
+// A clock that steps back gives a new start a lower incarnation; that one is
+// accepted once it continues to send announcements while none arrive from the
+// other.
 //
-// Pure: events and `now` in, decisions out.
+// Pure: takes events and `now`, has no input or output.
 
 #ifndef LIBS_TRAFFIC_TARGET_REGISTRY_H_
 #define LIBS_TRAFFIC_TARGET_REGISTRY_H_
@@ -27,26 +28,27 @@
 namespace bilberryspool::traffic {
 
 struct TargetRegistryOptions {
-  // A target that was not heard for this long counts as silent.
+  // A target counts as silent after this time without an announcement.
   Duration silence_timeout = Seconds(4);
-  // How long a start of a lower incarnation has to go on speaking before it is
-  // taken for the present one. Targets announce themselves every 1.2 s, so the
-  // other would have been heard twice.
+  // How long a start with a lower incarnation has to continue its announcements
+  // before it is accepted as the current one. Targets announce themselves every
+  // 1.2 s, so two announcements of the other start would have arrived.
   Duration restart_confirmation = Seconds(3);
-  // A target that left or fell silent is remembered for this long.
+  // How long a target that left or became silent is kept.
   Duration retention = Seconds(120);
-  // More records than this are not kept; the oldest of those that left go
-  // first. Bounds the memory that announcements can take.
+  // Maximum number of records; those that were updated longest ago are removed
+  // first. Bounds the memory that announcements can use.
   std::size_t max_records = 20'000;
 };
 
 struct TargetRecord {
   TargetAnnouncement announcement;
-  // Not heard of for a while: perhaps dead, perhaps cut off, perhaps it
-  // announces itself to another control node now.
+  // No announcement for a while: the target may have terminated, be
+  // disconnected, or announce itself to another control node now.
   bool is_silent = false;
-  // When the record last changed, on the book's own count of changes.
+  // The registry's revision at the last change of the record.
   std::uint64_t revision = 0;
+  // When the last announcement or withdrawal was received.
   TimePoint heard_at;
 };
 
@@ -54,21 +56,22 @@
  public:
   explicit TargetRegistry(TargetRegistryOptions options) : options_(options) {}
 
-  // Returns whether the announcement changed what gateways have to know.
+  // Returns whether the announcement changed anything that gateways depend on.
   bool Announce(const TargetAnnouncement& announcement, TimePoint now);
-  // The target says that it ends. The same return value. Where the target does
-  // not tell its incarnation, the one known is meant.
+  // Handles the notice of a target that it terminates; the known incarnation is
+  // meant if none is given. Returns the same as Announce().
   bool Withdraw(const TargetId& target, Incarnation incarnation, TimePoint now);
-  // Returns whether a target fell silent.
+  // Removes expired records. Returns whether a target became silent.
   bool Tick(TimePoint now);
 
-  // The records that changed after `revision`.
+  // Records that changed after `revision`.
   std::vector<TargetRecord> ChangedSince(std::uint64_t revision) const;
   std::uint64_t revision() const { return revision_; }
   const std::map<TargetId, TargetRecord>& records() const { return records_; }
 
  private:
-  // A start of a lower incarnation than the one known.
+  // A start with a lower incarnation than the known one, which may be a restart
+  // after the clock has stepped back.
   struct RestartCandidate {
     Incarnation incarnation;
     std::uint64_t sequence = 0;
--- a/src/libs/traffic/traffic_configuration.h
+++ b/src/libs/traffic/traffic_configuration.h
@@ -1,6 +1,6 @@
-// A whole configuration of the traffic: which requests there are, which
-// services run them and whose keys are valid. It is numbered from outside and
-// replaced as a whole.
+// The complete configuration of the traffic: the routes of requests, the
+// services that run them and the valid keys. Its version is assigned outside,
+// and it is always replaced as a whole.
 
 #ifndef LIBS_TRAFFIC_TRAFFIC_CONFIGURATION_H_
 #define LIBS_TRAFFIC_TRAFFIC_CONFIGURATION_H_
@@ -16,14 +16,14 @@
 
 namespace bilberryspool::traffic {
 
-// What may be repeated.
+// Whether and how requests of a route may be repeated.
 enum class RequestKind {
   kIdempotent,     // may run more than once
   kNonIdempotent,  // at most once for each request id
-  kStream,         // a series of events; repeated only where it may be resumed
+  kStream,         // a series of events; repeated only if it may be resumed
 };
 
-// One way that a route's requests may go.
+// A service that takes a share of a route's requests.
 struct Split {
   ServiceId service;
   std::uint64_t weight = 0;
@@ -34,18 +34,18 @@
 struct Route {
   std::string name;
   std::string host;
-  // Begins and ends with a slash; the longest one that begins a path wins.
+  // Begins and ends with a slash. The longest prefix of a path wins.
   std::string path_prefix;
   RequestKind kind = RequestKind::kNonIdempotent;
   std::vector<Split> splits;
-  // Targets that one request may be sent to, at most.
+  // Maximum number of targets that one request may be sent to.
   std::uint32_t attempts = 1;
-  // The longest that a caller may be kept waiting.
+  // Maximum time until the caller gets a response.
   Duration timeout{};
-  // Within this time the answer, or its first event, is worth most.
+  // Time within which the response, or its first event, is worth most.
   Duration objective{};
-  // The longest pause between two events for which a stream is on time; zero
-  // where there is none.
+  // Maximum time between two events of a stream that is on time; zero if there
+  // is no limit.
   Duration max_gap{};
   std::uint32_t priority = 0;  // 0 is the most urgent
   bool allows_anonymous = false;
@@ -58,22 +58,23 @@
   bool operator==(const Route&) const = default;
 };
 
-// How long the steps of an engine take; from its own description.
+// The duration of engine steps, as the engine describes itself.
 struct EngineModel {
   std::uint32_t slots = 0;
-  Duration step{};              // one token of one request alone
-  Duration step_per_request{};  // on top, for each request of the batch
-  // The part of it that experts do.
+  Duration step{};              // for one token of a single request
+  Duration step_per_request{};  // in addition, per request in the batch
+  // Share of the time per request that is spent in experts.
   double expert_share = 0.0;
   double prompt_tokens_per_second = 0.0;
   std::uint32_t tokens_per_event = 1;
-  // Layers of experts that runs of one group share; 0: no experts.
+  // Number of expert layers that the runs of a group share; 0 without experts.
   std::uint32_t expert_layers = 0;
   std::uint32_t experts_per_layer = 0;
-  std::uint32_t expert_places = 0;  // of one rank in one layer
-  // Experts of one layer that a rank can take in by one change of map.
+  std::uint32_t expert_places = 0;  // per rank and layer
+  // Maximum number of experts of one layer that a rank can add in one map
+  // change.
   std::uint32_t new_experts = 0;
-  Duration expert_copy{};  // of one expert to a rank; they follow each other
+  Duration expert_copy{};  // of one expert to a rank; copies are sequential
 
   bool operator==(const EngineModel&) const = default;
 };
@@ -87,10 +88,10 @@
   bool operator==(const Service&) const = default;
 };
 
-// Whose request it is, by the key that it shows.
+// The owner of a key.
 struct KeyHolder {
   Workspace workspace;
-  // Goes before the route's.
+  // Overrides the route's priority.
   std::optional<std::uint32_t> priority;
 
   bool operator==(const KeyHolder&) const = default;
@@ -110,13 +111,13 @@
   std::vector<Route> routes;
   std::map<ServiceId, Service> services;
   std::map<std::string, KeyHolder> keys;
-  // False: the deployment knows no keys and every request is anonymous.
+  // If false, the deployment has no keys and every request is anonymous.
   bool has_workspaces = false;
   CallerBounds bounds;
 };
 
-// What is wrong with a configuration as a whole, in one sentence; nothing
-// where it is valid. A configuration that is in force has passed this.
+// Describes what is wrong with a configuration as a whole, in one sentence;
+// nothing if it is valid. A configuration in force has passed this check.
 std::optional<std::string> FindFault(const TrafficConfiguration& configuration);
 
 }  // namespace bilberryspool::traffic
--- a/src/libs/traffic/watch_codec.h
+++ b/src/libs/traffic/watch_codec.h
@@ -1,4 +1,5 @@
-// The question of a gateway to a control node, and the answer, as JSON.
+// JSON encoding of the long-poll query of a gateway to a control node, and of
+// the response.
 
 #ifndef LIBS_TRAFFIC_WATCH_CODEC_H_
 #define LIBS_TRAFFIC_WATCH_CODEC_H_
@@ -18,27 +19,27 @@
 
 namespace bilberryspool::traffic {
 
-// A control node holds a question no longer than this: the gateway notices by
-// the answer that the link is alive.
+// Maximum time that a control node holds a query. The response tells the
+// gateway that the connection works.
 inline constexpr Duration kMaxWatchDuration = Milliseconds(1000);
 
-// What the gateway knows.
+// What the gateway has already.
 struct WatchQuery {
-  // Name of the gateway that asks; empty where it is a control node.
+  // Name of the gateway; empty if a control node sends the query.
   std::string requester;
-  // Where that control node is asked in turn; empty for a gateway.
+  // Address at which that control node accepts queries; empty for a gateway.
   std::string control_address;
-  std::uint64_t boot = 0;      // of the control node that it knows it from
+  std::uint64_t boot = 0;      // of the control node that sent the revisions
   std::uint64_t revision = 0;  // of the targets
   std::uint64_t version = 0;   // of the configuration
   bool was_leader = false;
   std::uint64_t slow_revision = 0;  // of the slow targets
   std::uint64_t quarantine_revision = 0;
   std::uint64_t limits_revision = 0;
-  // What the gateway heard of limits from targets lately.
+  // Limits that targets recently declared to the gateway.
   std::vector<declared_limits::LimitStatement> limits;
-  // Whether a newer configuration is wanted with the answer, or only its
-  // number: all control nodes have the same one, which may be large.
+  // Whether the response should include a newer configuration or only its
+  // version. All control nodes have the same configuration, which may be large.
   bool wants_configuration = true;
   Duration wait{};
 };
@@ -47,40 +48,41 @@
   std::uint64_t boot = 0;
   std::uint64_t revision = 0;
   std::uint64_t version = 0;
-  // Size of that configuration's text.
+  // Size of that configuration's text in bytes.
   std::uint64_t bytes = 0;
-  // The node leads, so that no newer configuration was accepted before.
+  // The node is the leader, so no newer configuration had been accepted before.
   bool is_leader = false;
   std::uint64_t slow_revision = 0;
-  // All targets that the node knows, not only what changed.
+  // Whether `targets` are all targets of the node and not only those that
+  // changed.
   bool is_whole = false;
-  // Records, see UnpackTargets().
+  // Target records, see UnpackTargets().
   packing::PackedText targets;
-  // Gateways that the node has heard of lately.
+  // Number of gateways that recently sent queries to the node.
   std::uint64_t gateways = 0;
   // Addresses of the control nodes.
   std::vector<std::string> members;
-  // How many times as long as healthy ones targets take, by address; those that
-  // the leader has found slow.
+  // The targets that the leader found slow, by address: how many times as long
+  // as healthy ones they take.
   std::map<std::string, double> slow_targets;
   std::uint64_t quarantine_revision = 0;
-  // Requests that end targets, all that are known; only where the asker's
-  // revision is another one.
+  // All known requests that terminate targets. Only set if the requester's
+  // revision differs.
   std::optional<std::vector<quarantine::QuarantineRecord>> quarantine;
-  // Whether it replaces what the node told before; one that has just started
-  // may not have heard of all yet.
+  // Whether `quarantine` replaces what the node reported before. A node that
+  // has just started may not have received all records yet.
   bool is_quarantine_whole = true;
   std::uint64_t limits_revision = 0;
-  // The asker's shares of all limits that targets declare; only where its
-  // revision is another one.
+  // The requester's shares of all limits that targets declare. Only set if the
+  // requester's revision differs.
   std::optional<std::vector<declared_limits::LimitShare>> shares;
-  // Only where it is newer than the gateway's, and wanted.
+  // Only set if it is newer than the gateway's version and wanted.
   std::optional<packing::PackedText> configuration;
 };
 
 boost::json::value ToJson(const WatchQuery& query);
 boost::json::value ToJson(const WatchAnswer& answer);
-// Nothing where `json` is not what ToJson makes.
+// Return nothing if `json` does not have the form that ToJson() writes.
 std::optional<WatchQuery> WatchQueryFromJson(const boost::json::value& json);
 std::optional<WatchAnswer> WatchAnswerFromJson(const boost::json::value& json);
 
--- a/tests/auto/replay/lockstep_simulation.cc
+++ b/tests/auto/replay/lockstep_simulation.cc
@@ -11,7 +11,8 @@
 const ServiceId kService("model");
 const FailureDomain kDomain("z");
 constexpr Duration kCallerTimeout = Seconds(2);
-// An engine takes a few more than it runs; beyond that it refuses.
+// Requests that an engine queues in addition to those that it runs; it refuses
+// further ones.
 constexpr std::uint32_t kEngineQueue = 24;
 
 Duration Scaled(Duration duration, double factor) {
@@ -168,8 +169,8 @@
   }
 }
 
-// Requests that wait begin with a pass; what the pass takes is decided by all
-// that run in it.
+// Starts the waiting requests and returns the duration of the pass, which
+// depends on all requests that run in it.
 Duration LockstepSimulation::RunPass(TimePoint now) {
   for (Stream& stream : streams_) {
     if (!stream.is_running && running_[stream.rank] < options_.times.slots) {
--- a/tests/auto/replay/lockstep_simulation.h
+++ b/tests/auto/replay/lockstep_simulation.h
@@ -1,9 +1,9 @@
-// A lock-step group of engines under load, with the real decisions of several
-// gateways before it, without any input or output.
+// Simulates a lock-step group of engines under load, with the real routing
+// decisions of several gateways and without input or output.
 //
-// Engines step as their description says: a step lasts as long as the slowest
-// rank's own part and the part of the experts; a rank without requests has no
-// own part. Callers leave after two seconds without an event.
+// Engine steps follow the engine's own description: a step takes as long as the
+// slowest rank's own part plus the part of the experts; a rank without requests
+// has no own part. Callers disconnect after two seconds without an event.
 
 #ifndef AUTO_REPLAY_LOCKSTEP_SIMULATION_H_
 #define AUTO_REPLAY_LOCKSTEP_SIMULATION_H_
@@ -27,18 +27,18 @@
   std::uint32_t gateways = 9;
   groups::BatchTimes times{12, Microseconds(4550), Microseconds(905), 0.85};
   std::uint32_t steps_per_pass = 4;
-  // Of the most loaded rank's experts against the mean.
+  // Expert load of the most loaded rank relative to the mean.
   double imbalance = 1.2;
   double arrivals_per_second = 80.0;
-  std::uint32_t events = 24;  // of a stream, on the mean
+  std::uint32_t events = 24;  // mean number per stream
   Duration prompt_time = Milliseconds(14);
-  // How long until gateways are told of a slow rank.
+  // Delay until gateways learn of a slow rank.
   Duration report_delay = Milliseconds(250);
   Duration objective = Milliseconds(500);
   Duration max_gap = Milliseconds(120);
 };
 
-// One rank takes `pace` times as long from `begin` to `end`.
+// Steps of one rank take `pace` times as long from `begin` to `end`.
 struct SlowPeriod {
   RankIndex rank;
   double pace = 1.0;
@@ -51,7 +51,7 @@
   std::uint32_t in_time = 0;
   std::uint32_t late = 0;
   std::uint32_t refused = 0;
-  std::uint32_t abandoned = 0;  // callers who went away without an answer
+  std::uint32_t abandoned = 0;  // callers disconnected without a response
   Duration max_pass{};
 
   double in_time_share() const;
@@ -61,12 +61,12 @@
  public:
   LockstepSimulation(LockstepOptions options, std::uint64_t seed);
 
-  // Whether gateways are told which ranks FindSlowRanks() names; otherwise no
-  // rank is left out.
+  // Sets whether gateways learn which ranks FindSlowRanks() returns; otherwise
+  // no rank is excluded.
   void set_reports_slow_ranks(bool reports) { reports_slow_ranks_ = reports; }
   void Add(SlowPeriod period) { slow_periods_.push_back(period); }
 
-  // Callers who arrive from `from` on are counted.
+  // Simulates `length`. Only callers that arrive after `from` are counted.
   LockstepResult Run(Duration length, Duration from);
 
  private:
@@ -87,8 +87,11 @@
   double PaceOf(RankIndex rank, TimePoint now) const;
   TargetId TargetOf(RankIndex rank) const;
   void AddArrival(TimePoint now);
+  // Sends the stream to a target that its gateway chooses; false if it is
+  // refused.
   bool Place(Stream& stream, const std::set<TargetId>& tried, TimePoint now);
   void ReportSlowRanks(TimePoint now);
+  // Moves streams away from slow targets, at most once each.
   void MoveStreams(TimePoint now);
   Duration RunPass(TimePoint now);
   void EndPass(TimePoint now);
--- a/tests/auto/replay/slow_rank_test.cc
+++ b/tests/auto/replay/slow_rank_test.cc
@@ -21,7 +21,8 @@
   return groups::FindSlowRanks(by_rank, LockstepOptions{}.times);
 }
 
-TEST_CASE("the ranks to leave out are those without which most is written") {
+TEST_CASE(
+    "the ranks are excluded whose exclusion gives the highest throughput") {
   struct Row {
     std::string name;
     Paces paces;
@@ -39,16 +40,17 @@
   const std::vector<Row> rows = {
       {"none known", {}, {}},
       {"none slow", even, {}},
-      {"all alike slow", Paces(16, 4.0), {}},
-      {"one", one, {RankIndex(3)}},
-      {"one hardly", slightly, {}},
-      {"six of 16",
+      {"all equally slow", Paces(16, 4.0), {}},
+      {"one slow", one, {RankIndex(3)}},
+      {"one slightly slow", slightly, {}},
+      {"six of 16 slow",
        six,
        {RankIndex(0), RankIndex(1), RankIndex(2), RankIndex(3), RankIndex(4),
         RankIndex(5)}},
-      // One batch is worth more than a quicker step of the other.
-      {"one of two, a little", {1.0, 1.5}, {}},
-      {"one of two, much", {1.0, 12.0}, {RankIndex(1)}},
+      // The batch of the slower rank is worth more than faster steps of the
+      // other one.
+      {"one of two slightly slow", {1.0, 1.5}, {}},
+      {"one of two very slow", {1.0, 12.0}, {RankIndex(1)}},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -56,16 +58,16 @@
   }
 }
 
-// Symptom: one engine of 16 is slow for 7 s, and for 14 s three answers in four
-// are late. Sequence: the slow rank gets fewer requests than the others, but
-// gets some; each step lasts as long as its part; batches fill up, requests
-// wait, and their lateness outlives the slow spell. Cause: a slow rank with one
-// request holds its group nearly as much as one with ten.
+// Guards against three responses in four being late for 14 s because one engine
+// of 16 is slow for 7 s. If the slow rank gets fewer requests than the others,
+// but still some, each step takes as long as its part; batches fill up,
+// requests wait, and the delay outlasts the slow period. A slow rank with one
+// request slows down its group nearly as much as one with ten.
 TEST_CASE("a slow rank does not make its group's answers late") {
   struct Row {
     double pace;
     bool reports_slow_ranks;
-    double min_share;  // share in time
+    double min_share;  // of streams that are in time
     double max_share;
   };
   const std::vector<Row> rows = {
@@ -90,9 +92,9 @@
   }
 }
 
-// Symptom: with several slow ranks nobody may be left to ask. Cause: a rule
-// that names every slow rank.
-TEST_CASE("with ranks slow alike the group goes on as it can") {
+// Guards against having no rank left to send requests to, which happens if
+// every slow rank is excluded.
+TEST_CASE("a group whose ranks are equally slow continues to serve") {
   LockstepOptions options;
   options.arrivals_per_second = 15.0;
   LockstepSimulation simulation(options, 4);
--- a/tests/auto/traffic/codecs_test.cc
+++ b/tests/auto/traffic/codecs_test.cc
@@ -1,4 +1,4 @@
-// What control nodes and gateways tell each other, there and back, and bad
+// Round trips of the messages between control nodes and gateways, and invalid
 // input.
 
 #include <doctest/doctest.h>
@@ -56,7 +56,7 @@
   return answer;
 }
 
-TEST_CASE("a watch and its answer survive the way") {
+TEST_CASE("a watch query and its response survive encoding and decoding") {
   WatchQuery query;
   query.requester = "gateway-1";
   query.control_address = "10.0.0.9:7000";
@@ -118,7 +118,7 @@
   CHECK(answered->configuration == MakeAnswer().configuration);
 }
 
-TEST_CASE("records survive as one text, few or many; bad texts are refused") {
+TEST_CASE("packed records survive unpacking; invalid texts are rejected") {
   for (const std::size_t count : {0U, 1U, 500U}) {
     CAPTURE(count);
     const std::vector<TargetRecord> records(count, MakeRecord());
@@ -132,9 +132,9 @@
   }
 }
 
-TEST_CASE("an answer that lacks a member is not read") {
+TEST_CASE("a response that lacks a required member is rejected") {
   const json::object whole = ToJson(MakeAnswer()).as_object();
-  // What is only told where it has changed.
+  // Members that are only sent if they have changed.
   const std::set<std::string> optional = {"configuration", "quarantine",
                                           "shares"};
   for (const auto& member : whole) {
@@ -152,7 +152,7 @@
   }
 }
 
-TEST_CASE("bad input is refused") {
+TEST_CASE("invalid input is rejected") {
   const char* const rows[] = {
       "null", "[]", "{}",
       R"({"boot":-1,"revision":0,"version":0,"was_leader":true,"wait_us":0})",
--- a/tests/auto/traffic/event_splitter_test.cc
+++ b/tests/auto/traffic/event_splitter_test.cc
@@ -8,14 +8,14 @@
 namespace bilberryspool::traffic {
 namespace {
 
-TEST_CASE("only whole events go on, however the bytes are cut") {
+TEST_CASE("only complete events are returned, however the bytes are split") {
   const std::string stream =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
     CAPTURE(cut);
     EventSplitter splitter;
     std::string passed = splitter.Take(stream.substr(0, cut));
-    // What has gone on ends with an event.
+    // What was returned ends with a complete event.
     CHECK((passed.empty() || passed.ends_with("\n")));
     passed += splitter.Take(stream.substr(cut));
     CHECK(passed == stream);
@@ -25,10 +25,11 @@
   }
 }
 
-// Symptom: a caller gets half an event and then another one. Sequence: an
-// engine stops in the middle of an event; another goes on behind the last
-// whole one. Cause: the half event had been passed on.
-TEST_CASE("half an event is forgotten with its run") {
+// Guards against a caller that gets an incomplete event followed by another
+// one. An engine stops in the middle of an event and another engine continues
+// after the last complete one; the incomplete event must not have been
+// forwarded.
+TEST_CASE("an incomplete event is discarded with its run") {
   EventSplitter splitter;
   CHECK(splitter.Take("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(splitter.unfinished() == "id: 2\nda");
@@ -38,7 +39,7 @@
   CHECK(*splitter.last_id() == "2");
 }
 
-TEST_CASE("a stream without ids has none") {
+TEST_CASE("a stream without ids has no last id") {
   EventSplitter splitter;
   CHECK(splitter.Take("data: id: 7\n\n") == "data: id: 7\n\n");
   CHECK_FALSE(splitter.last_id().has_value());
--- a/tests/auto/traffic/group_availability_test.cc
+++ b/tests/auto/traffic/group_availability_test.cc
@@ -39,15 +39,15 @@
   CHECK(availability.AvailabilityOf(kService, At(1)) == Availability::kOpen);
 }
 
-// Symptom: callers are refused, and told to come back seconds later, half a
-// second before the group works again.
-TEST_CASE("a lost rank breaks the group, its return announces the next epoch") {
+// Guards against callers being refused and told to retry seconds later when the
+// group is available again in half a second.
+TEST_CASE("a lost rank breaks the group, its return starts the formation") {
   GroupAvailability availability = OpenGroup();
   CHECK(availability.AvailabilityOf(kService, At(1)) == Availability::kOpen);
   availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
   CHECK(availability.AvailabilityOf(kService, At(1501)) ==
         Availability::kBroken);
-  // Another rank's older word does not mend it.
+  // An older update of another rank does not open the group.
   availability.OnAnnouncement(Rank(1, 1, true), false, At(1502));
   CHECK(availability.AvailabilityOf(kService, At(1503)) ==
         Availability::kBroken);
@@ -69,13 +69,13 @@
         Availability::kBroken);
 }
 
-TEST_CASE("the return of a part of the system says nothing of an open group") {
+TEST_CASE("an open group stays open after a reconnection") {
   GroupAvailability availability = OpenGroup();
   availability.OnReconnected(At(3000));
   CHECK(availability.AvailabilityOf(kService, At(3100)) == Availability::kOpen);
 }
 
-TEST_CASE("a rank that starts in an older epoch has returned") {
+TEST_CASE("a rank that starts in an older epoch counts as returned") {
   GroupAvailability availability = OpenGroup();
   availability.OnAnnouncement(Rank(0, 2, false), false, At(1000));
   availability.OnAnnouncement(Rank(3, 0, false), true, At(2000));
@@ -83,14 +83,14 @@
         Availability::kForming);
 }
 
-TEST_CASE("what serves works, whatever was told") {
+TEST_CASE("a group that served a request is open, whatever was reported") {
   GroupAvailability availability = OpenGroup();
   availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
   availability.OnServed(kService);
   CHECK(availability.AvailabilityOf(kService, At(1600)) == Availability::kOpen);
 }
 
-TEST_CASE("one open group of several is enough") {
+TEST_CASE("a service is open while one of its groups is") {
   GroupAvailability availability = OpenGroup();
   availability.OnAnnouncement(Rank(0, 1, true, "h"), true, At(0));
   availability.OnAnnouncement(Rank(2, 1, false), false, At(1500));
--- a/tests/auto/traffic/relay_rules_test.cc
+++ b/tests/auto/traffic/relay_rules_test.cc
@@ -13,11 +13,11 @@
   RelayStep expected;
 };
 
-// Symptom: a plant is told twice to stop, or a caller that was told "not run"
-// sends an order that did run once more. Sequence: a send whose outcome is not
-// known is repeated, or answered as refused. Cause: what may have run was
-// taken for what surely did not.
-TEST_CASE("what follows a send that was not served") {
+// Guards against requests that take effect twice: a plant gets a stop command
+// twice, or a caller whose request was reported as not run sends it again
+// although it did run. This happens if a send with unknown outcome is repeated
+// or reported as refused.
+TEST_CASE("the next step follows from how a send ended") {
   const Row rows[] = {
       {"not sent, may not repeat",
        {false, SendResult::kNotSent, false, 1, 2, kTime},
@@ -65,17 +65,22 @@
   }
 }
 
-// Guards against runs that go on at frozen VMs after their callers have left.
-TEST_CASE("a caller is told of a lost target before he leaves") {
+// Guards against runs that continue at frozen VMs after their callers have
+// disconnected.
+TEST_CASE("a lost target is reported before the caller disconnects") {
   struct Row {
     const char* name;
     CallerWait wait;
     bool is_lost;
   };
   const Row rows[] = {
-      {"a missing target, just asked", {Milliseconds(600), true}, false},
-      {"shortly before the caller leaves", {Milliseconds(1701), true}, true},
-      {"a silent target that others hear", {Milliseconds(1701), false}, false},
+      {"an unresponsive target, just asked", {Milliseconds(600), true}, false},
+      {"an unresponsive target, shortly before the caller disconnects",
+       {Milliseconds(1701), true},
+       true},
+      {"a silent target that responds to others",
+       {Milliseconds(1701), false},
+       false},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
--- a/tests/auto/traffic/route_table_test.cc
+++ b/tests/auto/traffic/route_table_test.cc
@@ -48,7 +48,8 @@
          " " + std::to_string(match.priority);
 }
 
-TEST_CASE("a request finds the longest prefix, and its workspace") {
+TEST_CASE(
+    "a request gets the route with the longest prefix and its workspace") {
   const RouteTable table(
       std::make_shared<const TrafficConfiguration>(MakeConfiguration()));
   struct Row {
@@ -78,7 +79,7 @@
   }
 }
 
-TEST_CASE("splits are followed by weight") {
+TEST_CASE("services are chosen according to the weights of the splits") {
   Route route = MakeRoute("r", "/r/");
   route.splits = {{ServiceId("model"), 90}, {ServiceId("plain"), 10}};
   CHECK(ChooseService(route, 0.0) == ServiceId("model"));
@@ -87,14 +88,14 @@
   CHECK(ChooseService(route, 0.9999) == ServiceId("plain"));
 }
 
-TEST_CASE("what is wrong with a configuration as a whole is found") {
+TEST_CASE("invalid configurations are detected") {
   struct Row {
     const char* name;
     void (*spoil)(TrafficConfiguration& whole);
     bool is_valid;
   };
   const Row rows[] = {
-      {"as it is", [](TrafficConfiguration&) {}, true},
+      {"unchanged", [](TrafficConfiguration&) {}, true},
       {"no version", [](TrafficConfiguration& w) { w.version = 0; }, false},
       {"unknown service",
        [](TrafficConfiguration& w) {
@@ -107,9 +108,9 @@
       {"no timeout",
        [](TrafficConfiguration& w) { w.routes[1].timeout = Duration(0); },
        false},
-      {"one place twice",
+      {"two routes with one host and prefix",
        [](TrafficConfiguration& w) { w.routes[1].path_prefix = "/a/"; }, false},
-      {"one prefix at two hosts",
+      {"one prefix on two hosts",
        [](TrafficConfiguration& w) {
          w.routes[1].path_prefix = "/a/";
          w.routes[1].host = "i.example";
--- a/tests/auto/traffic/target_liveness_test.cc
+++ b/tests/auto/traffic/target_liveness_test.cc
@@ -17,7 +17,7 @@
   return TargetLiveness(TargetLivenessOptions{});
 }
 
-// Answers of `kOther` each 100 ms from `from` to `to`.
+// Lets `kOther` respond every 100 ms from `from` to `to`.
 void RespondRegularly(TargetLiveness& liveness,
                       std::int64_t from,
                       std::int64_t to) {
@@ -28,11 +28,11 @@
   }
 }
 
-// Symptom: callers wait for nothing until they leave, one after the other.
-// Sequence: the VM of a target freezes; its connections stay open and it has
-// announced itself a moment ago. Cause: a request that its caller left counted
-// as no failure of the target.
-TEST_CASE("a target that is silent while others answer is suspect") {
+// Guards against callers that wait for a frozen target one after the other
+// until they disconnect. The connections of the target stay open, it announced
+// itself a moment ago, and a request whose caller disconnected does not count
+// as a failure of the target.
+TEST_CASE("a target that is silent while others respond is suspect") {
   TargetLiveness liveness = MakeLiveness();
   liveness.OnSent(kSilent, kService, At(0));
   RespondRegularly(liveness, 0, 900);
@@ -43,7 +43,7 @@
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(1200)));
 }
 
-TEST_CASE("where all are silent nobody is suspect") {
+TEST_CASE("no target is suspect while all are silent") {
   TargetLiveness liveness = MakeLiveness();
   RespondRegularly(liveness, -500, 0);
   liveness.OnSent(kSilent, kService, At(0));
@@ -51,9 +51,10 @@
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(1500)));
 }
 
-// Symptom: every stream of a group is cut off. Sequence: the group stands still
-// for 1.6 s and goes on. Cause: silence alone counted against its targets.
-TEST_CASE("a group that stood still and goes on has no silent target") {
+// Guards against cutting off every stream of a group that is stalled for 1.6 s
+// and then continues, which happens if silence alone counts against its
+// targets.
+TEST_CASE("a group that continues after a stall has no suspect target") {
   for (const std::int64_t apart : {0, 5, 50, 300}) {
     CAPTURE(apart);
     TargetLiveness liveness = MakeLiveness();
@@ -68,7 +69,7 @@
       CHECK_FALSE(liveness.IsSuspect(kOther, At(ms)));
       CHECK_FALSE(liveness.HasProgressed(kService, At(0), At(ms)));
     }
-    // The first bytes come apart.
+    // The first bytes do not arrive at the same time.
     liveness.OnBytesReceived(kOther, At(1600));
     for (std::int64_t ms = 1600; ms <= 1700; ms += 10) {
       CHECK_FALSE(liveness.IsSuspect(kSilent, At(ms)));
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_CASE("a service that goes on without one connection has gone on") {
+TEST_CASE("a service progresses while one of its connections is silent") {
   TargetLiveness liveness = MakeLiveness();
   liveness.OnSent(kSilent, kService, At(0));
   for (std::int64_t ms = 0; ms <= 2000; ms += 100) {
@@ -92,21 +93,21 @@
   CHECK_FALSE(liveness.HasProgressed(ServiceId("another"), At(400), At(2010)));
 }
 
-TEST_CASE("a target alone is never suspect") {
+TEST_CASE("the only target of a service is never suspect") {
   TargetLiveness liveness = MakeLiveness();
   liveness.OnSent(kSilent, kService, At(0));
   liveness.OnFirstByte(kSilent, Milliseconds(10), At(10));
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(5000)));
 }
 
-TEST_CASE("targets of another service say nothing") {
+TEST_CASE("responses of another service do not count") {
   TargetLiveness liveness = MakeLiveness();
   liveness.OnSent(kSilent, ServiceId("another"), At(0));
   RespondRegularly(liveness, 0, 2000);
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(2060)));
 }
 
-TEST_CASE("where answers take long, longer silence is usual") {
+TEST_CASE("longer silence is accepted if responses usually take longer") {
   TargetLiveness liveness = MakeLiveness();
   for (int i = 0; i < 100; ++i) {
     liveness.OnSent(kOther, kService, At(0));
@@ -122,13 +123,13 @@
   respond(1500);
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(1510)));
   respond(2600);
-  // A first word after a pause says nothing yet.
+  // The first response after a gap is not sufficient.
   CHECK_FALSE(liveness.IsSuspect(kSilent, At(2610)));
   respond(2900);
   CHECK(liveness.IsSuspect(kSilent, At(2910)));
 }
 
-TEST_CASE("a target where nothing waits is not suspect") {
+TEST_CASE("a target without waiting requests is not suspect") {
   TargetLiveness liveness = MakeLiveness();
   liveness.OnSent(kSilent, kService, At(0));
   liveness.OnEnded(kSilent);
--- a/tests/auto/traffic/target_pool_test.cc
+++ b/tests/auto/traffic/target_pool_test.cc
@@ -45,13 +45,15 @@
     case NoChoice::kFull:
       return "full";
     case NoChoice::kInCooldown:
-      return "resting";
+      return "cooldown";
   }
   return "";
 }
 
-// Guards against sending to a target more than it takes from all gateways.
-TEST_CASE("a limited target gets its share, the others the rest") {
+// Guards against sending more requests to a target than it accepts from all
+// gateways together.
+TEST_CASE(
+    "a limited target gets its share and the others the remaining requests") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   pool.limits().Adopt("c1", {{{TargetId("a"), Incarnation(0)}, 4.0, 1.0}},
@@ -69,7 +71,8 @@
   CHECK_FALSE(pool.TimeUntilWithinLimit(kService, kStart).has_value());
 }
 
-TEST_CASE("where all are limited, callers are told when the first is not") {
+TEST_CASE(
+    "if all targets are limited, the time until the first is free is known") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   pool.limits().Adopt("c1",
@@ -84,7 +87,7 @@
   CHECK(Chosen(pool, kStart + *wait) == "a");
 }
 
-TEST_CASE("requests spread over the targets, up to a bound") {
+TEST_CASE("requests are spread over the targets up to a maximum load") {
   TargetPool pool = MakePool();
   CHECK(Chosen(pool, kStart) == "none");
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
@@ -97,10 +100,10 @@
   CHECK(Chosen(pool, kStart) == "full");
 }
 
-// Symptom: a target that leaves gets new work. Sequence: one control node
-// knows, another still tells of the target as ready. Cause: the words of the
-// two were not joined.
-TEST_CASE("leaving is final, whoever tells of it") {
+// Guards against new work for a target that is leaving. One control node knows
+// that it is, another one still reports the target as ready, and both reports
+// have to be merged.
+TEST_CASE("leaving is final, whichever control node reports it") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a", Standing::kLeaving, 4)}, kStart);
   pool.Update("c2", true, {Record("a", Standing::kReady, 3)}, kStart);
@@ -125,19 +128,19 @@
   return choice == nullptr ? "none" : choice->address;
 }
 
-// Symptom: a target that started again under its name is not used, or at the
-// address that it had before. Cause: the later start's words have lower counts,
-// and the standing of the earlier one was kept.
+// Guards against a target that is not used after a restart under the same name,
+// or is used at its old address. The announcements of the later start have
+// lower sequence numbers, and the state of the earlier start was kept.
 TEST_CASE("a later start takes the place of an earlier one") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {RecordOf(7, 40, "old:80", Standing::kGone)}, kStart);
   CHECK(AddressChosen(pool, kStart) == "none");
   pool.Update("c1", false, {RecordOf(9, 1, "new:80")}, kStart);
   CHECK(AddressChosen(pool, kStart) == "new:80");
-  // Another control node still tells of the earlier start.
+  // Another control node still reports the earlier start.
   pool.Update("c2", true, {RecordOf(7, 40, "old:80", Standing::kGone)}, kStart);
   CHECK(AddressChosen(pool, kStart) == "new:80");
-  // Failures of the earlier one are not the later one's.
+  // Failures of the earlier start do not count for the later one.
   pool.Update("c1", false, {Record("b")}, kStart);
   pool.OnEnded(TargetId("a"), TargetOutcome::kFailed, kStart);
   for (int i = 0; i < 3; ++i) {
@@ -147,8 +150,9 @@
   CHECK(AddressChosen(pool, kStart) == "newest:80");
 }
 
-// Symptom: as above, after the clock of the target's VM stepped back.
-TEST_CASE("a start of a lower incarnation counts once the other is silent") {
+// Guards against the same failure after the clock of the target's VM has
+// stepped back.
+TEST_CASE("a lower incarnation is accepted once the other one is silent") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {RecordOf(9, 40, "old:80")}, kStart);
   pool.Update("c2", true, {RecordOf(9, 40, "old:80")}, kStart);
@@ -161,14 +165,14 @@
   CHECK(AddressChosen(pool, kStart) == "new:80");
 }
 
-TEST_CASE("a silent target comes last, and only where all say so") {
+TEST_CASE("a target is used last if all control nodes report it as silent") {
   TargetPool pool = MakePool();
   TargetRecord silent = Record("a");
   silent.is_silent = true;
   pool.Update("c1", true, {silent, Record("b")}, kStart);
   CHECK(Chosen(pool, kStart) == "b");
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
-  // Heard by another control node: its load decides.
+  // Another control node receives its announcements, so its load decides.
   pool.Update("c2", true, {Record("a")}, kStart);
   for (int i = 0; i < 3; ++i) {
     pool.OnEnded(TargetId("a"), TargetOutcome::kGood, kStart);
@@ -176,7 +180,7 @@
   CHECK(Chosen(pool, kStart) == "a");
 }
 
-TEST_CASE("a target that failed rests, longer each time, while others are") {
+TEST_CASE("a target is in cooldown after a failure, longer after each one") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   pool.OnEnded(TargetId("a"), TargetOutcome::kFailed, kStart);
@@ -187,15 +191,15 @@
   pool.OnEnded(TargetId("a"), TargetOutcome::kFailed,
                kStart + Milliseconds(260));
   CHECK(Chosen(pool, kStart + Milliseconds(600)) == "b");
-  // The first success ends that.
+  // The first success ends the cooldown.
   pool.OnEnded(TargetId("a"), TargetOutcome::kGood, kStart + Seconds(1));
   CHECK(Chosen(pool, kStart + Seconds(1)) == "a");
 }
 
-// Symptom: seconds after a group has opened again its targets are still
-// refused for. Sequence: all targets refuse as full for a while. Cause: the
-// refusals were counted as load that only answers could take back.
-TEST_CASE("a refusal as full counts for a moment") {
+// Guards against requests that are still refused seconds after a group has
+// opened again. All targets refuse as full for a while, and the refusals were
+// counted as load that only responses could take back.
+TEST_CASE("a refusal as full only has effect for a short time") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a")}, kStart);
   CHECK(Chosen(pool, kStart) == "a");
@@ -204,7 +208,7 @@
   CHECK(Chosen(pool, kStart + Milliseconds(250)) == "a");
 }
 
-TEST_CASE("another target at the address is not used under the old name") {
+TEST_CASE("a target that was replaced at its address is not used") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a")}, kStart);
   CHECK(pool.IsUsable(TargetId("a")));
@@ -213,7 +217,7 @@
   CHECK(Chosen(pool, kStart) == "none");
 }
 
-TEST_CASE("a loaded target gets less") {
+TEST_CASE("the target with the lower load is chosen") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   for (int i = 0; i < 3; ++i) {
@@ -225,8 +229,9 @@
   CHECK(Chosen(pool, kStart) == "b");
 }
 
-// Symptom: all streams of a group pause too long. Cause: its slow rank got
-// fewer requests than the others, but one is enough to hold the group.
+// Guards against all streams of a group having too long gaps. The slow rank
+// gets fewer requests than the others, but a single request there is enough to
+// slow down the group.
 TEST_CASE("a slow target gets nothing while others may be used") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
@@ -235,13 +240,13 @@
     CHECK(Chosen(pool, kStart) == "b");
   }
   CHECK(Chosen(pool, kStart) == "full");
-  // It serves where there is no other.
+  // It is used if there is no other target.
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
   pool.SetSlow("c1", {});
   CHECK(Chosen(pool, kStart) == "a");
 }
 
-TEST_CASE("a slow target is left where another has a slot free") {
+TEST_CASE("requests move from a slow target if another has a free slot") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
@@ -257,9 +262,9 @@
   CHECK_FALSE(pool.ShouldMoveRequests(a, {a}, kStart));
 }
 
-// Symptom: requests go on to a target whose VM is frozen. Cause: it is the one
-// with the fewest requests, since nothing it is sent is answered.
-TEST_CASE("a target that answers nobody comes after all that answer") {
+// Guards against further requests to a target whose VM is frozen. It has the
+// fewest requests, because nothing that is sent to it gets a response.
+TEST_CASE("an unresponsive target is chosen after all that respond") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   pool.SetSlow("c1", {{"a:80", kUnresponsivePace}});
@@ -267,11 +272,11 @@
   CHECK_FALSE(pool.IsUnresponsive(TargetId("b")));
   CHECK(Chosen(pool, kStart) == "b");
   CHECK(Chosen(pool, kStart) == "b");
-  // It is no reason to refuse.
+  // An unresponsive target is no reason to refuse.
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
 }
 
-TEST_CASE("a target that has fallen silent comes after those that answer") {
+TEST_CASE("a suspect target is chosen after those that respond") {
   TargetPool pool = MakePool();
   pool.Update("c1", true, {Record("a"), Record("b")}, kStart);
   CHECK(Chosen(pool, kStart, {TargetId("b")}) == "a");
--- a/tests/auto/traffic/target_registry_test.cc
+++ b/tests/auto/traffic/target_registry_test.cc
@@ -27,7 +27,7 @@
   return registry.records().at(TargetId(target)).announcement.standing;
 }
 
-TEST_CASE("only what gateways act on is news") {
+TEST_CASE("only differences that gateways depend on count as changes") {
   TargetRegistry registry{TargetRegistryOptions{}};
   CHECK(registry.Announce(MakeAnnouncement("t", 1), kStart));
   CHECK_FALSE(registry.Announce(MakeAnnouncement("t", 2), kStart));
@@ -38,20 +38,20 @@
   CHECK(registry.ChangedSince(registry.revision()).empty());
 }
 
-// Symptom: a target that has said that it leaves gets new work. Sequence: its
-// announcements overtake each other on the way. Cause: the later arrival was
-// taken for the later word.
+// Guards against new work for a target that has announced that it is leaving.
+// Its announcements overtake each other on the way, and the one that arrived
+// last is taken for the newest.
 TEST_CASE("late announcements change nothing") {
   TargetRegistry registry{TargetRegistryOptions{}};
   registry.Announce(MakeAnnouncement("t", 5, Standing::kLeaving), kStart);
   CHECK_FALSE(registry.Announce(MakeAnnouncement("t", 4), kStart));
   CHECK(StandingOf(registry, "t") == Standing::kLeaving);
-  // Nor does a later one that says otherwise: leaving is final.
+  // Neither does a later one that contradicts: leaving is final.
   registry.Announce(MakeAnnouncement("t", 6), kStart);
   CHECK(StandingOf(registry, "t") == Standing::kLeaving);
 }
 
-TEST_CASE("a target that left does not come back by a late announcement") {
+TEST_CASE("a late announcement does not bring back a target that left") {
   TargetRegistry registry{TargetRegistryOptions{}};
   registry.Announce(MakeAnnouncement("t", 1), kStart);
   CHECK(registry.Withdraw(TargetId("t"), Incarnation(), kStart));
@@ -59,7 +59,8 @@
   CHECK_FALSE(
       registry.Announce(MakeAnnouncement("t", 9), kStart + Seconds(30)));
   CHECK(StandingOf(registry, "t") == Standing::kGone);
-  // Also where the node hears of it for the first time by its leaving.
+  // Also if the withdrawal is the first message that the node gets from the
+  // target.
   CHECK(registry.Withdraw(TargetId("u"), Incarnation(), kStart));
   CHECK_FALSE(registry.Announce(MakeAnnouncement("u", 1), kStart));
 }
@@ -79,10 +80,11 @@
   Duration at{};
 };
 
-// Symptom: a target that has started again under its name gets no work, or its
-// details are those of before. Sequence: it counts its announcements anew, its
-// earlier start said more, or left, or has words still on their way. Cause:
-// announcements were ordered by their count alone.
+// Guards against a target that gets no work, or is known by outdated
+// properties, after a restart under the same name. It starts its announcement
+// sequence again while its earlier start had a higher sequence, had left, or
+// has announcements still on their way; ordering by the sequence alone then
+// drops the new ones.
 TEST_CASE("announcements are ordered by incarnation, then by their count") {
   constexpr Standing kReady = Standing::kReady;
   constexpr Standing kLeaving = Standing::kLeaving;
@@ -94,17 +96,17 @@
     Standing standing;
   };
   const std::vector<Row> rows = {
-      {"a new start counts anew",
+      {"a restart with a lower sequence",
        {{7, 40, kReady}, {9, 1, kReady}},
        9,
        1,
        kReady},
-      {"a late word of the old start",
+      {"a late announcement of the old start",
        {{7, 40, kReady}, {9, 1, kReady}, {7, 41, kLeaving}},
        9,
        1,
        kReady},
-      {"two starts between two check-ins",
+      {"two restarts between two announcements",
        {{7, 40, kReady}, {12, 1, kReady}, {9, 3, kReady}},
        12,
        1,
@@ -114,7 +116,7 @@
        9,
        2,
        kReady},
-      {"the clock stepped back, and the start goes on speaking",
+      {"the clock stepped back and the new start continues",
        {{7, 40, kReady},
         {5, 1, kReady, Seconds(2)},
         {5, 2, kReady, Milliseconds(3200)},
@@ -123,7 +125,7 @@
        5,
        4,
        kReady},
-      {"words of an old start while the new one speaks",
+      {"late announcements of an old start while the new one continues",
        {{7, 40, kReady},
         {5, 41, kReady, Seconds(1)},
         {7, 41, kReady, Seconds(2)},
@@ -156,7 +158,8 @@
   CHECK(registry.Withdraw(TargetId("t"), Incarnation(7), kStart));
   CHECK(registry.Announce(MakeAnnouncementOf(9, 1), kStart + Seconds(1)));
   CHECK(StandingOf(registry, "t") == Standing::kReady);
-  // The leave of the old start arrives after the new one's announcement.
+  // The withdrawal of the old start arrives after the announcement of the new
+  // one.
   CHECK_FALSE(registry.Withdraw(TargetId("t"), Incarnation(7), kStart));
   CHECK(StandingOf(registry, "t") == Standing::kReady);
   CHECK(registry.Withdraw(TargetId("t"), Incarnation(9), kStart));
@@ -164,7 +167,7 @@
   CHECK(StandingOf(registry, "t") == Standing::kGone);
 }
 
-TEST_CASE("a target falls silent and is heard again") {
+TEST_CASE("a target becomes silent and announces itself again") {
   TargetRegistryOptions options;
   options.silence_timeout = Seconds(4);
   TargetRegistry registry(options);
@@ -176,7 +179,7 @@
   CHECK_FALSE(registry.records().at(TargetId("t")).is_silent);
 }
 
-TEST_CASE("the book stays bounded") {
+TEST_CASE("the number of records stays bounded") {
   TargetRegistryOptions options;
   options.max_records = 3;
   TargetRegistry registry(options);
