--- a/src/libs/routing/routing_policy.cc
+++ b/src/libs/routing/routing_policy.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::routing {
 namespace {
 
-// Load after taking the request, in shares of what the target may carry.
+// Load including the new request, relative to the weighted limit of the target.
 double LoadRatio(const Candidate& candidate) {
   const double capacity = candidate.limit * candidate.weight;
   return (candidate.corrected_load + 1.0) / std::max(capacity, 0.01);
@@ -23,9 +23,9 @@
   return scores;
 }
 
-std::size_t IndexOfLeast(const std::vector<double>& scores) {
-  const auto least = std::min_element(scores.begin(), scores.end());
-  return static_cast<std::size_t>(least - scores.begin());
+std::size_t IndexOfMin(const std::vector<double>& scores) {
+  const auto min_score = std::min_element(scores.begin(), scores.end());
+  return static_cast<std::size_t>(min_score - scores.begin());
 }
 
 PolicyPick PickRandom(const std::vector<Candidate>& candidates,
@@ -40,7 +40,7 @@
   for (const Candidate& candidate : candidates) {
     scores.push_back(candidate.reported_load / candidate.limit);
   }
-  const std::size_t index = IndexOfLeast(scores);
+  const std::size_t index = IndexOfMin(scores);
   return PolicyPick{index, RouteRule::kLeastReported, std::move(scores)};
 }
 
@@ -63,15 +63,16 @@
     score +=
         policy.penalty_per_millisecond * ToMilliseconds(candidate.distance);
   }
-  // Cache events come late and with gaps; a bonus without this limit would
-  // keep sending a popular prefix to a target that is long overloaded.
+  // Cache events are late and incomplete. Without this limit the bonus would
+  // keep sending requests with a popular prefix to a target that has long been
+  // overloaded.
   if (ratio <= policy.affinity_load_limit) {
     score -= policy.affinity_bonus * candidate.cached;
   }
   return score;
 }
 
-// Draws among `near`, with a chance proportional to weighted slots.
+// Draws one of `near` with a probability proportional to the weighted limit.
 std::size_t DrawByWeight(const std::vector<Candidate>& candidates,
                          const std::vector<std::size_t>& near,
                          Random& random) {
@@ -97,11 +98,11 @@
   return candidate.own_domain ? RouteRule::kOwnDomain : RouteRule::kSpill;
 }
 
-// Moves `count` random ones of `from` to `to`.
-void DrawSome(std::vector<std::size_t> from,
-              std::size_t count,
-              std::vector<std::size_t>& to,
-              Random& random) {
+// Appends up to `count` random elements of `from` to `to`, without repetition.
+void AppendSample(std::vector<std::size_t> from,
+                  std::size_t count,
+                  std::vector<std::size_t>& to,
+                  Random& random) {
   for (std::size_t i = 0; i < count && !from.empty(); ++i) {
     const std::size_t drawn = random.Below(from.size());
     to.push_back(from[drawn]);
@@ -110,10 +111,11 @@
   }
 }
 
-// The candidates that are compared for one request; at least one.
-std::vector<std::size_t> Draw(const ChosenPolicy& policy,
-                              const std::vector<Candidate>& candidates,
-                              Random& random) {
+// Indices of the candidates that are compared for one request; at least one.
+std::vector<std::size_t> SampleCandidates(
+    const ChosenPolicy& policy,
+    const std::vector<Candidate>& candidates,
+    Random& random) {
   std::vector<std::size_t> own;
   std::vector<std::size_t> other;
   std::vector<std::size_t> most_cached;
@@ -129,12 +131,13 @@
     }
   }
   std::vector<std::size_t> sample;
-  DrawSome(std::move(own), std::max<std::size_t>(1, policy.own_sample), sample,
-           random);
-  DrawSome(std::move(other), std::max<std::size_t>(1, policy.other_sample),
-           sample, random);
-  // At random where several hold it: a fixed one would draw all entries.
-  DrawSome(std::move(most_cached), 1, sample, random);
+  AppendSample(std::move(own), std::max<std::size_t>(1, policy.own_sample),
+               sample, random);
+  AppendSample(std::move(other), std::max<std::size_t>(1, policy.other_sample),
+               sample, random);
+  // Drawn at random if several have the prefix cached: a fixed choice would
+  // attract the requests of all entries.
+  AppendSample(std::move(most_cached), 1, sample, random);
   std::sort(sample.begin(), sample.end());
   sample.erase(std::unique(sample.begin(), sample.end()), sample.end());
   return sample;
@@ -148,14 +151,15 @@
   for (const Candidate& candidate : candidates) {
     scores.push_back(ChosenScore(policy, candidate));
   }
-  const std::vector<std::size_t> sample = Draw(policy, candidates, random);
-  double least = scores[sample.front()];
+  const std::vector<std::size_t> sample =
+      SampleCandidates(policy, candidates, random);
+  double min_score = scores[sample.front()];
   for (const std::size_t index : sample) {
-    least = std::min(least, scores[index]);
+    min_score = std::min(min_score, scores[index]);
   }
   std::vector<std::size_t> near;
   for (const std::size_t index : sample) {
-    if (scores[index] <= least + policy.near_equal) {
+    if (scores[index] <= min_score + policy.near_equal) {
       near.push_back(index);
     }
   }
--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -19,8 +19,8 @@
 #include "libs/packing/packed_text.h"
 #include "libs/settings/settings.h"
 #include "libs/telemetry/log.h"
-#include "libs/traffic/target_book.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
+#include "libs/traffic/target_registry.h"
 #include "plugins/control_node/limit_keeper.h"
 #include "plugins/control_node/quarantine_keeper.h"
 #include "plugins/control_node/replica_host.h"
@@ -88,7 +88,7 @@
   const config::NumberedConfiguration& configuration() const {
     return state_.configuration();
   }
-  const traffic::TargetBook& targets() const { return targets_; }
+  const traffic::TargetRegistry& targets() const { return targets_; }
   QuarantineKeeper& quarantine() { return quarantine_; }
   LimitKeeper& limits() { return limits_; }
   // Lets a request pass here, and tells the other control nodes. False where
@@ -131,7 +131,7 @@
   traffic::ConfigurationReader read_configuration_;
   telemetry::Logger log_;
   ReplicatedState state_;
-  traffic::TargetBook targets_;
+  traffic::TargetRegistry targets_;
   std::map<std::string, double> slow_targets_;
   std::uint64_t slow_revision_ = 0;
   TimePoint slow_told_at_;
--- a/src/plugins/gateway/gateway_process.h
+++ b/src/plugins/gateway/gateway_process.h
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "libs/settings/settings.h"
-#include "libs/traffic/wire_dialect.h"
+#include "libs/traffic/header_names.h"
 
 namespace bilberryspool::gateway {
 
 // What callers and operators speak; decided where the program is put together.
 struct GatewayInterface {
-  traffic::WireDialect dialect;
+  traffic::HeaderNames dialect;
   traffic::ConfigurationReader read_configuration;
 };
 
--- a/src/plugins/gateway/gateway_state.h
+++ b/src/plugins/gateway/gateway_state.h
@@ -16,9 +16,9 @@
 #include "libs/settings/settings.h"
 #include "libs/telemetry/log.h"
 #include "libs/telemetry/metrics.h"
+#include "libs/traffic/header_names.h"
 #include "libs/traffic/route_table.h"
 #include "libs/traffic/target_pool.h"
-#include "libs/traffic/wire_dialect.h"
 #include "plugins/gateway/limit_grants.h"
 #include "plugins/gateway/quarantine_guard.h"
 #include "plugins/gateway/request_figures.h"
@@ -34,14 +34,14 @@
   GatewayState(net::NetworkLoop& loop,
                const settings::CommonSettings& common,
                const settings::GatewaySettings& gateway,
-               traffic::WireDialect wire_dialect,
+               traffic::HeaderNames wire_dialect,
                std::uint64_t seed);
 
   limits::RetryBudget& BudgetOf(const ServiceId& service);
   // How many gateways a control node has heard of.
   void NoteGateways(std::uint64_t count);
 
-  traffic::WireDialect dialect;
+  traffic::HeaderNames dialect;
   settings::RetryLimits retries;
   // Null until a configuration is known.
   std::shared_ptr<const traffic::RouteTable> routes;
--- a/tests/auto/routing/router_property_test.cc
+++ b/tests/auto/routing/router_property_test.cc
@@ -17,7 +17,8 @@
 const RoutingPolicy kPolicies[] = {RandomPolicy{}, LeastReportedPolicy{},
                                    TwoChoicesPolicy{}, ChosenPolicy{}};
 
-// Feeds a Router random events and keeps its own record of what is there.
+// Feeds a Router with random events and keeps its own record of the targets and
+// placements.
 class Run {
  public:
   explicit Run(std::uint64_t seed)
@@ -33,7 +34,7 @@
         return;
       case 2:
         views_.erase(target);
-        router_.Handle(TargetGone{target}, now_);
+        router_.Handle(TargetRemoved{target}, now_);
         return;
       case 3:
         Configure();
@@ -80,7 +81,7 @@
     view.load.age = random_.Between(Duration(0), Seconds(3));
     view.group_weight = random_.Chance(0.1) ? 0.0 : random_.Fraction();
     views_[target] = view;
-    router_.Handle(TargetSeen{view}, now_);
+    router_.Handle(TargetUpdated{view}, now_);
   }
 
   void Configure() {
@@ -167,10 +168,10 @@
   std::vector<AttemptId> attempts_;
 };
 
-// Symptom: work reaches a target that drains, left, or may not serve it.
-// Sequence: announcements, departures, configuration, attempts that end late
-// or twice, in any order.
-// Cause: an index or belief that outlives what it was made from.
+// Guards against requests sent to a target that is draining, was removed or may
+// not serve them. An index or estimate that outlives the announcement or
+// configuration it was made from would cause this. Announcements, removals,
+// configurations and attempts that end late or twice come in any order.
 TEST_CASE("each chosen target is eligible at that moment") {
   ForEachSeed(400, [](std::uint64_t seed) {
     CAPTURE(seed);
