--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -34,7 +34,8 @@
 traffic::TargetRegistryOptions MakeBookOptions(
     const settings::ControlSettings& settings) {
   traffic::TargetRegistryOptions options;
-  options.silence = settings.announcement_interval * kMissedAnnouncements;
+  options.silence_timeout =
+      settings.announcement_interval * kMissedAnnouncements;
   return options;
 }
 
