--- a/src/libs/consensus/member_keeper.cc
+++ b/src/libs/consensus/member_keeper.cc
@@ -9,12 +9,12 @@
 namespace {
 
 // A folder that was lost with its disk, and the one that took its place.
-std::optional<MembershipChange> ReplaceLostFolder(
-    const MemberPicture& picture) {
-  for (const MemberId& voter : picture.membership.voters) {
-    const auto heir = picture.awaiting.find(voter.node);
-    if (heir != picture.awaiting.end()) {
-      return ReplaceVoter{voter, heir->second};
+std::optional<MembershipChange> ReplaceVoterWithLostFolder(
+    const MembershipStatus& status) {
+  for (const MemberId& voter : status.membership.voters) {
+    const auto replacement = status.awaiting.find(voter.node);
+    if (replacement != status.awaiting.end()) {
+      return ReplaceVoter{voter, replacement->second};
     }
   }
   return std::nullopt;
@@ -22,59 +22,61 @@
 
 }  // namespace
 
-std::optional<MemberPicture> PictureOf(const Replica& replica) {
+std::optional<MembershipStatus> MembershipStatusOf(const Replica& replica) {
   const auto& state = replica.leader_state();
   if (!state.has_value()) {
     return std::nullopt;
   }
-  MemberPicture picture;
-  picture.self = replica.self();
-  picture.membership = replica.log().membership();
-  picture.awaiting = replica.awaiting_admission();
+  MembershipStatus status;
+  status.self = replica.self();
+  status.membership = replica.log().membership();
+  status.awaiting = replica.awaiting_admission();
   for (const auto& [id, progress] : state->progress()) {
     if (progress.has_answered()) {
-      picture.answered[id] = progress.acked_sent_at();
+      status.last_responses[id] = progress.acked_sent_at();
     }
   }
-  return picture;
+  return status;
 }
 
-void MemberKeeper::NoteMembers(const MemberPicture& picture, TimePoint now) {
+void MemberManager::TrackMembers(const MembershipStatus& status,
+                                 TimePoint now) {
   std::map<MemberId, TimePoint> seen;
-  for (const MemberId& id : picture.membership.AllMembers()) {
+  for (const MemberId& id : status.membership.AllMembers()) {
     const auto known = first_seen_.find(id);
     seen[id] = known == first_seen_.end() ? now : known->second;
   }
   first_seen_ = std::move(seen);
 }
 
-Duration MemberKeeper::UnheardFor(const MemberPicture& picture,
-                                  const MemberId& id,
-                                  TimePoint now) const {
-  TimePoint heard = now;
+Duration MemberManager::TimeSinceResponse(const MembershipStatus& status,
+                                          const MemberId& id,
+                                          TimePoint now) const {
+  TimePoint last_response = now;
   if (const auto seen = first_seen_.find(id); seen != first_seen_.end()) {
-    heard = seen->second;
+    last_response = seen->second;
   }
-  if (const auto answered = picture.answered.find(id);
-      answered != picture.answered.end()) {
-    heard = std::max(heard, answered->second);
+  if (const auto last_responses = status.last_responses.find(id);
+      last_responses != status.last_responses.end()) {
+    last_response = std::max(last_response, last_responses->second);
   }
-  return now - heard;
+  return now - last_response;
 }
 
 // The voter that has been unheard for longest, where it is long enough.
-const MemberId* MemberKeeper::SilentVoter(const MemberPicture& picture,
-                                          TimePoint now) const {
+const MemberId* MemberManager::UnresponsiveVoter(const MembershipStatus& status,
+                                                 TimePoint now) const {
   const MemberId* longest = nullptr;
-  for (const MemberId& voter : picture.membership.voters) {
-    if (voter == picture.self) {
+  for (const MemberId& voter : status.membership.voters) {
+    if (voter == status.self) {
       continue;
     }
-    const Duration unheard = UnheardFor(picture, voter, now);
-    if (unheard < options_.silence) {
+    const Duration silent_for = TimeSinceResponse(status, voter, now);
+    if (silent_for < options_.voter_timeout) {
       continue;
     }
-    if (longest == nullptr || unheard > UnheardFor(picture, *longest, now)) {
+    if (longest == nullptr ||
+        silent_for > TimeSinceResponse(status, *longest, now)) {
       longest = &voter;
     }
   }
@@ -82,16 +84,16 @@
 }
 
 // Ends what a dead learner holds up; promotes one that voters are missing.
-std::optional<MembershipChange> MemberKeeper::TendLearners(
-    const MemberPicture& picture,
+std::optional<MembershipChange> MemberManager::NextLearnerChange(
+    const MembershipStatus& status,
     TimePoint now) const {
-  for (const Learner& learner : picture.membership.learners) {
-    const bool has_new_folder = picture.awaiting.count(learner.id.node) > 0;
+  for (const Learner& learner : status.membership.learners) {
+    const bool has_new_folder = status.awaiting.count(learner.id.node) > 0;
     if (has_new_folder ||
-        UnheardFor(picture, learner.id, now) > options_.learner_patience) {
+        TimeSinceResponse(status, learner.id, now) > options_.learner_timeout) {
       return RemoveMember{learner.id};
     }
-    const bool is_wanted = picture.membership.voters.size() < options_.voters;
+    const bool is_wanted = status.membership.voters.size() < options_.voters;
     if (!learner.replaces && is_wanted) {
       return PromoteLearner{learner.id};
     }
@@ -99,26 +101,27 @@
   return std::nullopt;
 }
 
-std::optional<MembershipChange> MemberKeeper::Next(const MemberPicture& picture,
-                                                   TimePoint now) {
-  NoteMembers(picture, now);
-  if (picture.membership.is_joint()) {
+std::optional<MembershipChange> MemberManager::Next(
+    const MembershipStatus& status,
+    TimePoint now) {
+  TrackMembers(status, now);
+  if (status.membership.is_joint()) {
     return std::nullopt;
   }
-  if (!picture.membership.learners.empty()) {
-    return TendLearners(picture, now);
+  if (!status.membership.learners.empty()) {
+    return NextLearnerChange(status, now);
   }
-  if (auto change = ReplaceLostFolder(picture)) {
+  if (auto change = ReplaceVoterWithLostFolder(status)) {
     return change;
   }
-  if (picture.awaiting.empty()) {
+  if (status.awaiting.empty()) {
     return std::nullopt;
   }
-  const MemberId& newcomer = picture.awaiting.begin()->second;
-  if (const MemberId* silent = SilentVoter(picture, now)) {
+  const MemberId& newcomer = status.awaiting.begin()->second;
+  if (const MemberId* silent = UnresponsiveVoter(status, now)) {
     return ReplaceVoter{*silent, newcomer};
   }
-  if (picture.membership.voters.size() < options_.voters) {
+  if (status.membership.voters.size() < options_.voters) {
     return AddLearner{newcomer};
   }
   return std::nullopt;
--- a/src/libs/consensus/member_keeper.h
+++ b/src/libs/consensus/member_keeper.h
@@ -25,51 +25,52 @@
 
 class Replica;
 
-struct MemberKeeperOptions {
+struct MemberManagerOptions {
   // Voters wanted; with 2 f + 1 of them f folders may be lost.
   std::size_t voters = 3;
   // A voter that has not answered for this long may be replaced by another
   // node that asks for admission.
-  Duration silence = Seconds(2);
+  Duration voter_timeout = Seconds(2);
   // A learner that has not answered for this long is dropped, so that the
   // change it is part of does not block all others.
-  Duration learner_patience = Seconds(6);
+  Duration learner_timeout = Seconds(6);
 };
 
 // What the leader knows.
-struct MemberPicture {
+struct MembershipStatus {
   MemberId self;
   Membership membership;
   // Folders that ask for admission, by node.
   std::map<NodeId, MemberId> awaiting;
   // When each other member last answered this leader; a member that never did
   // is missing.
-  std::map<MemberId, TimePoint> answered;
+  std::map<MemberId, TimePoint> last_responses;
 };
 
 // The picture of a replica that leads; nothing where it does not.
-std::optional<MemberPicture> PictureOf(const Replica& replica);
+std::optional<MembershipStatus> MembershipStatusOf(const Replica& replica);
 
 // Belongs to one leadership: a new leader starts with a new one.
-class MemberKeeper {
+class MemberManager {
  public:
-  explicit MemberKeeper(MemberKeeperOptions options) : options_(options) {}
+  explicit MemberManager(MemberManagerOptions options) : options_(options) {}
 
   // The next change to ask for; nothing where none is due.
-  std::optional<MembershipChange> Next(const MemberPicture& picture,
+  std::optional<MembershipChange> Next(const MembershipStatus& status,
                                        TimePoint now);
 
  private:
-  void NoteMembers(const MemberPicture& picture, TimePoint now);
-  Duration UnheardFor(const MemberPicture& picture,
-                      const MemberId& id,
-                      TimePoint now) const;
-  std::optional<MembershipChange> TendLearners(const MemberPicture& picture,
-                                               TimePoint now) const;
-  const MemberId* SilentVoter(const MemberPicture& picture,
-                              TimePoint now) const;
+  void TrackMembers(const MembershipStatus& status, TimePoint now);
+  Duration TimeSinceResponse(const MembershipStatus& status,
+                             const MemberId& id,
+                             TimePoint now) const;
+  std::optional<MembershipChange> NextLearnerChange(
+      const MembershipStatus& status,
+      TimePoint now) const;
+  const MemberId* UnresponsiveVoter(const MembershipStatus& status,
+                                    TimePoint now) const;
 
-  MemberKeeperOptions options_;
+  MemberManagerOptions options_;
   // When each member was first seen in the membership. A learner that has just
   // been added has not answered anything yet; counted from the start of the
   // leadership it would look dead and be removed before its first answer, and
--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -178,12 +178,12 @@
     keeper_.reset();
     return;
   }
-  const auto picture = consensus::PictureOf(driver_->replica());
+  const auto picture = consensus::MembershipStatusOf(driver_->replica());
   if (is_changing_ || !picture.has_value()) {
     return;
   }
   if (!keeper_.has_value()) {
-    consensus::MemberKeeperOptions options;
+    consensus::MemberManagerOptions options;
     options.voters = 2 * settings_.tolerated_losses + 1;
     keeper_.emplace(options);
   }
--- a/src/plugins/control_node/replica_host.h
+++ b/src/plugins/control_node/replica_host.h
@@ -78,7 +78,7 @@
   bool is_stopping_ = false;
   bool is_changing_ = false;
   // Of the present leadership.
-  std::optional<consensus::MemberKeeper> keeper_;
+  std::optional<consensus::MemberManager> keeper_;
 };
 
 }  // namespace bilberryspool::control_node
--- a/tests/auto/consensus/member_keeper_test.cc
+++ b/tests/auto/consensus/member_keeper_test.cc
@@ -18,19 +18,19 @@
 const MemberId kLeader = Member("a", 1);
 const MemberId kFollower = Member("b", 2);
 const MemberId kThird = Member("c", 3);
-const MemberId kThirdAnew = Member("c", 33);
+const MemberId kThirdNewFolder = Member("c", 33);
 const MemberId kNewcomer = Member("d", 4);
 
 constexpr TimePoint kStart = TimeAt(Seconds(100));
 
 // A leader of three voters that all answered at `now`.
-MemberPicture Calm(TimePoint now) {
-  MemberPicture picture;
-  picture.self = kLeader;
-  picture.membership.voters = {kLeader, kFollower, kThird};
-  picture.answered[kFollower] = now;
-  picture.answered[kThird] = now;
-  return picture;
+MembershipStatus HealthyStatus(TimePoint now) {
+  MembershipStatus status;
+  status.self = kLeader;
+  status.membership.voters = {kLeader, kFollower, kThird};
+  status.last_responses[kFollower] = now;
+  status.last_responses[kThird] = now;
+  return status;
 }
 
 std::string Describe(const std::optional<MembershipChange>& change) {
@@ -57,58 +57,58 @@
   const char* name;
   // Changes the calm picture of `now`, two seconds and a half after the first
   // look of this leadership.
-  void (*arrange)(MemberPicture& picture, TimePoint now);
+  void (*modify)(MembershipStatus& status, TimePoint now);
   const char* expected;
 };
 
 constexpr Case kCases[] = {
-    {"calm", [](MemberPicture&, TimePoint) {}, "none"},
+    {"calm", [](MembershipStatus&, TimePoint) {}, "none"},
     {"a folder was lost and is there anew",
-     [](MemberPicture& picture, TimePoint) {
-       picture.awaiting[kThirdAnew.node] = kThirdAnew;
+     [](MembershipStatus& status, TimePoint) {
+       status.awaiting[kThirdNewFolder.node] = kThirdNewFolder;
      },
      "replace c3 by c33"},
     {"a newcomer while all voters are heard",
-     [](MemberPicture& picture, TimePoint) {
-       picture.awaiting[kNewcomer.node] = kNewcomer;
+     [](MembershipStatus& status, TimePoint) {
+       status.awaiting[kNewcomer.node] = kNewcomer;
      },
      "none"},
     {"a newcomer and a voter that has fallen silent",
-     [](MemberPicture& picture, TimePoint now) {
-       picture.awaiting[kNewcomer.node] = kNewcomer;
-       picture.answered[kThird] = now - Milliseconds(2400);
+     [](MembershipStatus& status, TimePoint now) {
+       status.awaiting[kNewcomer.node] = kNewcomer;
+       status.last_responses[kThird] = now - Milliseconds(2400);
      },
      "replace c3 by d4"},
     {"a newcomer and a voter that never answered this leader",
-     [](MemberPicture& picture, TimePoint) {
-       picture.awaiting[kNewcomer.node] = kNewcomer;
-       picture.answered.erase(kThird);
+     [](MembershipStatus& status, TimePoint) {
+       status.awaiting[kNewcomer.node] = kNewcomer;
+       status.last_responses.erase(kThird);
      },
      "replace c3 by d4"},
     {"a newcomer where voters are missing",
-     [](MemberPicture& picture, TimePoint) {
-       picture.awaiting[kNewcomer.node] = kNewcomer;
-       picture.membership.voters = {kLeader, kFollower};
+     [](MembershipStatus& status, TimePoint) {
+       status.awaiting[kNewcomer.node] = kNewcomer;
+       status.membership.voters = {kLeader, kFollower};
      },
      "add d4"},
     {"a learner where voters are missing",
-     [](MemberPicture& picture, TimePoint now) {
-       picture.membership.voters = {kLeader, kFollower};
-       picture.membership.learners = {{kNewcomer, std::nullopt}};
-       picture.answered[kNewcomer] = now;
+     [](MembershipStatus& status, TimePoint now) {
+       status.membership.voters = {kLeader, kFollower};
+       status.membership.learners = {{kNewcomer, std::nullopt}};
+       status.last_responses[kNewcomer] = now;
      },
      "promote d4"},
     {"a learner that is replaced by a newer folder of its node",
-     [](MemberPicture& picture, TimePoint now) {
-       picture.membership.learners = {{kNewcomer, kThird}};
-       picture.answered[kNewcomer] = now;
-       picture.awaiting[kNewcomer.node] = Member("d", 44);
+     [](MembershipStatus& status, TimePoint now) {
+       status.membership.learners = {{kNewcomer, kThird}};
+       status.last_responses[kNewcomer] = now;
+       status.awaiting[kNewcomer.node] = Member("d", 44);
      },
      "remove d4"},
     {"a joint change under way",
-     [](MemberPicture& picture, TimePoint) {
-       picture.membership.outgoing = {kLeader, kFollower, kThird};
-       picture.awaiting[kThirdAnew.node] = kThirdAnew;
+     [](MembershipStatus& status, TimePoint) {
+       status.membership.outgoing = {kLeader, kFollower, kThird};
+       status.awaiting[kThirdNewFolder.node] = kThirdNewFolder;
      },
      "none"},
 };
@@ -116,12 +116,12 @@
 TEST_CASE("the change that is due") {
   for (const Case& one : kCases) {
     CAPTURE(one.name);
-    MemberKeeper keeper{MemberKeeperOptions{}};
-    keeper.Next(Calm(kStart), kStart);
+    MemberManager manager{MemberManagerOptions{}};
+    manager.Next(HealthyStatus(kStart), kStart);
     const TimePoint now = kStart + Milliseconds(2500);
-    MemberPicture picture = Calm(now);
-    one.arrange(picture, now);
-    CHECK(Describe(keeper.Next(picture, now)) == one.expected);
+    MembershipStatus status = HealthyStatus(now);
+    one.modify(status, now);
+    CHECK(Describe(manager.Next(status, now)) == one.expected);
   }
 }
 
@@ -134,15 +134,15 @@
 // Cause: a member that had never answered was counted as unheard since the
 // leadership began, not since it was added.
 TEST_CASE("a learner that was just added is not taken for a dead one") {
-  MemberKeeper keeper{MemberKeeperOptions{}};
-  keeper.Next(Calm(kStart), kStart);
+  MemberManager manager{MemberManagerOptions{}};
+  manager.Next(HealthyStatus(kStart), kStart);
   const TimePoint added = kStart + Seconds(20);
-  MemberPicture picture = Calm(added);
-  picture.membership.learners = {{kNewcomer, kThird}};
-  CHECK(Describe(keeper.Next(picture, added)) == "none");
-  CHECK(Describe(keeper.Next(picture, added + Milliseconds(200))) == "none");
+  MembershipStatus status = HealthyStatus(added);
+  status.membership.learners = {{kNewcomer, kThird}};
+  CHECK(Describe(manager.Next(status, added)) == "none");
+  CHECK(Describe(manager.Next(status, added + Milliseconds(200))) == "none");
   // One that stays dumb is removed in the end, so that it blocks nothing.
-  CHECK(Describe(keeper.Next(picture, added + Seconds(7))) == "remove d4");
+  CHECK(Describe(manager.Next(status, added + Seconds(7))) == "remove d4");
 }
 
 }  // namespace
