--- a/src/libs/consensus/bootstrap.cc
+++ b/src/libs/consensus/bootstrap.cc
@@ -24,11 +24,11 @@
   peers_.assign(all.begin(), all.end());
 }
 
-std::vector<NodeId> Bootstrap::NodesToAsk(TimePoint now) {
-  if (now < ask_at_) {
+std::vector<NodeId> Bootstrap::NodesToGreet(TimePoint now) {
+  if (now < next_hello_at_) {
     return {};
   }
-  ask_at_ = now + interval_;
+  next_hello_at_ = now + interval_;
   ++round_;
   blank_peers_.clear();
   return peers_;
@@ -40,7 +40,7 @@
 
 void Bootstrap::NoteReply(const MemberId& from, const HelloReply& reply) {
   if (!reply.blank) {
-    found_existing_ = true;
+    existing_log_found_ = true;
     return;
   }
   if (reply.round == round_ && reply.initial_voters == initial_voters_) {
@@ -48,8 +48,8 @@
   }
 }
 
-std::optional<Membership> Bootstrap::FoundingMembership() const {
-  if (found_existing_ || initial_voters_.empty() ||
+std::optional<Membership> Bootstrap::InitialMembership() const {
+  if (existing_log_found_ || initial_voters_.empty() ||
       initial_voters_.front() != self_.node || round_ == 0) {
     return std::nullopt;
   }
--- a/src/libs/consensus/bootstrap.h
+++ b/src/libs/consensus/bootstrap.h
@@ -25,21 +25,21 @@
 
   void AddPeers(const std::vector<NodeId>& peers);
   // The nodes to greet now; empty where it is not time yet.
-  std::vector<NodeId> NodesToAsk(TimePoint now);
+  std::vector<NodeId> NodesToGreet(TimePoint now);
   Hello MakeHello() const;
   void NoteReply(const MemberId& from, const HelloReply& reply);
   // The voters of the new log, when it may be founded.
-  std::optional<Membership> FoundingMembership() const;
-  TimePoint deadline() const { return ask_at_; }
+  std::optional<Membership> InitialMembership() const;
+  TimePoint deadline() const { return next_hello_at_; }
 
  private:
   MemberId self_;
   std::vector<NodeId> initial_voters_;
   std::vector<NodeId> peers_;
   Duration interval_;
-  TimePoint ask_at_;
+  TimePoint next_hello_at_;
   std::uint64_t round_ = 0;
-  bool found_existing_ = false;
+  bool existing_log_found_ = false;
   // Those that answered "new" in this round.
   std::map<NodeId, MemberId> blank_peers_;
 };
--- a/src/libs/consensus/election.cc
+++ b/src/libs/consensus/election.cc
@@ -16,7 +16,7 @@
   has_leader_contact_ = true;
 }
 
-bool Election::HeardLeaderLately(TimePoint now) const {
+bool Election::HadRecentLeaderContact(TimePoint now) const {
 #if defined(BILBERRYSPOOL_MUTATION_IGNORE_LEASE)
   return false && now < leader_contact_;
 #else
--- a/src/libs/consensus/election.h
+++ b/src/libs/consensus/election.h
@@ -21,7 +21,7 @@
   // this replica granting no vote.
   void NoteLeaderContact(TimePoint now);
   // Whether a leader may hold a lease that counts on this replica.
-  bool HeardLeaderLately(TimePoint now) const;
+  bool HadRecentLeaderContact(TimePoint now) const;
   bool IsDue(TimePoint now) const { return now >= deadline_; }
   TimePoint deadline() const { return deadline_; }
 
--- a/src/libs/consensus/leader_state.cc
+++ b/src/libs/consensus/leader_state.cc
@@ -10,9 +10,9 @@
                          TimePoint now)
     : self_(std::move(self)),
       lease_(options.lease_duration()),
-      lately_(options.election_timeout_max),
+      recent_contact_window_(options.election_timeout_max),
       heartbeat_interval_(options.heartbeat_interval),
-      timeout_(options.transfer_timeout),
+      transfer_timeout_(options.transfer_timeout),
       catch_up_slack_(options.catch_up_slack),
       started_at_(now),
       heartbeat_at_(now) {
@@ -69,7 +69,7 @@
 bool LeaderState::HasHealthyQuorum(const Membership& membership,
                                    TimePoint now) const {
   const TimePoint contact = QuorumContact(membership, now);
-  return contact != TimePoint::min() && now < contact + lately_;
+  return contact != TimePoint::min() && now < contact + recent_contact_window_;
 }
 
 bool LeaderState::HasCaughtUp(const MemberId& id,
@@ -80,10 +80,11 @@
     return false;
   }
   const Progress& progress = found->second;
-  const bool answered_lately = now < progress.acked_sent_at() + lately_;
+  const bool answered_recently =
+      now < progress.acked_sent_at() + recent_contact_window_;
   const bool is_close =
       progress.match().value() + catch_up_slack_ >= last_index.value();
-  return answered_lately && is_close && progress.match() > LogIndex(0);
+  return answered_recently && is_close && progress.match() > LogIndex(0);
 }
 
 void LeaderState::NoteHeartbeat(TimePoint now) {
@@ -104,7 +105,7 @@
   return committed;
 }
 
-std::vector<PendingProposal> LeaderState::TakeLost() {
+std::vector<PendingProposal> LeaderState::TakeAllPending() {
   return TakeCommitted(LogIndex(UINT64_MAX));
 }
 
--- a/src/libs/consensus/leader_state.h
+++ b/src/libs/consensus/leader_state.h
@@ -54,12 +54,14 @@
   std::size_t pending_count() const { return pending_.size(); }
   // Takes out the callers whose entries are committed.
   std::vector<PendingProposal> TakeCommitted(LogIndex commit);
-  std::vector<PendingProposal> TakeLost();
+  std::vector<PendingProposal> TakeAllPending();
 
   void AddRead(RequestTicket ticket) { reads_.push_back(ticket); }
   std::vector<RequestTicket> TakeReads();
 
-  void BeginTransfer(TimePoint now) { transfer_deadline_ = now + timeout_; }
+  void BeginTransfer(TimePoint now) {
+    transfer_deadline_ = now + transfer_timeout_;
+  }
   void EndTransfer() { transfer_deadline_.reset(); }
   const std::optional<TimePoint>& transfer_deadline() const {
     return transfer_deadline_;
@@ -68,9 +70,9 @@
  private:
   MemberId self_;
   Duration lease_;
-  Duration lately_;
+  Duration recent_contact_window_;
   Duration heartbeat_interval_;
-  Duration timeout_;
+  Duration transfer_timeout_;
   std::size_t catch_up_slack_;
   TimePoint started_at_;
   TimePoint heartbeat_at_;
--- a/src/libs/consensus/replica.cc
+++ b/src/libs/consensus/replica.cc
@@ -126,7 +126,7 @@
     actions_.push_back(ProposalOutcome{propose.ticket, Busy{}});
     return;
   }
-  const LogIndex index = AppendOwn(Command{propose.bytes});
+  const LogIndex index = AppendAsLeader(Command{propose.bytes});
   leader_state_->AddPending(index, propose.ticket);
 }
 
@@ -149,7 +149,7 @@
     refuse(*reason);
     return;
   }
-  const LogIndex index = AppendOwn(next);
+  const LogIndex index = AppendAsLeader(next);
   leader_state_->AddPending(index, change.ticket);
 }
 
@@ -205,7 +205,7 @@
   for (Message& message : outbox_.Release()) {
     actions_.push_back(Send{std::move(message)});
   }
-  AnnounceRole();
+  ReportRoleChange();
 }
 
 void Replica::FlushPersist() {
@@ -243,12 +243,12 @@
   }
 }
 
-void Replica::AnnounceRole() {
-  const Announced current{role_, hard_state_.term, leader_};
-  if (current == announced_) {
+void Replica::ReportRoleChange() {
+  const ReportedRole current{role_, hard_state_.term, leader_};
+  if (current == reported_role_) {
     return;
   }
-  announced_ = current;
+  reported_role_ = current;
   actions_.push_back(RoleChanged{role_, hard_state_.term, LeaderHint()});
 }
 
--- a/src/libs/consensus/replica.h
+++ b/src/libs/consensus/replica.h
@@ -67,12 +67,12 @@
   std::map<NodeId, MemberId> awaiting_admission() const;
 
  private:
-  struct Announced {
+  struct ReportedRole {
     Role role = Role::kFollower;
     Term term;
     std::optional<MemberId> leader;
 
-    bool operator==(const Announced&) const = default;
+    bool operator==(const ReportedRole&) const = default;
   };
 
   // replica.cc: the shell's events.
@@ -89,7 +89,7 @@
   void Finish(TimePoint now);
   void FlushPersist();
   void ApplyCommitted();
-  void AnnounceRole();
+  void ReportRoleChange();
   std::optional<NodeId> LeaderHint() const;
   void Queue(const MemberId& to, MessageBody body, SendAfter after);
 
@@ -100,7 +100,7 @@
   void RejectOldTerm(const Message& message);
   void Halt(HaltReason reason);
   void TickBlank(TimePoint now);
-  void Found(Membership membership, TimePoint now);
+  void BootstrapLog(Membership membership, TimePoint now);
 
   // replica_election.cc
   void StartPreVote(TimePoint now);
@@ -108,7 +108,7 @@
   void NoteElectionProgress(TimePoint now);
   void BecomeLeader(TimePoint now);
   void BecomeFollower(Term term, TimePoint now);
-  bool MayFollowLeader(TimePoint now) const;
+  bool MustHonorLease(TimePoint now) const;
   bool IsUpToDate(LogIndex last_index, Term last_term) const;
   void OnBody(const Message& message, const PreVote& body, TimePoint now);
   void OnBody(const Message& message, const PreVoteReply& body, TimePoint now);
@@ -126,9 +126,9 @@
   void OnBody(const Message& message,
               const InstallSnapshot& body,
               TimePoint now);
-  bool HasMatch(const Append& body) const;
+  bool MatchesLog(const Append& body) const;
   LogIndex ConflictHint(LogIndex prev_index) const;
-  void TakeEntries(const std::vector<LogEntry>& entries);
+  void AppendReceivedEntries(const std::vector<LogEntry>& entries);
   void InstallIncoming(const InstallSnapshot& body);
 
   // replica_leader.cc
@@ -137,11 +137,11 @@
               const InstallSnapshotReply& body,
               TimePoint now);
   void TickLeader(TimePoint now);
-  LogIndex AppendOwn(EntryPayload payload);
+  LogIndex AppendAsLeader(EntryPayload payload);
   void AdvanceCommit();
   void AdvanceMembership(TimePoint now);
   void AdvanceTransfer(TimePoint now);
-  void HandOver(const MemberId& successor, TimePoint now);
+  void TransferLeadershipTo(const MemberId& successor, TimePoint now);
   void AnswerReads(TimePoint now);
   void SendToFollowers(TimePoint now);
   void SendEntries(const MemberId& to, Progress& progress, TimePoint now);
@@ -150,7 +150,7 @@
   std::optional<RefusalReason> CheckChange(const MembershipChange& change,
                                            const Membership& next,
                                            TimePoint now) const;
-  bool IsSettled() const;
+  bool CanChangeMembership() const;
 
   MemberId self_;
   ReplicaOptions options_;
@@ -164,13 +164,13 @@
   bool started_ = false;
   Role role_ = Role::kFollower;
   std::optional<MemberId> leader_;
-  Announced announced_;
+  ReportedRole reported_role_;
   LogIndex commit_;
   LogIndex applied_;
   // The first entry of this replica's own term as a leader.
   LogIndex term_start_;
   std::optional<LeaderState> leader_state_;
-  std::map<NodeId, MemberId> greeted_;
+  std::map<NodeId, MemberId> hello_senders_;
 
   // What the current event changed and must be written.
   bool hard_state_changed_ = false;
--- a/src/libs/consensus/replica_election.cc
+++ b/src/libs/consensus/replica_election.cc
@@ -56,13 +56,13 @@
   role_ = Role::kLeader;
   leader_ = self_;
   leader_state_.emplace(self_, options_, log_, now);
-  term_start_ = AppendOwn(NoOp{});
+  term_start_ = AppendAsLeader(NoOp{});
 }
 
 void Replica::BecomeFollower(Term term, TimePoint now) {
   BILBERRYSPOOL_INVARIANT(term >= hard_state_.term, "the term never goes back");
   if (leader_state_) {
-    for (const PendingProposal& lost : leader_state_->TakeLost()) {
+    for (const PendingProposal& lost : leader_state_->TakeAllPending()) {
       actions_.push_back(ProposalOutcome{lost.ticket, LostLeadershipUnknown{}});
     }
     for (const RequestTicket ticket : leader_state_->TakeReads()) {
@@ -84,11 +84,11 @@
   leader_.reset();
 }
 
-bool Replica::MayFollowLeader(TimePoint now) const {
+bool Replica::MustHonorLease(TimePoint now) const {
   if (leader_state_) {
     return leader_state_->HasLease(log_.membership(), now);
   }
-  return election_.HeardLeaderLately(now);
+  return election_.HadRecentLeaderContact(now);
 }
 
 bool Replica::IsUpToDate(LogIndex last_index, Term last_term) const {
@@ -102,7 +102,7 @@
                      const PreVote& body,
                      TimePoint now) {
   const Term proposed = message.term.Next();
-  const bool granted = proposed > hard_state_.term && !MayFollowLeader(now) &&
+  const bool granted = proposed > hard_state_.term && !MustHonorLease(now) &&
                        IsUpToDate(body.last_index, body.last_term);
   Queue(message.from, PreVoteReply{proposed, granted}, SendAfter::kHardState);
 }
--- a/src/libs/consensus/replica_follower.cc
+++ b/src/libs/consensus/replica_follower.cc
@@ -44,14 +44,14 @@
   FollowLeader(message, now);
   AppendReply reply;
   reply.sent_at = body.sent_at;
-  if (!HasMatch(body)) {
+  if (!MatchesLog(body)) {
     reply.rejected_prev = body.prev_index;
     reply.hint = ConflictHint(body.prev_index);
     reply.last_index = log_.last_index();
     Queue(message.from, reply, SendAfter::kHardState);
     return;
   }
-  TakeEntries(body.entries);
+  AppendReceivedEntries(body.entries);
   const LogIndex verified(body.prev_index.value() + body.entries.size());
   commit_ = std::max(commit_, std::min(body.commit, verified));
   reply.accepted = true;
@@ -64,7 +64,7 @@
         is_heartbeat ? SendAfter::kHardState : SendAfter::kEverything);
 }
 
-bool Replica::HasMatch(const Append& body) const {
+bool Replica::MatchesLog(const Append& body) const {
   // Everything up to the commit index is the same on each replica.
   if (body.prev_index <= commit_) {
     return true;
@@ -85,7 +85,7 @@
   return hint;
 }
 
-void Replica::TakeEntries(const std::vector<LogEntry>& entries) {
+void Replica::AppendReceivedEntries(const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     if (entry.index < log_.first_index() ||
         log_.TermAt(entry.index) == entry.term) {
--- a/src/libs/consensus/replica_header.cc
+++ b/src/libs/consensus/replica_header.cc
@@ -17,13 +17,14 @@
 }  // namespace
 
 bool Replica::AcceptHeader(const Message& message) {
-  const bool is_greeting = IsOneOf<Hello, HelloReply>(message.body);
-  const bool is_any = is_greeting && message.to.identity == ReplicaIdentity(0);
+  const bool is_hello = IsOneOf<Hello, HelloReply>(message.body);
+  const bool accepts_any_identity =
+      is_hello && message.to.identity == ReplicaIdentity(0);
   if (message.to.node != self_.node ||
-      (message.to.identity != self_.identity && !is_any)) {
+      (message.to.identity != self_.identity && !accepts_any_identity)) {
     return false;
   }
-  if (is_greeting) {
+  if (is_hello) {
     return true;
   }
   if (is_blank()) {
@@ -69,7 +70,7 @@
   }
   if (const auto* vote = std::get_if<Vote>(&message.body)) {
     // Not even the term is taken over: that alone would end a live lease.
-    if (!vote->forced && MayFollowLeader(now)) {
+    if (!vote->forced && MustHonorLease(now)) {
       return false;
     }
   }
@@ -105,7 +106,7 @@
 }
 
 std::map<NodeId, MemberId> Replica::awaiting_admission() const {
-  std::map<NodeId, MemberId> awaiting = greeted_;
+  std::map<NodeId, MemberId> awaiting = hello_senders_;
   std::erase_if(awaiting, [&](const auto& item) {
     return log_.membership().Contains(item.second);
   });
@@ -113,16 +114,16 @@
 }
 
 void Replica::TickBlank(TimePoint now) {
-  for (const NodeId& node : bootstrap_.NodesToAsk(now)) {
+  for (const NodeId& node : bootstrap_.NodesToGreet(now)) {
     Queue({node, ReplicaIdentity(0)}, bootstrap_.MakeHello(),
           SendAfter::kHardState);
   }
-  if (auto membership = bootstrap_.FoundingMembership()) {
-    Found(std::move(*membership), now);
+  if (auto membership = bootstrap_.InitialMembership()) {
+    BootstrapLog(std::move(*membership), now);
   }
 }
 
-void Replica::Found(Membership membership, TimePoint now) {
+void Replica::BootstrapLog(Membership membership, TimePoint now) {
   hard_state_.cluster = ClusterId(1 + random_.Below(UINT64_MAX - 1));
   hard_state_.term = Term(1);
   hard_state_changed_ = true;
@@ -139,7 +140,7 @@
         HelloReply{body.round, is_blank(), options_.initial_voters},
         SendAfter::kHardState);
   if (!is_blank()) {
-    greeted_[message.from.node] = message.from;
+    hello_senders_[message.from.node] = message.from;
   }
 }
 
@@ -152,8 +153,8 @@
   HelloReply reply = body;
   std::sort(reply.initial_voters.begin(), reply.initial_voters.end());
   bootstrap_.NoteReply(message.from, reply);
-  if (auto membership = bootstrap_.FoundingMembership()) {
-    Found(std::move(*membership), now);
+  if (auto membership = bootstrap_.InitialMembership()) {
+    BootstrapLog(std::move(*membership), now);
   }
 }
 
--- a/src/libs/consensus/replica_leader.cc
+++ b/src/libs/consensus/replica_leader.cc
@@ -35,7 +35,7 @@
   }
 }
 
-LogIndex Replica::AppendOwn(EntryPayload payload) {
+LogIndex Replica::AppendAsLeader(EntryPayload payload) {
   const bool is_membership = std::holds_alternative<Membership>(payload);
   LogEntry entry{log_.last_index().Next(), hard_state_.term,
                  std::move(payload)};
@@ -63,17 +63,17 @@
   commit_ = reached;
 }
 
-bool Replica::IsSettled() const {
+bool Replica::CanChangeMembership() const {
   return commit_ >= term_start_ && log_.membership_index() <= commit_;
 }
 
 void Replica::AdvanceMembership(TimePoint now) {
-  if (!IsSettled()) {
+  if (!CanChangeMembership()) {
     return;
   }
   const Membership& current = log_.membership();
   if (current.is_joint()) {
-    AppendOwn(LeaveJoint(current));
+    AppendAsLeader(LeaveJoint(current));
     return;
   }
   if (!current.IsVoter(self_) && !leader_state_->transfer_deadline()) {
@@ -88,7 +88,7 @@
     }
     const Membership joint = JointForReplacement(current, learner);
     if (leader_state_->HasHealthyQuorum(joint, now)) {
-      AppendOwn(joint);
+      AppendAsLeader(joint);
     }
     return;
   }
@@ -101,7 +101,7 @@
   if (commit_ < term_start_) {
     return RefusalReason::kLeaderNotReady;
   }
-  if (!IsSettled()) {
+  if (!CanChangeMembership()) {
     return RefusalReason::kChangeInProgress;
   }
   if (const auto* promote = std::get_if<PromoteLearner>(&change)) {
@@ -125,12 +125,12 @@
         now >= progress.acked_sent_at() + options_.election_timeout_min) {
       continue;
     }
-    HandOver(MemberId(id), now);
+    TransferLeadershipTo(MemberId(id), now);
     return;
   }
 }
 
-void Replica::HandOver(const MemberId& successor, TimePoint now) {
+void Replica::TransferLeadershipTo(const MemberId& successor, TimePoint now) {
   Queue(successor, TimeoutNow{}, SendAfter::kHardState);
   // The lease ends here for good: the successor's election does not wait for
   // it, however late the message arrives.
--- a/tests/auto/consensus/membership_test.cc
+++ b/tests/auto/consensus/membership_test.cc
@@ -60,13 +60,13 @@
   ReplicaOptions options;
   options.initial_voters = {NodeId("a"), NodeId("b")};
   Bootstrap bootstrap(options, Member("a", 1));
-  CHECK(bootstrap.NodesToAsk(TimePoint{}).size() == 1);
+  CHECK(bootstrap.NodesToGreet(TimePoint{}).size() == 1);
   bootstrap.NoteReply(Member("b", 2), {1, true, {NodeId("b"), NodeId("c")}});
-  CHECK_FALSE(bootstrap.FoundingMembership());
+  CHECK_FALSE(bootstrap.InitialMembership());
   bootstrap.NoteReply(Member("b", 2), {1, true, options.initial_voters});
-  CHECK(bootstrap.FoundingMembership());
+  CHECK(bootstrap.InitialMembership());
   bootstrap.NoteReply(Member("c", 3), {1, false, {}});
-  CHECK_FALSE(bootstrap.FoundingMembership());
+  CHECK_FALSE(bootstrap.InitialMembership());
 }
 
 TEST_CASE("a new folder in an existing deployment founds no second log") {
