--- a/src/libs/consensus/membership.cc
+++ b/src/libs/consensus/membership.cc
@@ -7,7 +7,7 @@
 namespace bilberryspool::consensus {
 namespace {
 
-bool Holds(const std::vector<MemberId>& ids, const MemberId& id) {
+bool ContainsId(const std::vector<MemberId>& ids, const MemberId& id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
@@ -25,7 +25,7 @@
   return false;
 }
 
-bool ReplacementUnderWay(const Membership& membership) {
+bool HasPendingReplacement(const Membership& membership) {
   for (const Learner& learner : membership.learners) {
     if (learner.replaces) {
       return true;
@@ -61,10 +61,10 @@
 }
 
 Result WithReplacement(const Membership& current, const ReplaceVoter& change) {
-  if (!Holds(current.voters, change.old)) {
+  if (!ContainsId(current.voters, change.old)) {
     return RefusalReason::kUnknownMember;
   }
-  if (ReplacementUnderWay(current)) {
+  if (HasPendingReplacement(current)) {
     return RefusalReason::kChangeInProgress;
   }
   // The replacement may be the same node with a new folder.
@@ -84,10 +84,10 @@
     EraseLearner(next, change.member);
     return next;
   }
-  if (!Holds(current.voters, change.member)) {
+  if (!ContainsId(current.voters, change.member)) {
     return RefusalReason::kUnknownMember;
   }
-  if (ReplacementUnderWay(current)) {
+  if (HasPendingReplacement(current)) {
     return RefusalReason::kChangeInProgress;
   }
   if (current.voters.size() == 1) {
@@ -101,7 +101,7 @@
 }  // namespace
 
 bool Membership::IsVoter(const MemberId& id) const {
-  return Holds(voters, id) || Holds(outgoing, id);
+  return ContainsId(voters, id) || ContainsId(outgoing, id);
 }
 
 const Learner* Membership::FindLearner(const MemberId& id) const {
--- a/src/libs/consensus/outbox.cc
+++ b/src/libs/consensus/outbox.cc
@@ -6,17 +6,17 @@
 namespace bilberryspool::consensus {
 
 void Outbox::Queue(Message message, SendAfter after) {
-  held_.push_back({std::move(message), after, PersistTicket(0), false});
+  queue_.push_back({std::move(message), after, PersistTicket(0), false});
 }
 
-void Outbox::Seal() {
-  for (Held& held : held_) {
-    if (held.sealed) {
+void Outbox::AssignTickets() {
+  for (QueuedMessage& queued : queue_) {
+    if (queued.has_ticket) {
       continue;
     }
-    held.sealed = true;
-    held.ticket =
-        held.after == SendAfter::kHardState ? hard_ticket_ : last_ticket_;
+    queued.has_ticket = true;
+    queued.ticket =
+        queued.after == SendAfter::kHardState ? hard_ticket_ : last_ticket_;
   }
 }
 
@@ -24,22 +24,22 @@
   persisted_ = std::max(persisted_, ticket);
 }
 
-std::vector<Message> Outbox::Release() {
+std::vector<Message> Outbox::TakeSendable() {
   std::vector<Message> released;
-  std::vector<Held> still_held;
-  for (Held& held : held_) {
+  std::vector<QueuedMessage> remaining;
+  for (QueuedMessage& queued : queue_) {
 #if defined(BILBERRYSPOOL_MUTATION_SKIP_SYNC)
-    const bool may_leave = true;
+    const bool may_send = true;
 #else
-    const bool may_leave = held.sealed && held.ticket <= persisted_;
+    const bool may_send = queued.has_ticket && queued.ticket <= persisted_;
 #endif
-    if (may_leave) {
-      released.push_back(std::move(held.message));
+    if (may_send) {
+      released.push_back(std::move(queued.message));
       continue;
     }
-    still_held.push_back(std::move(held));
+    remaining.push_back(std::move(queued));
   }
-  held_ = std::move(still_held);
+  queue_ = std::move(remaining);
   return released;
 }
 
--- a/src/libs/consensus/outbox.h
+++ b/src/libs/consensus/outbox.h
@@ -24,29 +24,31 @@
   PersistTicket NextTicket() { return last_ticket_ = last_ticket_.Next(); }
   void NoteHardStateTicket(PersistTicket ticket) { hard_ticket_ = ticket; }
 
-  // Queued until Release; what it waits for is settled at the next Seal.
+  // Queued until TakeSendable; what it waits for is settled at the next
+  // AssignTickets.
   void Queue(Message message, SendAfter after);
-  // Ties the messages queued since the last Seal to the writes asked for.
-  void Seal();
+  // Ties the messages queued since the last AssignTickets to the writes asked
+  // for.
+  void AssignTickets();
   void MarkPersisted(PersistTicket ticket);
   // Takes out the messages that may leave.
-  std::vector<Message> Release();
+  std::vector<Message> TakeSendable();
 
   // Whether the term and vote are synced.
   bool is_hard_state_durable() const { return hard_ticket_ <= persisted_; }
 
  private:
-  struct Held {
+  struct QueuedMessage {
     Message message;
     SendAfter after;
     PersistTicket ticket;
-    bool sealed = false;
+    bool has_ticket = false;
   };
 
   PersistTicket last_ticket_;
   PersistTicket hard_ticket_;
   PersistTicket persisted_;
-  std::vector<Held> held_;
+  std::vector<QueuedMessage> queue_;
 };
 
 }  // namespace bilberryspool::consensus
--- a/src/libs/consensus/replica.cc
+++ b/src/libs/consensus/replica.cc
@@ -201,8 +201,8 @@
     AdvanceTransfer(now);
   }
   FlushPersist();
-  outbox_.Seal();
-  for (Message& message : outbox_.Release()) {
+  outbox_.AssignTickets();
+  for (Message& message : outbox_.TakeSendable()) {
     actions_.push_back(Send{std::move(message)});
   }
   ReportRoleChange();
--- a/tests/auto/consensus/fake_cluster.cc
+++ b/tests/auto/consensus/fake_cluster.cc
@@ -155,7 +155,7 @@
   Start(id);
 }
 
-bool FakeCluster::MayLose(const NodeId& id) const {
+bool FakeCluster::CanLoseDisk(const NodeId& id) const {
   std::set<MemberId> lost = lost_;
   lost.insert(nodes_.at(id).disk.self);
   // In force: the last committed membership and whatever follows it somewhere.
@@ -258,7 +258,7 @@
   const auto deadline = node.replica->next_deadline();
   const bool is_tick = std::holds_alternative<Tick>(event);
   for (const Action& action : node.replica->Handle(event, LocalTime(node))) {
-    std::visit([&](const auto& it) { Do(id, it); }, action);
+    std::visit([&](const auto& it) { Execute(id, it); }, action);
   }
   if (is_tick || node.replica->next_deadline() != deadline) {
     ScheduleTick(id);
@@ -278,7 +278,7 @@
   }
 }
 
-void FakeCluster::Do(const NodeId& id, const Send& send) {
+void FakeCluster::Execute(const NodeId& id, const Send& send) {
   ++messages_sent_;
   const NodeId& to = send.message.to.node;
   if (nodes_.count(to) == 0 || cuts_.count({id, to}) > 0 ||
@@ -293,19 +293,19 @@
   }
 }
 
-void FakeCluster::Do(const NodeId& id, const Persist& persist) {
+void FakeCluster::Execute(const NodeId& id, const Persist& persist) {
   nodes_.at(id).unsynced.push_back(persist);
   const Duration delay = random_.Between(Microseconds(100), faults_.sync_max);
   Schedule(now_ + delay, id, Persisted{persist.ticket});
 }
 
-void FakeCluster::Do(const NodeId& id, const PersistSnapshot& persist) {
+void FakeCluster::Execute(const NodeId& id, const PersistSnapshot& persist) {
   nodes_.at(id).unsynced.push_back(persist);
   const Duration delay = random_.Between(Microseconds(100), faults_.sync_max);
   Schedule(now_ + delay, id, Persisted{persist.ticket});
 }
 
-void FakeCluster::Do(const NodeId& id, const CompactLog& compact) {
+void FakeCluster::Execute(const NodeId& id, const CompactLog& compact) {
   FakeDisk& disk = nodes_.at(id).disk;
   if (disk.snapshot == nullptr || disk.snapshot->index < compact.through) {
     Fail("the log is compacted before a synced snapshot covers it");
@@ -315,7 +315,7 @@
   });
 }
 
-void FakeCluster::Do(const NodeId& id, const Apply& apply) {
+void FakeCluster::Execute(const NodeId& id, const Apply& apply) {
   FakeNode& node = nodes_.at(id);
   for (const LogEntry& entry : apply.entries) {
     if (entry.index != node.applied.Next()) {
@@ -333,7 +333,7 @@
   }
 }
 
-void FakeCluster::Do(const NodeId& id, const RestoreSnapshot& restore) {
+void FakeCluster::Execute(const NodeId& id, const RestoreSnapshot& restore) {
   FakeNode& node = nodes_.at(id);
   if (restore.snapshot->index < node.applied) {
     Fail("the applied index went back");
@@ -346,7 +346,8 @@
   }
 }
 
-void FakeCluster::Do(const NodeId& /*id*/, const ProposalOutcome& outcome) {
+void FakeCluster::Execute(const NodeId& /*id*/,
+                          const ProposalOutcome& outcome) {
   if (!outcomes_.emplace(outcome.ticket, outcome).second) {
     Fail("a proposal was answered twice");
   }
@@ -366,15 +367,15 @@
   }
 }
 
-void FakeCluster::Do(const NodeId& /*id*/, const ReadOutcome& outcome) {
+void FakeCluster::Execute(const NodeId& /*id*/, const ReadOutcome& outcome) {
   reads_.emplace(outcome.ticket, outcome);
   const auto* read = std::get_if<ReadAt>(&outcome.result);
-  if (read != nullptr && read->index < read_floor_.at(outcome.ticket)) {
+  if (read != nullptr && read->index < min_read_index_.at(outcome.ticket)) {
     Fail("a reader was shown a state older than what was accepted");
   }
 }
 
-void FakeCluster::Do(const NodeId& id, const RoleChanged& changed) {
+void FakeCluster::Execute(const NodeId& id, const RoleChanged& changed) {
   if (changed.role != Role::kLeader) {
     return;
   }
@@ -387,7 +388,7 @@
   CheckLeaderLog(*node.replica);
 }
 
-void FakeCluster::Do(const NodeId& id, const Halted& /*halted*/) {
+void FakeCluster::Execute(const NodeId& id, const Halted& /*halted*/) {
   nodes_.at(id).halted = true;
 }
 
@@ -429,7 +430,7 @@
 
 RequestTicket FakeCluster::ReadFrom(const NodeId& id) {
   const RequestTicket ticket(next_ticket_++);
-  read_floor_[ticket] = highest_accepted_;
+  min_read_index_[ticket] = highest_accepted_;
   Deliver(id, ReadBarrier{ticket});
   return ticket;
 }
--- a/tests/auto/consensus/fake_cluster.h
+++ b/tests/auto/consensus/fake_cluster.h
@@ -71,7 +71,7 @@
   // Crashes and comes back with a new, empty folder.
   void LoseDisk(const NodeId& id);
   // Whether a majority of each membership in force is left without `id`.
-  bool MayLose(const NodeId& id) const;
+  bool CanLoseDisk(const NodeId& id) const;
   // The clock goes on from where it is.
   void SetClockRate(const NodeId& id, double rate);
   void Freeze(const NodeId& id, Duration duration);
@@ -123,16 +123,16 @@
   void ScheduleTick(const NodeId& id);
   void Handle(const NodeId& id, const Event& event);
   void SyncUpTo(FakeNode& node, PersistTicket ticket);
-  void Do(const NodeId& id, const Send& send);
-  void Do(const NodeId& id, const Persist& persist);
-  void Do(const NodeId& id, const PersistSnapshot& persist);
-  void Do(const NodeId& id, const CompactLog& compact);
-  void Do(const NodeId& id, const Apply& apply);
-  void Do(const NodeId& id, const RestoreSnapshot& restore);
-  void Do(const NodeId& id, const ProposalOutcome& outcome);
-  void Do(const NodeId& id, const ReadOutcome& outcome);
-  void Do(const NodeId& id, const RoleChanged& changed);
-  void Do(const NodeId& id, const Halted& halted);
+  void Execute(const NodeId& id, const Send& send);
+  void Execute(const NodeId& id, const Persist& persist);
+  void Execute(const NodeId& id, const PersistSnapshot& persist);
+  void Execute(const NodeId& id, const CompactLog& compact);
+  void Execute(const NodeId& id, const Apply& apply);
+  void Execute(const NodeId& id, const RestoreSnapshot& restore);
+  void Execute(const NodeId& id, const ProposalOutcome& outcome);
+  void Execute(const NodeId& id, const ReadOutcome& outcome);
+  void Execute(const NodeId& id, const RoleChanged& changed);
+  void Execute(const NodeId& id, const Halted& halted);
   void CheckLeases();
   void CheckLeaderLog(const Replica& replica);
 
@@ -159,7 +159,7 @@
   std::map<RequestTicket, ProposalOutcome> outcomes_;
   std::map<RequestTicket, ReadOutcome> reads_;
   std::map<RequestTicket, std::string> proposed_;
-  std::map<RequestTicket, LogIndex> read_floor_;
+  std::map<RequestTicket, LogIndex> min_read_index_;
   LogIndex highest_accepted_;
 };
 
--- a/tests/auto/consensus/membership_test.cc
+++ b/tests/auto/consensus/membership_test.cc
@@ -97,7 +97,7 @@
     CheckAccepts(cluster);
     for (int round = 0; round < 10; ++round) {
       const std::string name(1, static_cast<char>('a' + round % size));
-      REQUIRE(cluster.MayLose(NodeId(name)));
+      REQUIRE(cluster.CanLoseDisk(NodeId(name)));
       cluster.LoseDisk(NodeId(name));
       CheckAccepts(cluster);
       Repair(cluster);
@@ -125,7 +125,7 @@
         Seconds(9));
     cluster.LoseDisk(NodeId("b"));
     if (size == 5) {
-      REQUIRE(cluster.MayLose(NodeId("c")));
+      REQUIRE(cluster.CanLoseDisk(NodeId("c")));
       cluster.LoseDisk(NodeId("c"));
     }
     CheckAccepts(cluster);
--- a/tests/auto/consensus/randomised_test.cc
+++ b/tests/auto/consensus/randomised_test.cc
@@ -67,7 +67,7 @@
   }
 }
 
-void Disturb(FakeCluster& cluster) {
+void InjectRandomFault(FakeCluster& cluster) {
   const NodeId id = AnyNode(cluster);
   Random& random = cluster.random();
   switch (random.Below(12)) {
@@ -93,7 +93,7 @@
       SetFaults(cluster);
       break;
     case 8:
-      if (cluster.MayLose(id)) {
+      if (cluster.CanLoseDisk(id)) {
         cluster.LoseDisk(id);
       }
       break;
@@ -110,7 +110,7 @@
   }
 }
 
-void Calm(FakeCluster& cluster) {
+void EndFaults(FakeCluster& cluster) {
   cluster.HealNetwork();
   for (auto& [id, node] : cluster.nodes()) {
     cluster.Start(id);
@@ -120,7 +120,7 @@
 
 // After the faults end, everything has to work again.
 void CheckRecovery(FakeCluster& cluster) {
-  Calm(cluster);
+  EndFaults(cluster);
   for (int i = 0; i < 20; ++i) {
     cluster.Run(Seconds(1));
     cluster.RepairMembership();
@@ -167,7 +167,7 @@
         cluster.ReadFrom(target);
       }
       if (cluster.random().Chance(0.6)) {
-        Disturb(cluster);
+        InjectRandomFault(cluster);
       }
     }
     CheckRecovery(cluster);
