--- a/src/libs/spread/coverage.cc
+++ b/src/libs/spread/coverage.cc
@@ -4,14 +4,14 @@
 
 void AddReport(const SpreadReport& report,
                ConfigVersion version,
-               std::size_t most_lacking,
+               std::size_t max_lacking,
                Coverage* coverage) {
   coverage->nodes += report.nodes;
   if (report.version >= version) {
     coverage->in_force += report.in_force;
   }
   for (const NodeId& node : report.lacking) {
-    if (coverage->lacking.size() < most_lacking) {
+    if (coverage->lacking.size() < max_lacking) {
       coverage->lacking.push_back(node);
     }
   }
--- a/src/libs/spread/coverage.h
+++ b/src/libs/spread/coverage.h
@@ -30,12 +30,13 @@
     TimePoint at;
   };
 
-  void Note(const Key& key, const SpreadReport& report, TimePoint now) {
+  void Update(const Key& key, const SpreadReport& report, TimePoint now) {
     rows_[key] = Row{report, now};
   }
-  void Forget(TimePoint now, Duration after) {
-    std::erase_if(
-        rows_, [&](const auto& item) { return now - item.second.at > after; });
+  void RemoveOlderThan(TimePoint now, Duration max_age) {
+    std::erase_if(rows_, [&](const auto& item) {
+      return now - item.second.at > max_age;
+    });
   }
   const std::map<Key, Row>& rows() const { return rows_; }
 
@@ -48,7 +49,7 @@
 // that none of its nodes is known to have it.
 void AddReport(const SpreadReport& report,
                ConfigVersion version,
-               std::size_t most_lacking,
+               std::size_t max_lacking,
                Coverage* coverage);
 
 }  // namespace bilberryspool::spread
--- a/src/libs/spread/delta_history.cc
+++ b/src/libs/spread/delta_history.cc
@@ -8,8 +8,8 @@
   }
   steps_.push_back(step);
   bytes_ += step.bytes.size();
-  while (steps_.size() > most_steps_ ||
-         (bytes_ > most_bytes_ && steps_.size() > 1)) {
+  while (steps_.size() > max_steps_ ||
+         (bytes_ > max_bytes_ && steps_.size() > 1)) {
     bytes_ -= steps_.front().bytes.size();
     steps_.pop_front();
   }
--- a/src/libs/spread/delta_history.h
+++ b/src/libs/spread/delta_history.h
@@ -14,8 +14,8 @@
 // only one that lags far is sent the whole state.
 class DeltaHistory {
  public:
-  DeltaHistory(std::size_t most_steps, std::size_t most_bytes)
-      : most_steps_(most_steps), most_bytes_(most_bytes) {}
+  DeltaHistory(std::size_t max_steps, std::size_t max_bytes)
+      : max_steps_(max_steps), max_bytes_(max_bytes) {}
 
   // Forgets what went before where `step` does not continue it.
   void Add(const DeltaStep& step);
@@ -27,8 +27,8 @@
   std::optional<std::vector<DeltaStep>> Last() const;
 
  private:
-  std::size_t most_steps_;
-  std::size_t most_bytes_;
+  std::size_t max_steps_;
+  std::size_t max_bytes_;
   std::size_t bytes_ = 0;
   std::deque<DeltaStep> steps_;
 };
--- a/src/libs/spread/spread_codec.cc
+++ b/src/libs/spread/spread_codec.cc
@@ -26,7 +26,7 @@
 
 template <Is<SenderState> Self>
 auto Fields(Self& s) {
-  return std::tie(s.node, s.domain, s.have, s.newest_heard, s.vouched, s.age);
+  return std::tie(s.node, s.domain, s.have, s.newest_known, s.confirmed, s.age);
 }
 
 template <Is<DeltaMessage> Self>
--- a/src/libs/spread/spread_message.h
+++ b/src/libs/spread/spread_message.h
@@ -43,10 +43,10 @@
   NodeId node;
   FailureDomain domain;
   ConfigPoint have;
-  ConfigVersion newest_heard;  // may be above `have`
+  ConfigVersion newest_known;  // may be above `have`
   // Whether the leading control VM has vouched that `have` is the newest, and
   // how long ago.
-  bool vouched = false;
+  bool confirmed = false;
   Duration age{};
 };
 
--- a/src/libs/spread/spreader.cc
+++ b/src/libs/spread/spreader.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // How much fresher a vouch must be to be told on.
-constexpr Duration kWorthTelling = Seconds(2);
+constexpr Duration kMinAgeImprovement = Seconds(2);
 
 }  // namespace
 
@@ -29,26 +29,26 @@
   if (leading_) {
     return Duration(0);
   }
-  if (!vouched_at_) {
+  if (!confirmed_at_) {
     return std::nullopt;
   }
-  return now - *vouched_at_;
+  return now - *confirmed_at_;
 }
 
 bool Spreader::stale(TimePoint now) const {
   const std::optional<Duration> age = config_age(now);
-  return !age || *age > options_.stale_after || newest_heard_ > have_.version;
+  return !age || *age > options_.stale_after || newest_known_ > have_.version;
 }
 
 void Spreader::Apply(const LeadershipChanged& event,
                      TimePoint now,
                      Actions* actions) {
   if (leading_ && !event.leading) {
-    vouched_at_ = now;
+    confirmed_at_ = now;
   }
   leading_ = event.leading;
-  moved_at_ = now;
-  next_vouch_ = now;
+  version_changed_at_ = now;
+  next_confirm_ = now;
   PushAll(now, actions);
 }
 
@@ -59,7 +59,7 @@
     return;
   }
   history_.Add(event.step);
-  MoveTo(event.step.to, now, actions);
+  SetVersion(event.step.to, now, actions);
 }
 
 void Spreader::Apply(const StateAdopted& event,
@@ -69,15 +69,15 @@
     return;
   }
   history_.Clear();
-  MoveTo(event.at, now, actions);
+  SetVersion(event.at, now, actions);
 }
 
 void Spreader::Apply(const TopologyChanged& event,
                      TimePoint now,
                      Actions* actions) {
   topology_ = event;
-  std::erase_if(children_,
-                [this](const auto& item) { return !Knows(item.first); });
+  std::erase_if(peers_,
+                [this](const auto& item) { return !IsKnownPeer(item.first); });
   PushAll(now, actions);
 }
 
@@ -91,7 +91,7 @@
   }
   const ConfigPoint& newest = message.steps.back().to;
   if (message.relay) {
-    relay_duty_ = std::max(relay_duty_, newest.version);
+    relay_version_ = std::max(relay_version_, newest.version);
   }
   if (newest.version <= have_.version) {
     actions->push_back(SendHave{message.sender.node, MakeHave(now)});
@@ -123,7 +123,7 @@
   const FullMessage& message = event.message;
   NoteSender(message.sender, now, actions);
   if (message.relay) {
-    relay_duty_ = std::max(relay_duty_, message.at.version);
+    relay_version_ = std::max(relay_version_, message.at.version);
   }
 #if !defined(BILBERRYSPOOL_MUTATION_OLDER_FULL_STATE_APPLIED)
   if (message.at.version <= have_.version) {
@@ -140,11 +140,11 @@
   }
   // Just started, with nothing in memory: whoever answers first may be a node
   // that is itself behind, so the newest of several offers is taken.
-  if (!settle_until_) {
-    settle_until_ = now + options_.settle;
+  if (!offer_deadline_) {
+    offer_deadline_ = now + options_.offer_window;
   }
-  if (!offer_ || offer_->at.version < message.at.version) {
-    offer_ = message;
+  if (!best_offer_ || best_offer_->at.version < message.at.version) {
+    best_offer_ = message;
   }
 }
 
@@ -155,13 +155,13 @@
   actions->push_back(ApplyFull{message.at, message.bytes});
 }
 
-void Spreader::ApplyOffer(TimePoint now, Actions* actions) {
-  if (!offer_ || applying_ || now < *settle_until_) {
+void Spreader::ApplyBestOffer(TimePoint now, Actions* actions) {
+  if (!best_offer_ || applying_ || now < *offer_deadline_) {
     return;
   }
-  const FullMessage offer = *std::move(offer_);
-  offer_.reset();
-  settle_until_.reset();
+  const FullMessage offer = *std::move(best_offer_);
+  best_offer_.reset();
+  offer_deadline_.reset();
   if (offer.at.version > have_.version) {
     StartFull(offer, actions);
   }
@@ -179,8 +179,8 @@
     history_.Add(step);
   }
   applying_steps_.clear();
-  MoveTo(event.at, now, actions);
-  Vouched(applying_from_, now);
+  SetVersion(event.at, now, actions);
+  NoteConfirmation(applying_from_, now);
   actions->push_back(SendHave{applying_from_.node, MakeHave(now)});
 }
 
@@ -216,7 +216,7 @@
   }
   if (sender.have.version == have_.version) {
     const std::optional<Duration> age = config_age(now);
-    if (age && (!sender.vouched || sender.age > *age + kWorthTelling)) {
+    if (age && (!sender.confirmed || sender.age > *age + kMinAgeImprovement)) {
       actions->push_back(SendHave{sender.node, MakeHave(now)});
     }
     return;
@@ -230,44 +230,44 @@
     SendNewer(sender.node, sender.have, false, now, actions);
     return;
   }
-  Child& child = children_[sender.node];
-  if (now >= child.retry_at) {
-    child.tries = 0;
-    child.sent = ConfigVersion();
+  PeerState& peer = peers_[sender.node];
+  if (now >= peer.retry_at) {
+    peer.tries = 0;
+    peer.sent = ConfigVersion();
   }
   PushTo(sender.node, false, now, actions);
 }
 
-void Spreader::MoveTo(const ConfigPoint& point,
-                      TimePoint now,
-                      Actions* actions) {
+void Spreader::SetVersion(const ConfigPoint& point,
+                          TimePoint now,
+                          Actions* actions) {
   BILBERRYSPOOL_INVARIANT(point.version > have_.version,
                           "the configuration in force never goes back");
   have_ = point;
-  newest_heard_ = std::max(newest_heard_, point.version);
-  moved_at_ = now;
+  newest_known_ = std::max(newest_known_, point.version);
+  version_changed_at_ = now;
   PushAll(now, actions);
 }
 
 void Spreader::NoteSender(const SenderState& sender,
                           TimePoint now,
                           Actions* actions) {
-  newest_heard_ =
-      std::max({newest_heard_, sender.newest_heard, sender.have.version});
-  children_[sender.node].known = sender.have;
+  newest_known_ =
+      std::max({newest_known_, sender.newest_known, sender.have.version});
+  peers_[sender.node].known = sender.have;
   if (sender.have.version == have_.version && sender.have != have_) {
     actions->push_back(ReportDivergence{sender.node, have_, sender.have});
     return;
   }
-  Vouched(sender, now);
+  NoteConfirmation(sender, now);
 }
 
-void Spreader::Vouched(const SenderState& sender, TimePoint now) {
-  if (!sender.vouched || sender.have != have_) {
+void Spreader::NoteConfirmation(const SenderState& sender, TimePoint now) {
+  if (!sender.confirmed || sender.have != have_) {
     return;
   }
   const TimePoint at = now - sender.age;
-  vouched_at_ = vouched_at_ ? std::max(*vouched_at_, at) : at;
+  confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, at) : at;
 }
 
 // Several peers tell of a newer state within moments of each other: only one
--- a/src/libs/spread/spreader.h
+++ b/src/libs/spread/spreader.h
@@ -48,19 +48,19 @@
   // them the comparison takes over.
   Duration retry = Milliseconds(300);
   Duration backoff = Milliseconds(100);
-  int most_tries = 8;
+  int max_tries = 8;
   Duration compare_interval = Seconds(1);
   // Agents are many, and their entry retries until they acknowledge.
   Duration agent_compare_interval = Seconds(3);
   // The leader vouches this often that nothing newer exists.
-  Duration vouch_interval = Seconds(4);
+  Duration confirm_interval = Seconds(4);
   Duration report_interval = Seconds(5);  // and within `tick` x 2 on a change
   // After a start without state, how long offers are compared before the
   // newest of them is applied.
-  Duration settle = Milliseconds(500);
+  Duration offer_window = Milliseconds(500);
   Duration stale_after = Seconds(20);
-  Duration report_silent_after = Seconds(20);
-  std::size_t most_lacking = 8;
+  Duration report_timeout = Seconds(20);
+  std::size_t max_lacking = 8;
   std::size_t history_steps = 64;
   std::size_t history_bytes = 262144;
 };
@@ -78,7 +78,7 @@
 
   const ConfigPoint& have() const { return have_; }
   // The highest version that any message named.
-  ConfigVersion newest_heard() const { return newest_heard_; }
+  ConfigVersion newest_known() const { return newest_known_; }
   // How long ago the leading control VM vouched for what is in force here;
   // nothing before the first time.
   std::optional<Duration> config_age(TimePoint now) const;
@@ -91,7 +91,7 @@
   using Actions = std::vector<SpreaderAction>;
 
   // A node that this one brings up to date.
-  struct Child {
+  struct PeerState {
     std::optional<ConfigPoint> known;  // what it last said it has
     ConfigVersion sent;                // what it was last sent
     int tries = 0;
@@ -109,12 +109,12 @@
   void Apply(const Applied& event, TimePoint now, Actions* actions);
   void Apply(const ApplyFailed& event, TimePoint now, Actions* actions);
 
-  void MoveTo(const ConfigPoint& point, TimePoint now, Actions* actions);
+  void SetVersion(const ConfigPoint& point, TimePoint now, Actions* actions);
   void NoteSender(const SenderState& sender, TimePoint now, Actions* actions);
-  void Vouched(const SenderState& sender, TimePoint now);
+  void NoteConfirmation(const SenderState& sender, TimePoint now);
   void Pull(const NodeId& node, TimePoint now, Actions* actions);
   void StartFull(const FullMessage& message, Actions* actions);
-  void ApplyOffer(TimePoint now, Actions* actions);
+  void ApplyBestOffer(TimePoint now, Actions* actions);
   void NoteReports(const HaveMessage& message, TimePoint now);
 
   void PushAll(TimePoint now, Actions* actions);
@@ -125,9 +125,9 @@
                  bool relay,
                  TimePoint now,
                  Actions* actions);
-  bool Knows(const NodeId& node) const;
+  bool IsKnownPeer(const NodeId& node) const;
   void Compare(TimePoint now, Actions* actions);
-  void Vouch(TimePoint now, Actions* actions);
+  void SendConfirmations(TimePoint now, Actions* actions);
   void Report(TimePoint now, Actions* actions);
   void ReportDomain(TimePoint now, Actions* actions);
   SpreadReport EntryReport() const;
@@ -141,26 +141,26 @@
   SpreaderOptions options_;
   Random random_;
   ConfigPoint have_;
-  ConfigVersion newest_heard_;
-  std::optional<TimePoint> vouched_at_;
+  ConfigVersion newest_known_;
+  std::optional<TimePoint> confirmed_at_;
   bool leading_ = false;
-  ConfigVersion relay_duty_;  // passed on to the domain's entries up to here
+  ConfigVersion relay_version_;  // passed on to the domain's entries up to here
   std::optional<ConfigPoint> applying_;
   SenderState applying_from_;
   std::vector<DeltaStep> applying_steps_;  // none where a whole state is
-  std::optional<FullMessage> offer_;       // the newest, while settling
-  std::optional<TimePoint> settle_until_;
+  std::optional<FullMessage> best_offer_;  // the newest, while settling
+  std::optional<TimePoint> offer_deadline_;
   TopologyChanged topology_;
   DeltaHistory history_;
-  std::map<NodeId, Child> children_;
+  std::map<NodeId, PeerState> peers_;
   ReportTable<NodeId> entry_reports_;
   ReportTable<FailureDomain> domain_reports_;
   SpreadReport last_entry_report_;
   SpreadReport last_domain_report_;
-  TimePoint moved_at_;
+  TimePoint version_changed_at_;
   TimePoint next_tick_;
   TimePoint next_compare_;
-  TimePoint next_vouch_;
+  TimePoint next_confirm_;
   TimePoint next_pull_;
   TimePoint entry_report_due_;
   TimePoint domain_report_due_;
--- a/src/libs/spread/spreader_rounds.cc
+++ b/src/libs/spread/spreader_rounds.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Share of comparisons that go to another failure domain.
-constexpr double kForeignChance = 0.25;
+constexpr double kOtherDomainProbability = 0.25;
 
 }  // namespace
 
@@ -22,9 +22,9 @@
     return;
   }
   next_tick_ = now + options_.tick;
-  ApplyOffer(now, actions);
+  ApplyBestOffer(now, actions);
   PushAll(now, actions);
-  Vouch(now, actions);
+  SendConfirmations(now, actions);
   Compare(now, actions);
   Report(now, actions);
 }
@@ -39,11 +39,11 @@
   if (leading_) {
     PushRelays(now, actions);
   }
-  const auto own = topology_.entries.find(options_.domain);
-  if (relay_duty_ < have_.version || own == topology_.entries.end()) {
+  const auto own_domain = topology_.entries.find(options_.domain);
+  if (relay_version_ < have_.version || own_domain == topology_.entries.end()) {
     return;
   }
-  for (const NodeId& entry : own->second) {
+  for (const NodeId& entry : own_domain->second) {
     PushTo(entry, false, now, actions);
   }
 }
@@ -53,22 +53,22 @@
 // second.
 void Spreader::PushRelays(TimePoint now, Actions* actions) {
   const auto waited =
-      static_cast<std::size_t>((now - moved_at_) / options_.retry);
+      static_cast<std::size_t>((now - version_changed_at_) / options_.retry);
   for (const auto& [domain, entries] : topology_.entries) {
     const std::vector<NodeId> ranked = RankedEntries(domain, entries.size());
     std::size_t used = std::min(options_.relays, ranked.size());
     const bool started =
         std::any_of(ranked.begin(), ranked.end(), [this](const NodeId& node) {
-          const auto child = children_.find(node);
-          return child != children_.end() && child->second.known &&
-                 child->second.known->version >= have_.version;
+          const auto peer = peers_.find(node);
+          return peer != peers_.end() && peer->second.known &&
+                 peer->second.known->version >= have_.version;
         });
     if (!started) {
       used = std::min(ranked.size(), used + waited);
     }
     for (std::size_t i = 0; i < used; ++i) {
       if (ranked[i] == options_.self) {
-        relay_duty_ = have_.version;
+        relay_version_ = have_.version;
         continue;
       }
       PushTo(ranked[i], true, now, actions);
@@ -83,21 +83,21 @@
   if (node == options_.self) {
     return;
   }
-  Child& child = children_[node];
-  if (child.known && child.known->version >= have_.version) {
+  PeerState& peer = peers_[node];
+  if (peer.known && peer.known->version >= have_.version) {
     return;
   }
-  if (child.sent != have_.version) {
-    child.sent = have_.version;
-    child.tries = 0;
-    child.retry_at = now;
+  if (peer.sent != have_.version) {
+    peer.sent = have_.version;
+    peer.tries = 0;
+    peer.retry_at = now;
   }
-  if (now < child.retry_at || child.tries >= options_.most_tries) {
+  if (now < peer.retry_at || peer.tries >= options_.max_tries) {
     return;
   }
-  child.retry_at = now + options_.retry + options_.backoff * child.tries;
-  ++child.tries;
-  SendNewer(node, child.known, relay, now, actions);
+  peer.retry_at = now + options_.retry + options_.backoff * peer.tries;
+  ++peer.tries;
+  SendNewer(node, peer.known, relay, now, actions);
 }
 
 // A node never heard from most likely lacks only the last step; the whole
@@ -124,15 +124,16 @@
   actions->push_back(SendHave{node, MakeHave(now)});
 }
 
-bool Spreader::Knows(const NodeId& node) const {
-  const auto in = [&](const std::vector<NodeId>& nodes) {
+bool Spreader::IsKnownPeer(const NodeId& node) const {
+  const auto contains = [&](const std::vector<NodeId>& nodes) {
     return std::find(nodes.begin(), nodes.end(), node) != nodes.end();
   };
-  if (in(topology_.agents) || in(topology_.parents) || in(topology_.control)) {
+  if (contains(topology_.agents) || contains(topology_.parents) ||
+      contains(topology_.control)) {
     return true;
   }
   return std::any_of(topology_.entries.begin(), topology_.entries.end(),
-                     [&](const auto& item) { return in(item.second); });
+                     [&](const auto& item) { return contains(item.second); });
 }
 
 void Spreader::Compare(TimePoint now, Actions* actions) {
@@ -151,31 +152,33 @@
 }
 
 std::vector<NodeId> Spreader::ComparePartners() {
-  std::vector<NodeId> own;
-  std::vector<NodeId> foreign;
+  std::vector<NodeId> own_domain;
+  std::vector<NodeId> other_domains;
   for (const auto& [domain, entries] : topology_.entries) {
-    std::vector<NodeId>& list = domain == options_.domain ? own : foreign;
+    std::vector<NodeId>& list =
+        domain == options_.domain ? own_domain : other_domains;
     std::copy_if(entries.begin(), entries.end(), std::back_inserter(list),
                  [this](const NodeId& node) { return node != options_.self; });
   }
-  own.insert(own.end(), topology_.parents.begin(), topology_.parents.end());
+  own_domain.insert(own_domain.end(), topology_.parents.begin(),
+                    topology_.parents.end());
   const bool starting = have_.version == ConfigVersion();
   std::vector<NodeId> partners;
-  for (int i = 0; i < (starting ? 2 : 1) && !own.empty(); ++i) {
-    partners.push_back(own[random_.Below(own.size())]);
+  for (int i = 0; i < (starting ? 2 : 1) && !own_domain.empty(); ++i) {
+    partners.push_back(own_domain[random_.Below(own_domain.size())]);
   }
-  if (!foreign.empty() &&
-      (starting || own.empty() || random_.Chance(kForeignChance))) {
-    partners.push_back(foreign[random_.Below(foreign.size())]);
+  if (!other_domains.empty() && (starting || own_domain.empty() ||
+                                 random_.Chance(kOtherDomainProbability))) {
+    partners.push_back(other_domains[random_.Below(other_domains.size())]);
   }
   return partners;
 }
 
-void Spreader::Vouch(TimePoint now, Actions* actions) {
-  if (!leading_ || now < next_vouch_) {
+void Spreader::SendConfirmations(TimePoint now, Actions* actions) {
+  if (!leading_ || now < next_confirm_) {
     return;
   }
-  next_vouch_ = now + options_.vouch_interval;
+  next_confirm_ = now + options_.confirm_interval;
   for (const auto& [domain, entries] : topology_.entries) {
     for (const NodeId& relay : RankedEntries(domain, options_.relays)) {
       if (relay != options_.self) {
@@ -192,9 +195,9 @@
 }
 
 SenderState Spreader::MakeSender(TimePoint now) const {
-  SenderState state{options_.self, options_.domain, have_, newest_heard_};
+  SenderState state{options_.self, options_.domain, have_, newest_known_};
   if (const std::optional<Duration> age = config_age(now)) {
-    state.vouched = true;
+    state.confirmed = true;
     state.age = *age;
   }
   return state;
@@ -220,10 +223,10 @@
 
 void Spreader::NoteReports(const HaveMessage& message, TimePoint now) {
   for (const SpreadReport& report : message.entry_report) {
-    entry_reports_.Note(message.sender.node, report, now);
+    entry_reports_.Update(message.sender.node, report, now);
   }
   for (const SpreadReport& report : message.domain_report) {
-    domain_reports_.Note(message.sender.domain, report, now);
+    domain_reports_.Update(message.sender.domain, report, now);
   }
 }
 
@@ -231,11 +234,11 @@
   SpreadReport report{have_.version, 1, 1, {}};
   for (const NodeId& agent : topology_.agents) {
     ++report.nodes;
-    const auto child = children_.find(agent);
-    if (child != children_.end() && child->second.known &&
-        child->second.known->version >= have_.version) {
+    const auto peer = peers_.find(agent);
+    if (peer != peers_.end() && peer->second.known &&
+        peer->second.known->version >= have_.version) {
       ++report.in_force;
-    } else if (report.lacking.size() < options_.most_lacking) {
+    } else if (report.lacking.size() < options_.max_lacking) {
       report.lacking.push_back(agent);
     }
   }
@@ -245,9 +248,9 @@
 SpreadReport Spreader::DomainReport() const {
   Coverage sum;
   for (const auto& [node, row] : entry_reports_.rows()) {
-    AddReport(row.report, have_.version, options_.most_lacking, &sum);
+    AddReport(row.report, have_.version, options_.max_lacking, &sum);
     if (row.report.version < have_.version &&
-        sum.lacking.size() < options_.most_lacking) {
+        sum.lacking.size() < options_.max_lacking) {
       sum.lacking.push_back(node);
     }
   }
@@ -266,7 +269,7 @@
     for (const NodeId& relay :
          RankedEntries(options_.domain, options_.relays)) {
       if (relay == options_.self) {
-        entry_reports_.Note(options_.self, report, now);
+        entry_reports_.Update(options_.self, report, now);
         continue;
       }
       HaveMessage message = MakeHave(now);
@@ -278,7 +281,7 @@
 }
 
 void Spreader::ReportDomain(TimePoint now, Actions* actions) {
-  entry_reports_.Forget(now, options_.report_silent_after);
+  entry_reports_.RemoveOlderThan(now, options_.report_timeout);
   const std::vector<NodeId> relays =
       RankedEntries(options_.domain, options_.relays);
   if (std::find(relays.begin(), relays.end(), options_.self) == relays.end()) {
@@ -292,7 +295,7 @@
   domain_report_due_ = now + options_.report_interval;
   for (const NodeId& control : topology_.control) {
     if (control == options_.self) {
-      domain_reports_.Note(options_.domain, report, now);
+      domain_reports_.Update(options_.domain, report, now);
       continue;
     }
     HaveMessage message = MakeHave(now);
@@ -304,8 +307,8 @@
 Coverage Spreader::coverage(ConfigVersion version, TimePoint now) const {
   Coverage sum;
   for (const auto& [domain, row] : domain_reports_.rows()) {
-    AddReport(row.report, version, options_.most_lacking, &sum);
-    if (now - row.at > options_.report_silent_after) {
+    AddReport(row.report, version, options_.max_lacking, &sum);
+    if (now - row.at > options_.report_timeout) {
       sum.silent_domains.push_back(domain);
     }
   }
--- a/tests/auto/spread/fake_nodes.cc
+++ b/tests/auto/spread/fake_nodes.cc
@@ -91,7 +91,7 @@
   accepted_ = next;
   for (int d = 0; d < domains_; ++d) {
     const std::string name = Name(d, "e", 0);
-    if (!HearsLeader(name)) {
+    if (!IsReachedByLeader(name)) {
       continue;  // catches up at its next tick that can
     }
     in_force_[name] = next;
@@ -99,7 +99,7 @@
   }
 }
 
-bool FakeNodes::HearsLeader(const std::string& name) const {
+bool FakeNodes::IsReachedByLeader(const std::string& name) const {
   const auto frozen = frozen_until_.find(name);
   const bool is_frozen = frozen != frozen_until_.end() && frozen->second > now_;
   return nodes_.contains(name) && !is_frozen &&
@@ -107,7 +107,7 @@
 }
 
 void FakeNodes::CatchUp(const std::string& name) {
-  if (RoleOf(name) == SpreaderRole::kControl && HearsLeader(name) &&
+  if (RoleOf(name) == SpreaderRole::kControl && IsReachedByLeader(name) &&
       in_force_[name] != accepted_) {
     in_force_[name] = accepted_;
     Handle(name, StateAdopted{accepted_});
@@ -146,7 +146,7 @@
   }
   const int copies = random_.Chance(faults.duplicate) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    queue_.emplace(now_ + random_.Between(Microseconds(200), faults.most_delay),
+    queue_.emplace(now_ + random_.Between(Microseconds(200), faults.max_delay),
                    [=, this] { Handle(name, event); });
   }
 }
@@ -160,11 +160,11 @@
     return;
   }
   for (const SpreaderAction& action : nodes_.at(name)->Handle(event, now_)) {
-    Carry(name, action);
+    Execute(name, action);
   }
 }
 
-void FakeNodes::Carry(const std::string& name, const SpreaderAction& action) {
+void FakeNodes::Execute(const std::string& name, const SpreaderAction& action) {
   std::visit(Overloaded{[&](const SendDelta& send) {
                           Send(name, send.to, DeltaReceived{send.message});
                         },
@@ -196,7 +196,8 @@
     Handle(name, ApplyFailed{});
     return;
   }
-  went_back = went_back || to.version <= in_force_[name].version;
+  version_decreased =
+      version_decreased || to.version <= in_force_[name].version;
   in_force_[name] = to;
   Handle(name, Applied{to});
 }
--- a/tests/auto/spread/fake_nodes.h
+++ b/tests/auto/spread/fake_nodes.h
@@ -19,7 +19,7 @@
 struct Faults {
   double loss = 0;
   double duplicate = 0;
-  Duration most_delay = Milliseconds(2);
+  Duration max_delay = Milliseconds(2);
 };
 
 class FakeNodes {
@@ -57,7 +57,7 @@
   std::uint64_t full_states = 0;
   std::uint64_t messages = 0;
   std::uint64_t divergences = 0;
-  bool went_back = false;
+  bool version_decreased = false;
   // Makes the next delta that reaches this node fail its digest check.
   std::string corrupt_next_at;
 
@@ -68,12 +68,12 @@
   SpreaderRole RoleOf(const std::string& name) const;
   TopologyChanged TopologyOf(const std::string& name) const;
   // Whether the replicated log reaches a control VM.
-  bool HearsLeader(const std::string& name) const;
+  bool IsReachedByLeader(const std::string& name) const;
   void CatchUp(const std::string& name);
   void Tick(const std::string& name, std::uint64_t generation);
   void Send(const std::string& from, const NodeId& to, SpreaderEvent event);
   void Handle(const std::string& name, const SpreaderEvent& event);
-  void Carry(const std::string& name, const SpreaderAction& action);
+  void Execute(const std::string& name, const SpreaderAction& action);
   void Finish(const std::string& name,
               const ConfigPoint& from,
               const ConfigPoint& to);
--- a/tests/auto/spread/spread_random_test.cc
+++ b/tests/auto/spread/spread_random_test.cc
@@ -60,7 +60,7 @@
   }
   nodes.Run(Seconds(20));
   CHECK(nodes.Lagging() == std::vector<std::string>());
-  CHECK_FALSE(nodes.went_back);
+  CHECK_FALSE(nodes.version_decreased);
   CHECK(nodes.divergences == 0);
   const Coverage coverage =
       nodes.node(nodes.leader()).coverage(nodes.accepted(), nodes.now());
