--- a/src/libs/consensus/member_keeper.cc
+++ b/src/libs/consensus/member_manager.cc
@@ -1,4 +1,4 @@
-#include "libs/consensus/member_keeper.h"
+#include "libs/consensus/member_manager.h"
 
 #include <algorithm>
 
--- a/src/libs/consensus/member_keeper.h
+++ b/src/libs/consensus/member_manager.h
@@ -11,8 +11,8 @@
 //
 // Pure: a picture of the log and `now` in, one change out.
 
-#ifndef LIBS_CONSENSUS_MEMBER_KEEPER_H_
-#define LIBS_CONSENSUS_MEMBER_KEEPER_H_
+#ifndef LIBS_CONSENSUS_MEMBER_MANAGER_H_
+#define LIBS_CONSENSUS_MEMBER_MANAGER_H_
 
 #include <cstddef>
 #include <map>
@@ -80,4 +80,4 @@
 
 }  // namespace bilberryspool::consensus
 
-#endif  // LIBS_CONSENSUS_MEMBER_KEEPER_H_
+#endif  // LIBS_CONSENSUS_MEMBER_MANAGER_H_
--- a/src/plugins/control_node/replica_host.h
+++ b/src/plugins/control_node/replica_host.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "libs/consensus/member_keeper.h"
+#include "libs/consensus/member_manager.h"
 #include "libs/links/link_client.h"
 #include "libs/links/link_server.h"
 #include "libs/settings/settings.h"
--- a/tests/auto/consensus/member_keeper_test.cc
+++ b/tests/auto/consensus/member_manager_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <variant>
 
-#include "libs/consensus/member_keeper.h"
+#include "libs/consensus/member_manager.h"
 
 namespace bilberryspool::consensus {
 namespace {
