--- a/src/libs/consensus/replica_action.h
+++ b/src/libs/consensus/replica_action.h
@@ -60,7 +60,7 @@
   std::optional<NodeId> hint;
 };
 // It may or may not become committed: ask again with the same command id.
-struct LostLeadershipUnknown {};
+struct OutcomeUnknown {};
 // Not run: too many proposals wait.
 struct Busy {};
 // Not run.
@@ -71,8 +71,7 @@
 // Answers Propose and ChangeMembership, each once.
 struct ProposalOutcome {
   RequestTicket ticket;
-  std::variant<Accepted, NotLeader, LostLeadershipUnknown, Busy, Refused>
-      result;
+  std::variant<Accepted, NotLeader, OutcomeUnknown, Busy, Refused> result;
 };
 
 // Answers ReadBarrier: read once this index is applied (it is already).
--- a/src/libs/consensus/replica_election.cc
+++ b/src/libs/consensus/replica_election.cc
@@ -63,7 +63,7 @@
   BILBERRYSPOOL_INVARIANT(term >= hard_state_.term, "the term never goes back");
   if (leader_state_) {
     for (const PendingProposal& lost : leader_state_->TakeAllPending()) {
-      actions_.push_back(ProposalOutcome{lost.ticket, LostLeadershipUnknown{}});
+      actions_.push_back(ProposalOutcome{lost.ticket, OutcomeUnknown{}});
     }
     for (const RequestTicket ticket : leader_state_->TakeReads()) {
       actions_.push_back(ReadOutcome{ticket, NotLeader{std::nullopt}});
--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -277,7 +277,7 @@
   const TimePoint deadline = SteadyNow() + patience;
   const auto result = replica_->Propose(config::ToBytes(command), patience);
   if (!result.has_value() ||
-      std::holds_alternative<consensus::LostLeadershipUnknown>(*result)) {
+      std::holds_alternative<consensus::OutcomeUnknown>(*result)) {
     return Unknown();
   }
   if (std::holds_alternative<consensus::Busy>(*result)) {
