--- a/src/libs/consensus/bootstrap.h
+++ b/src/libs/consensus/bootstrap.h
@@ -10,25 +10,27 @@
 
 namespace bilberryspool::consensus {
 
-// Decides whether a replica with a new folder may found a new log.
+// Decides whether a replica with a new data folder may create a new log.
 //
 // A replica whose disk was lost looks the same as one of a new deployment. If
-// it founded a log it would run a second deployment beside the first, and
-// accepted configuration would be lost. So only the first of the initial
-// voters founds one, only when in one round of questions each other initial
-// voter has answered that its folder is new too and that it was given the same
-// list, and no node at all has answered otherwise. One answer from an existing
-// deployment ends the attempt until the next start.
+// it created a log, a second deployment would run beside the first, and
+// accepted configuration would be lost. Therefore only the first initial voter
+// creates a log, and only after every other initial voter has replied in the
+// same round of Hello messages that its folder is new too and that it has the
+// same list of initial voters. A single reply from a replica of an existing
+// deployment ends the attempt until the next process start.
 class Bootstrap {
  public:
   Bootstrap(const ReplicaOptions& options, MemberId self);
 
   void AddPeers(const std::vector<NodeId>& peers);
-  // The nodes to greet now; empty where it is not time yet.
+  // Starts a new round of Hello messages if one is due and returns their
+  // recipients; empty before the interval has elapsed.
   std::vector<NodeId> NodesToGreet(TimePoint now);
   Hello MakeHello() const;
   void NoteReply(const MemberId& from, const HelloReply& reply);
-  // The voters of the new log, when it may be founded.
+  // The first membership of the new log, or nullopt while this replica may not
+  // create a log.
   std::optional<Membership> InitialMembership() const;
   TimePoint deadline() const { return next_hello_at_; }
 
@@ -40,7 +42,7 @@
   TimePoint next_hello_at_;
   std::uint64_t round_ = 0;
   bool existing_log_found_ = false;
-  // Those that answered "new" in this round.
+  // Nodes that replied in this round that their folder is new.
   std::map<NodeId, MemberId> blank_peers_;
 };
 
--- a/src/libs/consensus/election.h
+++ b/src/libs/consensus/election.h
@@ -9,18 +9,19 @@
 
 namespace bilberryspool::consensus {
 
-// When to stand for election, whom to grant a vote, and who voted for us.
+// Election timer, time of the last leader contact and votes received.
 class Election {
  public:
   Election(const ReplicaOptions& options, std::uint64_t seed);
 
   // Draws a new election timeout from `now` on.
   void ResetTimeout(TimePoint now);
-  // A leader of the current term was heard. Also called at a restart: the
-  // replica may have acknowledged a leader just before, whose lease counts on
-  // this replica granting no vote.
+  // Records contact with a leader of the current term. Also called at a
+  // restart: just before it, the replica may have acknowledged a leader whose
+  // lease depends on this replica granting no vote.
   void NoteLeaderContact(TimePoint now);
-  // Whether a leader may hold a lease that counts on this replica.
+  // Whether a leader may hold a lease that depends on this replica's
+  // acknowledgement.
   bool HadRecentLeaderContact(TimePoint now) const;
   bool IsDue(TimePoint now) const { return now >= deadline_; }
   TimePoint deadline() const { return deadline_; }
--- a/src/libs/consensus/json_archive.h
+++ b/src/libs/consensus/json_archive.h
@@ -17,16 +17,16 @@
 
 namespace bilberryspool::consensus::internal {
 
-// Writes and reads structs by one list of their fields:
+// Serializes and deserializes structs through one list of their fields:
 //   template <typename Archive> void Fields(Archive& archive, Append& it) {
 //     archive("commit", it.commit);
 //   }
-// and variants by the names of their alternatives (NamesOf).
+// and variants by the names of their alternatives, see NamesOf.
 
 // JSON strings are Unicode and payloads are bytes: each byte becomes the code
 // point of its value, so plain text stays as it is.
 std::string BytesToUtf8(const std::string& bytes);
-// False where `utf8` holds something that is not a byte.
+// Returns false if `utf8` contains anything but code points up to 0xFF.
 bool Utf8ToBytes(std::string_view utf8, std::string& bytes);
 
 template <typename T>
@@ -115,7 +115,7 @@
 
   bool ok() const { return ok_; }
 
-  // False where `json` does not fit; `value` is then unspecified.
+  // Returns false if `json` does not match T; `value` is then unspecified.
   template <typename T>
   static bool Read(const boost::json::value& json, T& value) {
     if constexpr (std::is_same_v<T, std::string>) {
--- a/src/libs/consensus/leader_state.h
+++ b/src/libs/consensus/leader_state.h
@@ -12,14 +12,14 @@
 
 namespace bilberryspool::consensus {
 
-// A caller that waits for its entry.
+// A request that waits for its log entry to be committed.
 struct PendingProposal {
   LogIndex index;
   RequestTicket ticket;
 };
 
-// What only a leader keeps, for one term: its followers' progress, its lease,
-// and the callers that wait.
+// State that only a leader has, for one term: the progress of its followers,
+// its lease and the pending requests.
 class LeaderState {
  public:
   LeaderState(MemberId self,
@@ -33,14 +33,17 @@
   const std::map<MemberId, Progress>& progress() const { return progress_; }
   Progress* FindProgress(const MemberId& id);
 
-  // The highest index that a quorum has synced.
+  // The highest index that is synced to disk on a quorum.
   LogIndex QuorumMatch(const LogView& log) const;
   // The latest time such that a quorum has acknowledged messages sent then or
   // later; the leader itself counts as of `now`.
   TimePoint QuorumContact(const Membership& membership, TimePoint now) const;
   bool HasLease(const Membership& membership, TimePoint now) const;
-  // Whether the voters that answered lately make a quorum of `membership`.
+  // Whether voters with an acknowledgement within `election_timeout_max` form a
+  // quorum of `membership`.
   bool HasHealthyQuorum(const Membership& membership, TimePoint now) const;
+  // Whether the member responds and is within `catch_up_slack` entries of
+  // `last_index`.
   bool HasCaughtUp(const MemberId& id,
                    LogIndex last_index,
                    TimePoint now) const;
@@ -52,8 +55,9 @@
 
   void AddPending(LogIndex index, RequestTicket ticket);
   std::size_t pending_count() const { return pending_.size(); }
-  // Takes out the callers whose entries are committed.
+  // Removes and returns the requests whose entries are committed.
   std::vector<PendingProposal> TakeCommitted(LogIndex commit);
+  // Removes and returns all pending requests, when leadership ends.
   std::vector<PendingProposal> TakeAllPending();
 
   void AddRead(RequestTicket ticket) { reads_.push_back(ticket); }
--- a/src/libs/consensus/log_entry.h
+++ b/src/libs/consensus/log_entry.h
@@ -10,12 +10,13 @@
 
 namespace bilberryspool::consensus {
 
-// Written by each new leader: committing it commits what earlier terms left.
+// Appended by each new leader; committing it also commits the entries of
+// earlier terms.
 struct NoOp {
   bool operator==(const NoOp&) const = default;
 };
 
-// What the application proposed; opaque bytes.
+// Opaque bytes proposed by the application.
 struct Command {
   std::string bytes;
 
@@ -33,10 +34,10 @@
   bool operator==(const LogEntry&) const = default;
 };
 
-// Bytes of an entry beside its command, roughly.
+// Approximate size of an entry without its command, in bytes.
 inline constexpr std::size_t kEntryOverhead = 48;
 
-// Bytes that an entry takes in a batch, roughly.
+// Approximate size of an entry in a batch, in bytes.
 inline std::size_t SizeOf(const LogEntry& entry) {
   const auto* command = std::get_if<Command>(&entry.payload);
   return kEntryOverhead + (command != nullptr ? command->bytes.size() : 0);
--- a/src/libs/consensus/log_view.cc
+++ b/src/libs/consensus/log_view.cc
@@ -61,7 +61,7 @@
 std::vector<LogEntry> LogView::EntriesBetween(LogIndex from,
                                               LogIndex to) const {
   BILBERRYSPOOL_INVARIANT(from > base_index_ && to <= last_index(),
-                          "entries asked for are in the log");
+                          "the requested entries are in the log");
   std::vector<LogEntry> found;
   for (std::size_t i = OffsetOf(from); i <= OffsetOf(to); ++i) {
     found.push_back(entries_[i]);
@@ -73,7 +73,7 @@
   BILBERRYSPOOL_INVARIANT(entry.index == last_index().Next(),
                           "the log has no gaps");
   BILBERRYSPOOL_INVARIANT(entry.term >= last_term(),
-                          "terms never go back along the log");
+                          "terms never decrease along the log");
   if (const auto* membership = std::get_if<Membership>(&entry.payload)) {
     memberships_[entry.index] = *membership;
   }
@@ -82,7 +82,7 @@
 
 void LogView::TruncateFrom(LogIndex from) {
   BILBERRYSPOOL_INVARIANT(from > base_index_,
-                          "entries behind the base are never cut");
+                          "compacted entries are never truncated");
   if (from > last_index()) {
     return;
   }
@@ -140,7 +140,7 @@
 const Membership& LogView::MembershipAt(LogIndex index) const {
   const auto after = memberships_.upper_bound(index);
   BILBERRYSPOOL_INVARIANT(after != memberships_.begin(),
-                          "a membership is known for each entry kept");
+                          "a membership is known for every retained entry");
   return std::prev(after)->second;
 }
 
--- a/src/libs/consensus/log_view.h
+++ b/src/libs/consensus/log_view.h
@@ -12,45 +12,48 @@
 
 namespace bilberryspool::consensus {
 
-// The log of one replica in memory: a base, the entries after it, the
-// memberships in it, and how much of it is synced.
+// In-memory log of one replica: the last compacted position (base), the entries
+// after it, the memberships they contain and the index up to which the log is
+// synced to disk.
 class LogView {
  public:
   LogView(std::shared_ptr<const Snapshot> snapshot,
           std::vector<LogEntry> entries);
 
-  // The oldest entry that is still there; base_index() + 1.
+  // Index of the oldest entry in memory: the base index + 1.
   LogIndex first_index() const { return base_index_.Next(); }
   LogIndex last_index() const;
   Term last_term() const;
-  // Empty where the entry is unknown: compacted or not yet there.
+  // nullopt if the entry has been compacted or does not exist yet.
   std::optional<Term> TermAt(LogIndex index) const;
-  // Up to about `max_bytes`, at least one where there is one.
+  // Entries from `from` on, up to about `max_bytes`; at least one if any
+  // exists.
   std::vector<LogEntry> EntriesFrom(LogIndex from, std::size_t max_bytes) const;
   // All entries in [from, to].
   std::vector<LogEntry> EntriesBetween(LogIndex from, LogIndex to) const;
 
-  // `entry.index` must follow the last one.
+  // `entry.index` must be last_index() + 1.
   void Append(LogEntry entry);
   void TruncateFrom(LogIndex from);
   // Drops the entries up to `through` from memory.
   void Compact(LogIndex through);
-  // Takes a snapshot that was received. Returns whether the log did not lead
-  // to it and was emptied.
+  // Installs a received snapshot. Returns true if the log did not contain the
+  // snapshot's last entry and was cleared.
   bool Install(std::shared_ptr<const Snapshot> snapshot);
-  // Takes a snapshot of the replica's own state.
+  // Stores a snapshot of the replica's own state.
   void set_snapshot(std::shared_ptr<const Snapshot> snapshot);
   const std::shared_ptr<const Snapshot>& snapshot() const { return snapshot_; }
 
-  // The membership in force: the last one in the log.
+  // The active membership: the last one in the log, committed or not.
   const Membership& membership() const;
   LogIndex membership_index() const;
   const Membership& MembershipAt(LogIndex index) const;
 
-  // Everything that is in the log now will be synced with `ticket`.
+  // Records that the current log contents are synced once the write `ticket`
+  // is.
   void ExpectDurable(PersistTicket ticket);
   void MarkDurable(PersistTicket ticket);
-  // The log is synced up to here.
+  // The log is synced to disk up to this index.
   LogIndex durable_index() const { return durable_index_; }
 
  private:
--- a/src/libs/consensus/member_id.h
+++ b/src/libs/consensus/member_id.h
@@ -1,7 +1,7 @@
-// Who a replica is. A node's name comes from its settings and outlives its
-// disk; the identity is drawn when the data folder is first made. A replica
-// that lost its folder therefore comes back as another member, and votes and
-// acknowledgements of the lost one are never attributed to it.
+// Identity of a replica. The node name comes from the settings and outlives the
+// disk; the replica identity is generated when the data folder is created. A
+// replica that lost its folder therefore returns as a different member, and the
+// votes and acknowledgements of the lost folder are never attributed to it.
 
 #ifndef LIBS_CONSENSUS_MEMBER_ID_H_
 #define LIBS_CONSENSUS_MEMBER_ID_H_
@@ -13,11 +13,11 @@
 
 namespace bilberryspool::consensus {
 
-// Drawn at random when a data folder is made; 0 means "not known".
+// Random number generated when a data folder is created; 0 means unknown.
 using ReplicaIdentity = StrongNumber<struct ReplicaIdentityTag>;
-// Drawn once when a replicated log is bootstrapped; 0 before that.
+// Random number generated when a replicated log is bootstrapped; 0 before that.
 using ClusterId = StrongNumber<struct ClusterIdTag>;
-// Counts the times that a configuration was forced after a lost majority.
+// Number of times that a configuration was forced after the loss of a majority.
 using RecoveryEpoch = StrongNumber<struct RecoveryEpochTag>;
 
 // One replica with one particular data folder.
--- a/src/libs/consensus/member_manager.cc
+++ b/src/libs/consensus/member_manager.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A folder that was lost with its disk, and the one that took its place.
+// Replaces a voter whose data folder was lost by the new folder of its node.
 std::optional<MembershipChange> ReplaceVoterWithLostFolder(
     const MembershipStatus& status) {
   for (const MemberId& voter : status.membership.voters) {
@@ -63,7 +63,7 @@
   return now - last_response;
 }
 
-// The voter that has been unheard for longest, where it is long enough.
+// The voter with the oldest response, if that exceeds the voter timeout.
 const MemberId* MemberManager::UnresponsiveVoter(const MembershipStatus& status,
                                                  TimePoint now) const {
   const MemberId* longest = nullptr;
@@ -83,7 +83,8 @@
   return longest;
 }
 
-// Ends what a dead learner holds up; promotes one that voters are missing.
+// Removes an unresponsive or superseded learner, which would block further
+// changes; promotes a learner if there are fewer voters than wanted.
 std::optional<MembershipChange> MemberManager::NextLearnerChange(
     const MembershipStatus& status,
     TimePoint now) const {
--- a/src/libs/consensus/member_manager.h
+++ b/src/libs/consensus/member_manager.h
@@ -1,15 +1,15 @@
-// Keeps the voters of the replicated log whole without an operator.
+// Restores the full number of voters of the replicated log without an operator.
 //
-// Where VMs come and go by themselves, nobody types a replacement: a VM whose
-// disk was lost comes back with a new folder, and one that is gone for good is
-// followed by another at a new address. Until the new folder has the vote, the
-// log has one copy less than it should, and the next lost disk could take
-// accepted configuration with it. Noticed by a member that asks for admission
-// without getting it. So the leader gives each such member the vote of the
-// folder that it stands for, by a joint change, which never needs more live
-// folders than before.
+// In automatically managed deployments no operator enters replacements: a VM
+// whose disk was lost returns with a new data folder, and a VM that is gone for
+// good is followed by another one at a new address. Until the new folder has a
+// vote, the log has one copy fewer than configured, and the loss of another
+// disk could lose accepted configuration. The visible symptom is a member that
+// asks for admission and is not admitted. The leader therefore gives each such
+// member the vote of the folder that it replaces, by a joint membership change,
+// which never needs more live folders than before.
 //
-// Pure: a picture of the log and `now` in, one change out.
+// Performs no I/O: takes the membership status and `now`, returns one change.
 
 #ifndef LIBS_CONSENSUS_MEMBER_MANAGER_H_
 #define LIBS_CONSENSUS_MEMBER_MANAGER_H_
@@ -26,36 +26,37 @@
 class Replica;
 
 struct MemberManagerOptions {
-  // Voters wanted; with 2 f + 1 of them f folders may be lost.
+  // Intended number of voters; 2 f + 1 voters tolerate the loss of f folders.
   std::size_t voters = 3;
-  // A voter that has not answered for this long may be replaced by another
+  // A voter that has not responded within this time may be replaced by another
   // node that asks for admission.
   Duration voter_timeout = Seconds(2);
-  // A learner that has not answered for this long is dropped, so that the
+  // A learner that has not responded within this time is removed, so that the
   // change it is part of does not block all others.
   Duration learner_timeout = Seconds(6);
 };
 
-// What the leader knows.
+// The leader's view of the members.
 struct MembershipStatus {
   MemberId self;
   Membership membership;
-  // Folders that ask for admission, by node.
+  // Members with a new data folder that ask for admission, by node.
   std::map<NodeId, MemberId> awaiting;
-  // When each other member last answered this leader; a member that never did
-  // is missing.
+  // Time of each other member's last response to this leader; members that
+  // never responded have no entry.
   std::map<MemberId, TimePoint> last_responses;
 };
 
-// The picture of a replica that leads; nothing where it does not.
+// The status as seen by `replica`, or nullopt if it is not the leader.
 std::optional<MembershipStatus> MembershipStatusOf(const Replica& replica);
 
-// Belongs to one leadership: a new leader starts with a new one.
+// Chooses the membership changes during one leadership term; a new leader uses
+// a new instance.
 class MemberManager {
  public:
   explicit MemberManager(MemberManagerOptions options) : options_(options) {}
 
-  // The next change to ask for; nothing where none is due.
+  // The next change to propose, or nullopt if none is due.
   std::optional<MembershipChange> Next(const MembershipStatus& status,
                                        TimePoint now);
 
@@ -71,10 +72,10 @@
                                     TimePoint now) const;
 
   MemberManagerOptions options_;
-  // When each member was first seen in the membership. A learner that has just
-  // been added has not answered anything yet; counted from the start of the
-  // leadership it would look dead and be removed before its first answer, and
-  // its vote would never be replaced.
+  // Time at which each member was first seen in the membership. A learner that
+  // was just added has not responded yet. If its silence counted from the start
+  // of the leadership term, it would look dead and be removed before its first
+  // response, and the vote it should take over would never be replaced.
   std::map<MemberId, TimePoint> first_seen_;
 };
 
--- a/src/libs/consensus/membership.h
+++ b/src/libs/consensus/membership.h
@@ -1,9 +1,9 @@
-// The membership of the replicated log: who votes and who only learns.
+// The membership of the replicated log: voters and non-voting learners.
 //
 // A change of voters goes through a joint membership, in which every decision
-// needs a majority of the old and of the new voters. So a replacement never
-// needs more live replicas than the membership before it, and no two
-// memberships in a row can decide without a common voter.
+// needs a majority of the old and of the new voters. A replacement therefore
+// never needs more live replicas than the membership before it, and no two
+// successive memberships can decide without a common voter.
 
 #ifndef LIBS_CONSENSUS_MEMBERSHIP_H_
 #define LIBS_CONSENSUS_MEMBERSHIP_H_
@@ -50,20 +50,20 @@
 
 // Why a change of membership, or a leadership transfer, was refused.
 enum class RefusalReason {
-  // An earlier change is not yet committed, or a replacement is under way.
+  // An earlier change is not yet committed, or a replacement is in progress.
   kChangeInProgress,
   // The leader has not yet committed an entry of its own term.
   kLeaderNotReady,
   kUnknownMember,
   kAlreadyMember,
   kNotCaughtUp,
-  // Not enough of the resulting voters have answered lately.
+  // Not enough of the resulting voters have responded recently.
   kWouldLoseQuorum,
 };
 
 struct Membership {
   std::vector<MemberId> voters;
-  // The voters before a change that is under way; empty otherwise.
+  // The previous voters while a change is in progress; empty otherwise.
   std::vector<MemberId> outgoing;
   std::vector<Learner> learners;
 
@@ -77,8 +77,8 @@
   std::vector<MemberId> AllMembers() const;
 
   // The largest value that a majority of the voters has reached, where
-  // `value_of` gives the value of one voter. In a joint membership both
-  // majorities must have reached it. `lowest` where there are no voters.
+  // `value_of` returns the value of one voter. In a joint membership both
+  // majorities must have reached it. Value{} if there are no voters.
   template <typename Value>
   Value QuorumValue(
       const std::function<Value(const MemberId&)>& value_of) const {
@@ -89,7 +89,7 @@
     return reached;
   }
 
-  // Whether the members for which `agrees` holds make a quorum.
+  // Whether the members for which `agrees` returns true form a quorum.
   bool HasQuorum(const std::function<bool(const MemberId&)>& agrees) const;
 
  private:
@@ -110,12 +110,14 @@
   }
 };
 
-// The membership after `change`, or why it is refused. Changes of voters
-// result in a joint membership. Health and catch-up are the caller's checks.
+// The membership after `change`, or the reason why it is refused. Changes of
+// voters result in a joint membership. The caller checks that the members are
+// healthy and caught up.
 std::variant<Membership, RefusalReason> NextMembership(
     const Membership& current,
     const MembershipChange& change);
-// The membership that gives the learner the vote of the one it replaces.
+// The joint membership that gives the learner the vote of the voter it
+// replaces.
 Membership JointForReplacement(const Membership& current,
                                const Learner& learner);
 // The membership that ends a joint one.
--- a/src/libs/consensus/message.h
+++ b/src/libs/consensus/message.h
@@ -12,12 +12,13 @@
 
 namespace bilberryspool::consensus {
 
-// The sender's monotonic time in microseconds; echoed, never compared with the
-// receiver's time.
+// The sender's monotonic time in microseconds. The receiver echoes it and never
+// compares it with its own time.
 using SentAt = std::int64_t;
 
-// Asks whether an election in term + 1 could be won. Changes nothing at the
-// receiver, so that a replica coming back from a cut disturbs nobody.
+// Asks whether an election in term + 1 could be won. Does not change the
+// receiver's state, so that a replica that returns from a network partition
+// does not depose a healthy leader.
 struct PreVote {
   LogIndex last_index;
   Term last_term;
@@ -31,7 +32,7 @@
 struct Vote {
   LogIndex last_index;
   Term last_term;
-  // Set by a leadership transfer: the leader has given up its lease.
+  // Set during a leadership transfer: the leader has given up its lease.
   bool forced = false;
 };
 
@@ -39,7 +40,7 @@
   bool granted = false;
 };
 
-// Entries after `prev_index`; empty as a heartbeat.
+// Log entries after `prev_index`; without entries it is a heartbeat.
 struct Append {
   LogIndex prev_index;
   Term prev_term;
@@ -50,11 +51,11 @@
 
 struct AppendReply {
   bool accepted = false;
-  // Where accepted: the log matches and is synced up to here.
+  // If accepted: the log matches and is synced to disk up to this index.
   LogIndex match;
-  // Where not accepted: the `prev_index` that did not match.
+  // If rejected: the `prev_index` that did not match.
   LogIndex rejected_prev;
-  // Where not accepted: the entry to try next as `prev_index`.
+  // If rejected: the index to try next as `prev_index`.
   LogIndex hint;
   LogIndex last_index;
   SentAt sent_at = 0;
@@ -73,17 +74,17 @@
 
 struct InstallSnapshotReply {
   LogIndex index;
-  // The offset that is wanted next; `total` when it is installed and synced.
+  // The next offset to send; `total` once the snapshot is installed and synced.
   std::uint64_t next_offset = 0;
   bool installed = false;
   SentAt sent_at = 0;
 };
 
-// Tells a caught-up voter to start an election at once.
+// Tells a caught-up voter to start an election immediately.
 struct TimeoutNow {};
 
-// From a replica with a new folder: makes itself known and asks whether a
-// deployment exists already.
+// Sent by a replica with a new data folder: announces it and asks whether a
+// deployment already exists.
 struct Hello {
   std::uint64_t round = 0;
   std::vector<NodeId> initial_voters;
@@ -91,15 +92,15 @@
 
 struct HelloReply {
   std::uint64_t round = 0;
-  // The answering replica's folder is new as well.
+  // The replying replica's data folder is new as well.
   bool blank = false;
   std::vector<NodeId> initial_voters;
 };
 
-// The receiver's epoch was ended by a forced configuration.
+// A forced configuration has ended the receiver's recovery epoch.
 struct Superseded {};
 
-// The receiver has lost entries that it had acknowledged.
+// The receiver lacks entries that it had acknowledged.
 struct Regressed {};
 
 using MessageBody = std::variant<PreVote,
@@ -116,7 +117,7 @@
                                  Superseded,
                                  Regressed>;
 
-// `to.identity` is 0 where the sender does not know it (Hello).
+// `to.identity` is 0 if the sender does not know it (Hello).
 struct Message {
   MemberId from;
   MemberId to;
--- a/src/libs/consensus/message_codec.cc
+++ b/src/libs/consensus/message_codec.cc
@@ -70,7 +70,7 @@
 
 }  // namespace internal
 
-// Found by argument-dependent lookup from the archives.
+// The archives find these functions by argument-dependent lookup.
 template <typename Archive>
 void Fields(Archive& archive, MemberId& it) {
   archive("node", it.node);
@@ -217,7 +217,8 @@
 
 namespace {
 
-// The one list of fields serves both ways, so it takes them as mutable.
+// Fields() serves both directions and takes a mutable reference, therefore
+// `value` is a copy.
 template <typename T>
 boost::json::value Write(T value) {
   return internal::JsonWriter::Write(value);
--- a/src/libs/consensus/message_codec.h
+++ b/src/libs/consensus/message_codec.h
@@ -1,5 +1,5 @@
-// JSON for what replicas send and keep. Reading never throws: bytes that do
-// not fit give an empty result.
+// JSON encoding of the messages and stored state of replicas. Decoding never
+// throws and returns nullopt for malformed input.
 
 #ifndef LIBS_CONSENSUS_MESSAGE_CODEC_H_
 #define LIBS_CONSENSUS_MESSAGE_CODEC_H_
--- a/src/libs/consensus/outbox.h
+++ b/src/libs/consensus/outbox.h
@@ -7,7 +7,7 @@
 
 namespace bilberryspool::consensus {
 
-// What must be synced before a message may leave.
+// What must be synced to disk before a message may be sent.
 enum class SendAfter {
   // The term and vote.
   kHardState,
@@ -15,26 +15,26 @@
   kEverything,
 };
 
-// Numbers the writes and holds back messages that depend on them. A vote or an
-// acknowledgement that left before its sync would be forgotten by a crash: the
-// replica could then vote twice in a term, or an entry counted as committed
-// could vanish.
+// Numbers the disk writes and delays messages until the writes that they depend
+// on are synced. If a vote or an acknowledgement was sent before its sync, a
+// crash could lose it: the replica could then vote twice in a term, or an entry
+// that counts as committed could be lost.
 class Outbox {
  public:
   PersistTicket NextTicket() { return last_ticket_ = last_ticket_.Next(); }
   void NoteHardStateTicket(PersistTicket ticket) { hard_ticket_ = ticket; }
 
-  // Queued until TakeSendable; what it waits for is settled at the next
-  // AssignTickets.
+  // Queues a message. The next AssignTickets() determines the write that it
+  // waits for.
   void Queue(Message message, SendAfter after);
-  // Ties the messages queued since the last AssignTickets to the writes asked
-  // for.
+  // Makes the messages queued since the last call wait for the writes requested
+  // so far.
   void AssignTickets();
   void MarkPersisted(PersistTicket ticket);
-  // Takes out the messages that may leave.
+  // Removes and returns the messages whose writes are synced.
   std::vector<Message> TakeSendable();
 
-  // Whether the term and vote are synced.
+  // Whether the term and vote are synced to disk.
   bool is_hard_state_durable() const { return hard_ticket_ <= persisted_; }
 
  private:
--- a/src/libs/consensus/persistent_state.h
+++ b/src/libs/consensus/persistent_state.h
@@ -1,4 +1,4 @@
-// What a replica keeps in its data folder.
+// State that a replica stores in its data folder.
 
 #ifndef LIBS_CONSENSUS_PERSISTENT_STATE_H_
 #define LIBS_CONSENSUS_PERSISTENT_STATE_H_
@@ -12,8 +12,8 @@
 
 namespace bilberryspool::consensus {
 
-// Must be synced before a message that follows from it leaves: a replica that
-// forgot its vote could vote twice in one term.
+// Must be synced to disk before a message that depends on it is sent: a replica
+// that lost its vote in a crash could vote twice in one term.
 struct HardState {
   ClusterId cluster;
   RecoveryEpoch epoch;
@@ -23,8 +23,8 @@
   bool operator==(const HardState&) const = default;
 };
 
-// The application's state after the entry `index`, with what the log needs to
-// go on from there.
+// The application's state after the entry `index`, with the term and membership
+// that the log needs to continue from there.
 struct Snapshot {
   LogIndex index;
   Term term;
@@ -34,14 +34,14 @@
   bool operator==(const Snapshot&) const = default;
 };
 
-// What was found in the data folder at the start. Everything empty but `self`:
-// the folder is new.
+// State read from the data folder at process start. If everything but `self` is
+// empty, the folder is new.
 struct RecoveredState {
   MemberId self;
   HardState hard_state;
-  // Null where no snapshot was taken.
+  // Null if there is no snapshot.
   std::shared_ptr<const Snapshot> snapshot;
-  // Follow the snapshot without a gap.
+  // Entries after the snapshot, without a gap.
   std::vector<LogEntry> entries;
 };
 
--- a/src/libs/consensus/recovery.h
+++ b/src/libs/consensus/recovery.h
@@ -8,32 +8,32 @@
 
 namespace bilberryspool::consensus {
 
-// What has to be written and synced, in one go, before the replica is started
-// on its folder again.
+// State to write and sync atomically before the replica is started on its
+// folder again.
 struct ForcedConfiguration {
   HardState hard_state;
   LogEntry entry;
 };
 
 enum class ForceRefusal {
-  // The folder is new: there is nothing to go on from.
+  // The folder is new: there is no state to recover from.
   kBlankFolder,
   // The confirmation does not name this node and the next epoch.
   kNotConfirmed,
 };
 
-// What the operator has to type: "NODE recovery epoch N".
+// The text that the operator must enter: "NODE recovery epoch N".
 std::string ForceConfirmation(const RecoveredState& state);
 
-// The way out when a majority of the folders is lost: makes the replica on
+// Recovers from the loss of a majority of the folders: makes the replica on
 // this folder the only voter, in the next recovery epoch.
 //
-// What is lost: every accepted entry that this folder does not hold. Entries
-// that it holds without their having been accepted become accepted. Replicas
-// of the earlier epoch halt as soon as they hear from this one and can't come
-// back as voters; until then they may still go on among themselves, so they
-// must be stopped first. Never done by the program itself, and only with the
-// confirmation, so that it is not taken by accident.
+// Every accepted entry that this folder does not contain is lost. Entries that
+// it contains become accepted even if they were not. Replicas of the earlier
+// epoch halt as soon as they receive a message from this one and can't return
+// as voters; until then they may still make progress among themselves, so they
+// must be stopped first. The program never does this by itself, and it requires
+// the confirmation to prevent accidental use.
 std::variant<ForcedConfiguration, ForceRefusal> ForceNewConfiguration(
     const RecoveredState& state,
     const std::string& confirmation);
--- a/src/libs/consensus/replica.cc
+++ b/src/libs/consensus/replica.cc
@@ -227,7 +227,7 @@
 
 void Replica::ApplyCommitted() {
   BILBERRYSPOOL_INVARIANT(commit_ <= log_.last_index(),
-                          "what is committed is in the log");
+                          "the commit index is within the log");
   BILBERRYSPOOL_INVARIANT(applied_ <= commit_,
                           "only committed entries are applied");
   if (applied_ == commit_) {
--- a/src/libs/consensus/replica.h
+++ b/src/libs/consensus/replica.h
@@ -1,22 +1,24 @@
-// The replicated log: one replica's decisions.
+// State machine of one replica of the replicated log (Raft).
 //
 // Three or five replicas, each with a data folder, agree on one sequence of
-// commands. An accepted command is in the log of every later leader, whatever
-// crashes, cuts, delays or duplicated messages come in between, as long as no
-// majority of the folders is lost.
+// commands. An accepted command is in the log of every later leader despite
+// crashes, partitions, delays and duplicated messages, as long as no majority
+// of the folders is lost.
 //
-// Guards against:
-// - a leader that is cut off and still believes it is in charge: it acts only
-//   under a lease that a quorum renews, and a quorum's members grant no vote
-//   while the lease may count on them;
-// - a replica that forgets: messages wait until what they promise is synced;
-// - a replica that comes back: a pre-vote comes before each election;
-// - a lost folder: members are identified by node and folder, so a new folder
-//   neither votes as the lost one nor founds a second log.
+// Failures that it handles:
+// - A leader that is partitioned and unaware of its successor: it acts only
+//   under a lease that a quorum renews, and members of the quorum grant no vote
+//   while the lease may depend on them.
+// - State lost in a crash: a message is sent only after the state that it
+//   depends on is synced to disk.
+// - A replica that returns from a partition: a pre-vote precedes each election,
+//   so that it does not depose a healthy leader.
+// - A lost folder: members are identified by node and folder, so a new folder
+//   neither votes as the lost one nor creates a second log.
 //
-// Pure: events and `now` in, actions out. The shell carries out all actions of
-// one event in order before it hands in the next event, and reports Persisted;
-// it sends Tick at next_deadline() or later.
+// Performs no I/O: takes events and `now`, returns actions. The host executes
+// all actions of one event in order before it passes the next event, reports
+// Persisted, and sends Tick at next_deadline() or later.
 
 #ifndef LIBS_CONSENSUS_REPLICA_H_
 #define LIBS_CONSENSUS_REPLICA_H_
@@ -42,10 +44,10 @@
   Replica(RecoveredState state, ReplicaOptions options, std::uint64_t seed);
 
   std::vector<Action> Handle(const Event& event, TimePoint now);
-  // When the next Tick is wanted; empty where none is.
+  // Time of the next required Tick; nullopt if none is required.
   std::optional<TimePoint> next_deadline() const;
 
-  // Whether this replica may act and answer as the one in charge.
+  // Whether this replica leads and may execute commands and answer reads.
   bool is_leader_with_lease(TimePoint now) const;
 
   const MemberId& self() const { return self_; }
@@ -56,14 +58,14 @@
   LogIndex commit_index() const { return commit_; }
   LogIndex applied_index() const { return applied_; }
   const LogView& log() const { return log_; }
-  // Whether the folder is new: no log was founded here nor joined.
+  // Whether the folder is new: no log was created or joined.
   bool is_blank() const { return hard_state_.cluster == ClusterId(0); }
-  // Empty unless this replica leads.
+  // nullopt unless this replica leads.
   const std::optional<LeaderState>& leader_state() const {
     return leader_state_;
   }
-  // Replicas with a new folder that made themselves known and are no members,
-  // by node; candidates for AddLearner and ReplaceVoter.
+  // Replicas with a new folder that sent Hello and are not members, by node;
+  // candidates for AddLearner and ReplaceVoter.
   std::map<NodeId, MemberId> awaiting_admission() const;
 
  private:
@@ -75,7 +77,7 @@
     bool operator==(const ReportedRole&) const = default;
   };
 
-  // replica.cc: the shell's events.
+  // replica.cc: events from the host.
   void On(const Tick& tick, TimePoint now);
   void On(const MessageReceived& received, TimePoint now);
   void On(const Persisted& persisted, TimePoint now);
@@ -86,6 +88,8 @@
   void On(const TransferLeadership& transfer, TimePoint now);
   void On(const PeersLearned& learned, TimePoint now);
   void Start(TimePoint now);
+  // Runs after each event: advances the commit index and queues messages and
+  // writes.
   void Finish(TimePoint now);
   void FlushPersist();
   void ApplyCommitted();
@@ -93,7 +97,7 @@
   std::optional<NodeId> LeaderHint() const;
   void Queue(const MemberId& to, MessageBody body, SendAfter after);
 
-  // replica_header.cc: who may speak to us, and terms.
+  // replica_header.cc: checks of message headers and terms, and bootstrap.
   bool AcceptHeader(const Message& message);
   bool AcceptBlank(const Message& message);
   bool AcceptTerm(const Message& message, TimePoint now);
@@ -108,6 +112,7 @@
   void NoteElectionProgress(TimePoint now);
   void BecomeLeader(TimePoint now);
   void BecomeFollower(Term term, TimePoint now);
+  // Whether a lease, of this replica or of another leader, forbids a vote.
   bool MustHonorLease(TimePoint now) const;
   bool IsUpToDate(LogIndex last_index, Term last_term) const;
   void OnBody(const Message& message, const PreVote& body, TimePoint now);
@@ -150,6 +155,8 @@
   std::optional<RefusalReason> CheckChange(const MembershipChange& change,
                                            const Membership& next,
                                            TimePoint now) const;
+  // Whether the leader has committed an entry of its own term and the latest
+  // membership, so that the next change may start.
   bool CanChangeMembership() const;
 
   MemberId self_;
@@ -167,18 +174,18 @@
   ReportedRole reported_role_;
   LogIndex commit_;
   LogIndex applied_;
-  // The first entry of this replica's own term as a leader.
+  // Index of the first entry of this replica's own term as leader.
   LogIndex term_start_;
   std::optional<LeaderState> leader_state_;
   std::map<NodeId, MemberId> hello_senders_;
 
-  // What the current event changed and must be written.
+  // Changes of the current event that must be written, and its actions.
   bool hard_state_changed_ = false;
   std::optional<LogIndex> truncate_from_;
   std::vector<LogEntry> new_entries_;
   std::vector<Action> actions_;
 
-  // A snapshot of our own that is being synced.
+  // A snapshot of this replica's own state that is being synced.
   std::optional<PersistTicket> compaction_ticket_;
   LogIndex compaction_index_;
   // A snapshot that is being received.
--- a/src/libs/consensus/replica_action.h
+++ b/src/libs/consensus/replica_action.h
@@ -1,4 +1,4 @@
-// What a replica asks of the shell, to be carried out in the given order.
+// Actions that a replica requests from its host, to be executed in order.
 
 #ifndef LIBS_CONSENSUS_REPLICA_ACTION_H_
 #define LIBS_CONSENSUS_REPLICA_ACTION_H_
@@ -18,8 +18,8 @@
   Message message;
 };
 
-// Write and sync, then send Persisted. Writes keep their order; first the log
-// is cut from `truncate_from` on, then `entries` follow.
+// Write and sync, then send Persisted. Writes keep their order. First the log
+// is truncated from `truncate_from` on, then `entries` are appended.
 struct Persist {
   PersistTicket ticket;
   std::optional<HardState> hard_state;
@@ -27,8 +27,8 @@
   std::vector<LogEntry> entries;
 };
 
-// Write and sync the snapshot, then send Persisted. With `reset_log` the log
-// is emptied as well: it does not lead to the snapshot.
+// Write and sync the snapshot, then send Persisted. With `reset_log` the log is
+// cleared as well, because it does not contain the snapshot's last entry.
 struct PersistSnapshot {
   PersistTicket ticket;
   std::shared_ptr<const Snapshot> snapshot;
@@ -41,7 +41,7 @@
   LogIndex through;
 };
 
-// Committed entries, in order and each once, of all kinds.
+// Committed entries of all kinds, in order and each exactly once.
 struct Apply {
   std::vector<LogEntry> entries;
 };
@@ -51,33 +51,35 @@
   std::shared_ptr<const Snapshot> snapshot;
 };
 
-// Committed: in the log of each later leader.
+// The entry is committed: it is in the log of every later leader.
 struct Accepted {
   LogIndex index;
 };
-// Not run. The hint is the leader as far as known.
+// Not executed. The hint is the leader, if known.
 struct NotLeader {
   std::optional<NodeId> hint;
 };
-// It may or may not become committed: ask again with the same command id.
+// Leadership ended before the entry was committed. It may still become
+// committed: retry with the same command id.
 struct OutcomeUnknown {};
-// Not run: too many proposals wait.
+// Not executed: too many proposals are pending.
 struct Busy {};
-// Not run.
+// Not executed.
 struct Refused {
   RefusalReason reason;
 };
 
-// Answers Propose and ChangeMembership, each once.
+// Result of Propose or ChangeMembership, exactly one for each.
 struct ProposalOutcome {
   RequestTicket ticket;
   std::variant<Accepted, NotLeader, OutcomeUnknown, Busy, Refused> result;
 };
 
-// Answers ReadBarrier: read once this index is applied (it is already).
+// The read index: the reader must have applied it; this replica already has.
 struct ReadAt {
   LogIndex index;
 };
+// Result of ReadBarrier.
 struct ReadOutcome {
   RequestTicket ticket;
   std::variant<ReadAt, NotLeader> result;
@@ -98,8 +100,8 @@
   kRegressed,
 };
 
-// The replica takes no further part. Its folder must be put aside; with a new
-// one it can be admitted as a replacement.
+// The replica stops participating. Its folder must be moved away; with a new
+// folder it can be admitted as a replacement.
 struct Halted {
   HaltReason reason;
 };
--- a/src/libs/consensus/replica_election.cc
+++ b/src/libs/consensus/replica_election.cc
@@ -30,7 +30,7 @@
   role_ = Role::kCandidate;
   leader_.reset();
   election_.ResetTimeout(now);
-  // Our own vote counts once it is synced.
+  // The replica's own vote counts once it is synced to disk.
   election_.ClearVotes();
   for (const MemberId& id : log_.membership().AllMembers()) {
     if (id == self_ || !log_.membership().IsVoter(id)) {
@@ -60,7 +60,7 @@
 }
 
 void Replica::BecomeFollower(Term term, TimePoint now) {
-  BILBERRYSPOOL_INVARIANT(term >= hard_state_.term, "the term never goes back");
+  BILBERRYSPOOL_INVARIANT(term >= hard_state_.term, "the term never decreases");
   if (leader_state_) {
     for (const PendingProposal& lost : leader_state_->TakeAllPending()) {
       actions_.push_back(ProposalOutcome{lost.ticket, OutcomeUnknown{}});
--- a/src/libs/consensus/replica_event.h
+++ b/src/libs/consensus/replica_event.h
@@ -1,4 +1,4 @@
-// What the shell tells a replica.
+// Events that the hosting code passes to a replica.
 
 #ifndef LIBS_CONSENSUS_REPLICA_EVENT_H_
 #define LIBS_CONSENSUS_REPLICA_EVENT_H_
@@ -12,52 +12,52 @@
 
 namespace bilberryspool::consensus {
 
-// Matches an outcome with its request; chosen by the shell.
+// Matches an outcome with its request; chosen by the host.
 using RequestTicket = StrongNumber<struct RequestTicketTag>;
-// Counts the writes that a replica asks for.
+// Sequence number of the writes that a replica requests.
 using PersistTicket = StrongNumber<struct PersistTicketTag>;
 
-// A deadline passed; also the first event after a start.
+// A deadline has passed; also the first event after a start.
 struct Tick {};
 
 struct MessageReceived {
   Message message;
 };
 
-// The write with this ticket, and each one before it, is synced.
+// The write with this ticket and all earlier writes are synced to disk.
 struct Persisted {
   PersistTicket ticket;
 };
 
-// Asks for a command to be added to the log.
+// Requests that a command is appended to the log.
 struct Propose {
   RequestTicket ticket;
   std::string bytes;
 };
 
-// Asks for a change of membership.
+// Requests a change of membership.
 struct ChangeMembership {
   RequestTicket ticket;
   MembershipChange change;
 };
 
-// Asks for an index: a reader that has applied it sees everything that was
-// accepted before it asked.
+// Requests a read index: a reader that has applied it sees everything that was
+// accepted before the request.
 struct ReadBarrier {
   RequestTicket ticket;
 };
 
-// The application wrote its state after `index`, an index that was applied.
+// The application has serialized its state as of the applied index `index`.
 struct SnapshotTaken {
   LogIndex index;
   std::string data;
 };
 
-// Asks the leader to hand over, before a planned stop.
+// Asks the leader to transfer leadership, before a planned stop.
 struct TransferLeadership {};
 
-// Further nodes that hold replicas. A replica with a new folder makes itself
-// known to these as well: the leader may be none of those it was told of.
+// Other nodes that run replicas. A replica with a new folder sends Hello to
+// these as well, because the leader may not be among the configured nodes.
 struct PeersLearned {
   std::vector<NodeId> peers;
 };
--- a/src/libs/consensus/replica_follower.cc
+++ b/src/libs/consensus/replica_follower.cc
@@ -1,4 +1,4 @@
-// Replica: what a follower does with its leader's messages.
+// Replica: handling of the leader's messages by a follower.
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +9,7 @@
 namespace bilberryspool::consensus {
 namespace {
 
-// Entries that do not follow each other can't come from a leader.
+// A leader only sends consecutive entries with terms that do not decrease.
 bool AreWellFormed(const Append& body, Term term) {
   LogIndex expected = body.prev_index;
   Term previous = body.prev_term;
@@ -56,7 +56,8 @@
   commit_ = std::max(commit_, std::min(body.commit, verified));
   reply.accepted = true;
   reply.last_index = log_.last_index();
-  // A heartbeat's answer does not wait for the disk: it renews the lease.
+  // The reply to a heartbeat does not wait for the disk, because it renews the
+  // leader's lease.
   const bool is_heartbeat = body.entries.empty();
   reply.match =
       is_heartbeat ? std::min(verified, log_.durable_index()) : verified;
@@ -65,7 +66,7 @@
 }
 
 bool Replica::MatchesLog(const Append& body) const {
-  // Everything up to the commit index is the same on each replica.
+  // Entries up to the commit index are the same on every replica.
   if (body.prev_index <= commit_) {
     return true;
   }
@@ -93,7 +94,7 @@
     }
     if (entry.index <= log_.last_index()) {
       BILBERRYSPOOL_INVARIANT(entry.index > commit_,
-                              "committed entries are never cut");
+                              "committed entries are never truncated");
       log_.TruncateFrom(entry.index);
       truncate_from_ = entry.index;
     }
@@ -108,7 +109,8 @@
   FollowLeader(message, now);
   InstallSnapshotReply reply{body.index, 0, false, body.sent_at};
   if (body.index > commit_) {
-    // Each term's leader sends a snapshot of its own: parts never mix.
+    // Each leader sends a snapshot of its own, so parts of snapshots of
+    // different terms must not be combined.
     if (incoming_.index != body.index || incoming_term_ != message.term) {
       incoming_term_ = message.term;
       incoming_ = {body.index, body.snapshot_term, body.membership, ""};
--- a/src/libs/consensus/replica_header.cc
+++ b/src/libs/consensus/replica_header.cc
@@ -1,4 +1,5 @@
-// Replica: from whom a message is taken, terms and epochs, and new folders.
+// Replica: checks of message headers, terms and epochs, and bootstrap of new
+// folders.
 
 #include <algorithm>
 #include <utility>
@@ -31,7 +32,7 @@
     return AcceptBlank(message);
   }
   if (IsOneOf<PreVoteReply>(message.body) && message.cluster == ClusterId(0)) {
-    // A founding voter that is still blank.
+    // An initial voter that has not received the new log yet.
     return true;
   }
   if (message.cluster != hard_state_.cluster) {
@@ -69,7 +70,7 @@
     return true;
   }
   if (const auto* vote = std::get_if<Vote>(&message.body)) {
-    // Not even the term is taken over: that alone would end a live lease.
+    // The higher term is ignored as well: adopting it would end a valid lease.
     if (!vote->forced && MustHonorLease(now)) {
       return false;
     }
@@ -92,7 +93,7 @@
   if (IsOneOf<Vote>(message.body)) {
     Queue(message.from, VoteReply{false}, SendAfter::kHardState);
   }
-  // Tells an earlier leader that its term is over.
+  // The reply's term tells the earlier leader that its term has ended.
   if (IsOneOf<Append, InstallSnapshot>(message.body)) {
     Queue(message.from, AppendReply{}, SendAfter::kHardState);
   }
@@ -161,7 +162,7 @@
 void Replica::OnBody(const Message& /*message*/,
                      const Superseded& /*body*/,
                      TimePoint /*now*/) {
-  // The header's epoch has halted a replica of an earlier epoch already.
+  // AcceptHeader() has already halted a replica of an earlier epoch.
 }
 
 void Replica::OnBody(const Message& /*message*/,
--- a/src/libs/consensus/replica_leader.cc
+++ b/src/libs/consensus/replica_leader.cc
@@ -1,4 +1,4 @@
-// Replica: what a leader does.
+// Replica: leader.
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,8 @@
   return now.time_since_epoch().count();
 }
 
-// A follower's echo; one from the future would lengthen the lease.
+// Converts a time echoed by a follower. Limited to `now`, because a time in the
+// future would extend the lease.
 TimePoint FromSentAt(SentAt sent_at, TimePoint now) {
   return std::min(TimePoint(Duration(sent_at)), now);
 }
@@ -54,8 +55,8 @@
     return;
   }
 #if !defined(BILBERRYSPOOL_MUTATION_COMMIT_OLD_TERM)
-  // An entry of an earlier term that a quorum holds may still be replaced; it
-  // is committed only together with an entry of this term.
+  // An entry of an earlier term may still be replaced even if a quorum has it;
+  // it is only committed together with an entry of this term.
   if (log_.TermAt(reached) != hard_state_.term) {
     return;
   }
@@ -77,7 +78,7 @@
     return;
   }
   if (!current.IsVoter(self_) && !leader_state_->transfer_deadline()) {
-    // Removed: the remaining voters choose among themselves.
+    // This leader was removed: hand leadership to one of the remaining voters.
     leader_state_->BeginTransfer(now);
     return;
   }
@@ -132,7 +133,7 @@
 
 void Replica::TransferLeadershipTo(const MemberId& successor, TimePoint now) {
   Queue(successor, TimeoutNow{}, SendAfter::kHardState);
-  // The lease ends here for good: the successor's election does not wait for
+  // Gives up the lease permanently: the successor's election does not wait for
   // it, however late the message arrives.
   BecomeFollower(hard_state_.term, now);
 }
--- a/tests/auto/consensus/fake_cluster.cc
+++ b/tests/auto/consensus/fake_cluster.cc
@@ -15,8 +15,9 @@
   return state * 31 + std::hash<std::string>()(bytes) + entry.index.value();
 }
 
-// Several parts long, so that a transfer can be cut in between, and with a
-// filling of the writer's own, so that mixed parts show.
+// Snapshot data that is several parts long, so that a transfer can be
+// interrupted, with padding specific to the writer, so that a mix of parts from
+// different writers is detected.
 std::string StateBytes(std::uint64_t state, char filling) {
   return std::to_string(state) + std::string(300, filling);
 }
@@ -122,7 +123,7 @@
     WriteTo(node.disk, node.unsynced[i]);
   }
   if (kept < node.unsynced.size()) {
-    // A write may have reached the disk in part.
+    // A write may have reached the disk partially.
     if (const auto* persist = std::get_if<Persist>(&node.unsynced[kept])) {
       Persist part = *persist;
       part.entries.resize(random_.Below(part.entries.size() + 1));
@@ -158,7 +159,7 @@
 bool FakeCluster::CanLoseDisk(const NodeId& id) const {
   std::set<MemberId> lost = lost_;
   lost.insert(nodes_.at(id).disk.self);
-  // In force: the last committed membership and whatever follows it somewhere.
+  // Active memberships: the last committed one and all later ones in any log.
   LogIndex start;
   for (const auto& [index, entry] : committed_) {
     if (std::holds_alternative<Membership>(entry.payload)) {
@@ -308,7 +309,7 @@
 void FakeCluster::Execute(const NodeId& id, const CompactLog& compact) {
   FakeDisk& disk = nodes_.at(id).disk;
   if (disk.snapshot == nullptr || disk.snapshot->index < compact.through) {
-    Fail("the log is compacted before a synced snapshot covers it");
+    Fail("the log was compacted before a synced snapshot covers it");
   }
   std::erase_if(disk.entries, [&](const LogEntry& entry) {
     return entry.index <= compact.through;
@@ -319,7 +320,7 @@
   FakeNode& node = nodes_.at(id);
   for (const LogEntry& entry : apply.entries) {
     if (entry.index != node.applied.Next()) {
-      Fail("entries are applied out of order");
+      Fail("entries were applied out of order");
       return;
     }
     const auto [known, is_new] = committed_.emplace(entry.index, entry);
@@ -336,13 +337,13 @@
 void FakeCluster::Execute(const NodeId& id, const RestoreSnapshot& restore) {
   FakeNode& node = nodes_.at(id);
   if (restore.snapshot->index < node.applied) {
-    Fail("the applied index went back");
+    Fail("the applied index decreased");
   }
   node.applied = restore.snapshot->index;
   node.state = states_[node.applied];
   if (restore.snapshot->data !=
       StateBytes(node.state, restore.snapshot->data.back())) {
-    Fail("a snapshot holds another state than its index has");
+    Fail("the state in a snapshot differs from the state at its index");
   }
 }
 
@@ -363,7 +364,7 @@
   const auto entry = committed_.find(accepted->index);
   if (entry == committed_.end() ||
       entry->second.payload != EntryPayload(Command{proposed->second})) {
-    Fail("a proposal was accepted that is not committed");
+    Fail("a proposal was accepted but is not committed");
   }
 }
 
@@ -371,7 +372,7 @@
   reads_.emplace(outcome.ticket, outcome);
   const auto* read = std::get_if<ReadAt>(&outcome.result);
   if (read != nullptr && read->index < min_read_index_.at(outcome.ticket)) {
-    Fail("a reader was shown a state older than what was accepted");
+    Fail("a read returned a state older than the accepted entries");
   }
 }
 
@@ -394,8 +395,8 @@
 
 void FakeCluster::CheckLeaderLog(const Replica& replica) {
   for (const auto& [index, entry] : committed_) {
-    // A late election of an earlier term may still be won; such a leader can
-    // commit nothing.
+    // A delayed election of an earlier term can still be won, but such a leader
+    // can't commit anything.
     if (index < replica.log().first_index() ||
         commit_terms_.at(index) > replica.term()) {
       continue;
@@ -417,7 +418,7 @@
     }
   }
   if (holders > 1) {
-    Fail("two leaders hold a lease at once");
+    Fail("two leaders hold a lease at the same time");
   }
 }
 
--- a/tests/auto/consensus/fake_cluster.h
+++ b/tests/auto/consensus/fake_cluster.h
@@ -1,5 +1,5 @@
-// Replicas in one process over a fake network, fake disks and fake clocks,
-// with the invariants that every run must keep.
+// Runs replicas in one process on a simulated network, disks and clocks, and
+// checks the invariants that must hold in every run.
 
 #ifndef AUTO_CONSENSUS_FAKE_CLUSTER_H_
 #define AUTO_CONSENSUS_FAKE_CLUSTER_H_
@@ -57,22 +57,23 @@
   NetworkFaults& faults() { return faults_; }
   std::map<NodeId, FakeNode>& nodes() { return nodes_; }
   FakeNode& node(const std::string& name) { return nodes_.at(NodeId(name)); }
-  // The node that holds a lease; null where none does.
+  // The node that holds a lease, or null if none does.
   FakeNode* leader();
 
-  // Adds a node with a new folder that is no initial voter.
+  // Adds a node with a new folder that is not an initial voter.
   void AddNode(const std::string& name);
   void Start(const NodeId& id);
-  // Keeps what was synced and a random part of what was not.
+  // Stops the replica. The disk keeps the synced writes and a random part of
+  // the others.
   void Crash(const NodeId& id);
-  // Runs until the node has written something that is not synced, then
-  // crashes it, or with `all` every node at once.
+  // Runs until the node has an unsynced write, then crashes it, or with `all`
+  // every node at once.
   void CrashWhileSyncing(const NodeId& id, bool all);
-  // Crashes and comes back with a new, empty folder.
+  // Crashes the node and restarts it with a new, empty folder.
   void LoseDisk(const NodeId& id);
-  // Whether a majority of each membership in force is left without `id`.
+  // Whether every active membership keeps a majority without the disk of `id`.
   bool CanLoseDisk(const NodeId& id) const;
-  // The clock goes on from where it is.
+  // Changes the rate of the node's clock without a jump.
   void SetClockRate(const NodeId& id, double rate);
   void Freeze(const NodeId& id, Duration duration);
   void Cut(const NodeId& from, const NodeId& to) { cuts_.insert({from, to}); }
@@ -80,17 +81,18 @@
   void HealNetwork();
 
   void Run(Duration duration);
-  // Runs until `done` holds; false where it does not within `limit`.
+  // Runs until `done` returns true; returns false if it does not within
+  // `limit`.
   bool RunUntil(const std::function<bool()>& done, Duration limit);
   void Deliver(const NodeId& id, const Event& event);
 
-  // Each returns the ticket under which the outcome appears.
+  // Each returns the ticket of the outcome in outcomes() or reads().
   RequestTicket ProposeTo(const NodeId& id);
   RequestTicket ReadFrom(const NodeId& id);
   RequestTicket ChangeAt(const NodeId& id, MembershipChange change);
   void TakeSnapshot(const NodeId& id);
-  // As an operator does: replaces a voter whose folder was lost, and removes a
-  // learner that was lost on the way.
+  // Does what an operator would do: replaces a voter whose folder was lost, or
+  // removes a learner whose folder was lost.
   void RepairMembership();
 
   const std::map<RequestTicket, ProposalOutcome>& outcomes() const {
@@ -150,10 +152,11 @@
   std::size_t messages_sent_ = 0;
 
   std::string failure_;
-  // What some replica applied at each index, and the state after it.
+  // The entry that some replica applied at each index, and the state after it.
   std::map<LogIndex, LogEntry> committed_;
   std::map<LogIndex, std::uint64_t> states_;
-  // No lower than the term in which the entry was committed.
+  // For each index, a term not lower than that in which the entry was
+  // committed.
   std::map<LogIndex, Term> commit_terms_;
   std::map<Term, std::pair<MemberId, std::uint64_t>> leaders_;
   std::map<RequestTicket, ProposalOutcome> outcomes_;
--- a/tests/auto/consensus/member_manager_test.cc
+++ b/tests/auto/consensus/member_manager_test.cc
@@ -1,4 +1,4 @@
-// Which change of membership the leader asks for by itself.
+// Tests which membership change the leader proposes by itself.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +23,7 @@
 
 constexpr TimePoint kStart = TimeAt(Seconds(100));
 
-// A leader of three voters that all answered at `now`.
+// Status of a leader of three voters that have all responded at `now`.
 MembershipStatus HealthyStatus(TimePoint now) {
   MembershipStatus status;
   status.self = kLeader;
@@ -55,57 +55,57 @@
 
 struct Case {
   const char* name;
-  // Changes the calm picture of `now`, two seconds and a half after the first
-  // look of this leadership.
+  // Modifies the healthy status at `now`, which is 2.5 s after the first call
+  // to Next().
   void (*modify)(MembershipStatus& status, TimePoint now);
   const char* expected;
 };
 
 constexpr Case kCases[] = {
-    {"calm", [](MembershipStatus&, TimePoint) {}, "none"},
-    {"a folder was lost and is there anew",
+    {"all voters are healthy", [](MembershipStatus&, TimePoint) {}, "none"},
+    {"a voter returns with a new folder",
      [](MembershipStatus& status, TimePoint) {
        status.awaiting[kThirdNewFolder.node] = kThirdNewFolder;
      },
      "replace c3 by c33"},
-    {"a newcomer while all voters are heard",
+    {"a new node while all voters respond",
      [](MembershipStatus& status, TimePoint) {
        status.awaiting[kNewcomer.node] = kNewcomer;
      },
      "none"},
-    {"a newcomer and a voter that has fallen silent",
+    {"a new node and a voter that stopped responding",
      [](MembershipStatus& status, TimePoint now) {
        status.awaiting[kNewcomer.node] = kNewcomer;
        status.last_responses[kThird] = now - Milliseconds(2400);
      },
      "replace c3 by d4"},
-    {"a newcomer and a voter that never answered this leader",
+    {"a new node and a voter that never responded to this leader",
      [](MembershipStatus& status, TimePoint) {
        status.awaiting[kNewcomer.node] = kNewcomer;
        status.last_responses.erase(kThird);
      },
      "replace c3 by d4"},
-    {"a newcomer where voters are missing",
+    {"a new node while there are too few voters",
      [](MembershipStatus& status, TimePoint) {
        status.awaiting[kNewcomer.node] = kNewcomer;
        status.membership.voters = {kLeader, kFollower};
      },
      "add d4"},
-    {"a learner where voters are missing",
+    {"a learner while there are too few voters",
      [](MembershipStatus& status, TimePoint now) {
        status.membership.voters = {kLeader, kFollower};
        status.membership.learners = {{kNewcomer, std::nullopt}};
        status.last_responses[kNewcomer] = now;
      },
      "promote d4"},
-    {"a learner that is replaced by a newer folder of its node",
+    {"a learner whose node has a newer folder",
      [](MembershipStatus& status, TimePoint now) {
        status.membership.learners = {{kNewcomer, kThird}};
        status.last_responses[kNewcomer] = now;
        status.awaiting[kNewcomer.node] = Member("d", 44);
      },
      "remove d4"},
-    {"a joint change under way",
+    {"a joint change in progress",
      [](MembershipStatus& status, TimePoint) {
        status.membership.outgoing = {kLeader, kFollower, kThird};
        status.awaiting[kThirdNewFolder.node] = kThirdNewFolder;
@@ -113,7 +113,7 @@
      "none"},
 };
 
-TEST_CASE("the change that is due") {
+TEST_CASE("the next membership change for each status") {
   for (const Case& one : kCases) {
     CAPTURE(one.name);
     MemberManager manager{MemberManagerOptions{}};
@@ -125,15 +125,13 @@
   }
 }
 
-// Symptom: after a VM of the control group was replaced by one at a new
-// address, the group had two live folders of three; the next lost disk left it
-// without a majority, and no configuration was accepted any more.
-// Sequence: the leader, in charge for more than the learner's patience, adds
-// the new folder as a learner; 0.2 s later, before the learner's first answer,
-// it looks again, takes it for dead and removes it; this repeats for good.
-// Cause: a member that had never answered was counted as unheard since the
-// leadership began, not since it was added.
-TEST_CASE("a learner that was just added is not taken for a dead one") {
+// Guards against a replacement VM that never gets a vote, so that the control
+// group keeps two live folders of three and loses its majority, and with it all
+// configuration changes, with the next disk. A leader that has led for longer
+// than the learner timeout adds the new folder as a learner, and 0.2 s later,
+// before its first response, removes it as dead; this repeats forever if the
+// silence of a member counts from the start of the leadership term.
+TEST_CASE("a learner that was just added does not count as unresponsive") {
   MemberManager manager{MemberManagerOptions{}};
   manager.Next(HealthyStatus(kStart), kStart);
   const TimePoint added = kStart + Seconds(20);
@@ -141,7 +139,8 @@
   status.membership.learners = {{kNewcomer, kThird}};
   CHECK(Describe(manager.Next(status, added)) == "none");
   CHECK(Describe(manager.Next(status, added + Milliseconds(200))) == "none");
-  // One that stays dumb is removed in the end, so that it blocks nothing.
+  // A learner that never responds is removed after the timeout, so that it does
+  // not block other changes.
   CHECK(Describe(manager.Next(status, added + Seconds(7))) == "remove d4");
 }
 
--- a/tests/auto/consensus/membership_test.cc
+++ b/tests/auto/consensus/membership_test.cc
@@ -1,4 +1,4 @@
-// Founding, replacement, growth and forced recovery.
+// Tests bootstrap, replacement, growth and forced recovery.
 
 #include <doctest/doctest.h>
 
@@ -46,7 +46,7 @@
   CHECK(cluster.failure() == "");
 }
 
-TEST_CASE("a log is founded only when every initial voter is there and new") {
+TEST_CASE("a log is created only if every initial voter is reachable and new") {
   FakeCluster cluster(3, ReplicaOptions{}, 1);
   cluster.Crash(NodeId("c"));
   cluster.Run(Seconds(20));
@@ -56,7 +56,7 @@
   CheckAccepts(cluster);
 }
 
-TEST_CASE("voters that were given different lists found nothing") {
+TEST_CASE("voters with different lists of initial voters create no log") {
   ReplicaOptions options;
   options.initial_voters = {NodeId("a"), NodeId("b")};
   Bootstrap bootstrap(options, Member("a", 1));
@@ -69,11 +69,11 @@
   CHECK_FALSE(bootstrap.InitialMembership());
 }
 
-TEST_CASE("a new folder in an existing deployment founds no second log") {
-  // Symptom: after a disk was replaced, two deployments answer.
-  // Events: the first of the initial voters loses its disk while the others
-  // are out of reach, and comes back with the same settings.
-  // Cause: a new folder looks like that of a new deployment.
+TEST_CASE("a new folder in an existing deployment creates no second log") {
+  // Guards against two deployments that answer after a disk was replaced. The
+  // first initial voter loses its disk while the others are unreachable and
+  // returns with the same settings; its new folder looks like that of a new
+  // deployment.
   FakeCluster cluster(3, ReplicaOptions{}, 1);
   CheckAccepts(cluster);
   cluster.LoseDisk(NodeId("a"));
@@ -88,10 +88,10 @@
 }
 
 TEST_CASE("a second VM may be lost right after a repair") {
-  // Symptom: nothing is accepted, or accepted changes are gone.
-  // Events: a disk is lost and replaced; as soon as the replacement votes, the
-  // disk of another voter is lost, and so on around the cluster.
-  // Cause: a replacement that counts before it holds what was accepted.
+  // Guards against lost accepted changes, or a log that accepts nothing. A disk
+  // is lost and replaced; as soon as the replacement votes, the disk of another
+  // voter is lost, and so on around the cluster. It fails if a replacement
+  // counts as a voter before it has all accepted entries.
   for (const int size : {3, 5}) {
     FakeCluster cluster(size, ReplicaOptions{}, 3);
     CheckAccepts(cluster);
@@ -107,10 +107,10 @@
 }
 
 TEST_CASE("a second VM may be lost during a repair") {
-  // Symptom: the repair never ends, or the quorum counts a lost folder.
-  // Events: the replacement loses its disk while it is a learner; with five
-  // voters a second voter's disk goes as well.
-  // Cause: a replacement that was begun can't be given up.
+  // Guards against a repair that never ends, or a quorum that counts a lost
+  // folder. The replacement loses its disk while it is a learner; with five
+  // voters a second voter's disk is lost as well. It fails if a replacement in
+  // progress can't be aborted.
   for (const int size : {3, 5}) {
     FakeCluster cluster(size, ReplicaOptions{}, 4);
     CheckAccepts(cluster);
@@ -134,11 +134,11 @@
   }
 }
 
-TEST_CASE("a replacement takes no vote before it has caught up") {
-  // Symptom: one more loss stops everything although a majority is healthy.
-  // Events: a replacement is admitted over a slow link and answers, long before
-  // it has the log.
-  // Cause: a voter that holds little yet makes the quorum weaker.
+TEST_CASE("a replacement gets no vote before it has caught up") {
+  // Guards against a log that stops after one more loss although a majority is
+  // healthy. A replacement is admitted over a slow link and responds long
+  // before it has the log; if it had a vote, the quorum would depend on a voter
+  // that lacks most entries.
   ReplicaOptions options;
   options.max_batch_bytes = 1;
   options.max_inflight_appends = 1;
@@ -165,7 +165,7 @@
   CHECK_FALSE(MembershipOf(cluster).Contains(old));
 }
 
-TEST_CASE("a replaced replica's old identity neither votes nor counts") {
+TEST_CASE("the old identity of a replaced replica neither votes nor counts") {
   FakeCluster cluster(3, ReplicaOptions{}, 5);
   CheckAccepts(cluster);
   const MemberId old = cluster.node("b").disk.self;
@@ -179,7 +179,8 @@
   CHECK(replica.term() == Term(0));
 }
 
-TEST_CASE("a cluster grows by learners and shrinks without its leader") {
+TEST_CASE(
+    "a cluster grows by learners and shrinks when its leader is removed") {
   FakeCluster cluster(3, ReplicaOptions{}, 6);
   cluster.AddNode("d");
   cluster.AddNode("e");
@@ -205,7 +206,7 @@
   CHECK(cluster.leader()->disk.self != removed);
 }
 
-TEST_CASE("changes of membership that can't be made are refused") {
+TEST_CASE("impossible membership changes are refused") {
   const MemberId a = Member("a", 1);
   const MemberId b = Member("b", 2);
   const MemberId c = Member("c", 3);
@@ -237,7 +238,7 @@
   }
 }
 
-TEST_CASE("a voter is not removed where the rest could not decide") {
+TEST_CASE("a voter is not removed if the remaining ones would have no quorum") {
   FakeCluster cluster(3, ReplicaOptions{}, 7);
   CheckAccepts(cluster);
   const MemberId leader = cluster.leader()->disk.self;
@@ -279,10 +280,10 @@
 }
 
 TEST_CASE("a forced configuration ends the epoch of the other replicas") {
-  // Symptom: after a majority was lost, nothing is accepted any more.
-  // Events: two of three disks are lost; the operator forces a configuration
-  // on the last folder. A replica of the earlier epoch comes back later.
-  // Cause: what is left can't make a quorum, and must not be joined again.
+  // Guards against a log that stays unusable after the loss of a majority. Two
+  // of three disks are lost, so that the rest can't form a quorum, and the
+  // operator forces a configuration on the last folder. A replica of the
+  // earlier epoch that returns later must not rejoin.
   FakeCluster cluster(3, ReplicaOptions{}, 9);
   CheckAccepts(cluster);
   cluster.Crash(NodeId("b"));
--- a/tests/auto/consensus/message_codec_test.cc
+++ b/tests/auto/consensus/message_codec_test.cc
@@ -45,7 +45,7 @@
           Regressed{}};
 }
 
-TEST_CASE("every message survives its text") {
+TEST_CASE("every message is decoded as it was encoded") {
   REQUIRE(OneOfEach().size() == std::variant_size_v<MessageBody>);
   for (const MessageBody& body : OneOfEach()) {
     const std::string text = boost::json::serialize(ToJson(MessageWith(body)));
@@ -56,13 +56,13 @@
   }
 }
 
-TEST_CASE("an entry's bytes come back as they were") {
+TEST_CASE("the bytes of a log entry are decoded as they were encoded") {
   const LogEntry entry{LogIndex(8), Term(2), Command{AllBytes()}};
   const std::string text = boost::json::serialize(ToJson(entry));
   CHECK(LogEntryFromJson(boost::json::parse(text)) == entry);
 }
 
-TEST_CASE("what is no message gives nothing") {
+TEST_CASE("malformed messages are rejected") {
   const std::string good =
       boost::json::serialize(ToJson(MessageWith(VoteReply{true})));
   const std::string bad[] = {
--- a/tests/auto/consensus/randomised_test.cc
+++ b/tests/auto/consensus/randomised_test.cc
@@ -1,6 +1,6 @@
-// Randomised runs: replicas under loss, delay, duplication, reordering, one-way
-// cuts, freezes, drifting clocks, crashes between write and sync, and lost
-// disks. BILBERRYSPOOL_SEEDS sets how many seeds run for each size.
+// Randomised runs with message loss, delay, duplication and reordering, one-way
+// partitions, freezes, clock drift, crashes between write and sync, and lost
+// disks. BILBERRYSPOOL_SEEDS is the number of seeds for each cluster size.
 
 #include <cstdlib>
 #include <stdexcept>
@@ -28,7 +28,7 @@
 
 ReplicaOptions SmallOptions(std::uint64_t seed) {
   ReplicaOptions options;
-  // Narrow timeouts make elections as early as they may be.
+  // A narrow range of timeouts starts elections as early as allowed.
   const Duration spans[] = {Milliseconds(50), Milliseconds(300), Seconds(1)};
   options.election_timeout_max =
       options.election_timeout_min + spans[seed % std::size(spans)];
@@ -118,7 +118,7 @@
   }
 }
 
-// After the faults end, everything has to work again.
+// Checks that the cluster recovers after the faults have ended.
 void CheckRecovery(FakeCluster& cluster) {
   EndFaults(cluster);
   for (int i = 0; i < 20; ++i) {
@@ -155,8 +155,8 @@
       const Duration pause =
           cluster.random().Between(Milliseconds(1), Milliseconds(500));
       cluster.Run(pause);
-      // Without new entries nobody's log is behind, so that more of the
-      // elections can be won.
+      // Periods without new entries leave all logs up to date, so that more
+      // replicas can win an election.
       const std::uint64_t load = step % 40 < 20 ? 4 : 0;
       for (std::uint64_t i = cluster.random().Below(load); i > 0; --i) {
         FakeNode* const leader = cluster.leader();
@@ -177,11 +177,11 @@
   CHECK(cluster.failure() == "");
 }
 
-TEST_CASE("replicas keep every invariant under random faults") {
-  // Symptom: an accepted change is gone, or two replicas both act as leader.
-  // Events: any mix of faults, the next one often before the last is repaired.
-  // Cause: a promise that left before its sync, a vote or lease that a restart
-  // forgot, or a quorum counted over the wrong voters.
+TEST_CASE("replicas keep all invariants under random faults") {
+  // Guards against lost accepted changes and two simultaneous leaders under any
+  // mix of faults, often with a new fault before the previous one is repaired.
+  // Typical causes: a message sent before the state that it depends on is
+  // synced, a vote or lease lost at a restart, a quorum of the wrong voters.
   const InvariantHandler previous = SetInvariantHandler(&ThrowBrokenInvariant);
   const std::uint64_t seeds = SeedCount();
   for (const int size : {3, 5}) {
--- a/tests/auto/consensus/safety_test.cc
+++ b/tests/auto/consensus/safety_test.cc
@@ -1,4 +1,4 @@
-// Scripted failures of the leader, the quorum and the disks.
+// Tests scripted failures of the leader, the quorum and the disks.
 
 #include <doctest/doctest.h>
 
@@ -28,7 +28,7 @@
   std::vector<NodeId> others;
 };
 
-// The leader of term 4 among three, with an entry of term 2 before its own.
+// The leader of term 4 of three voters, with an entry of term 2 before its own.
 struct LeaderOfThree {
   LeaderOfThree() {
     replica.Handle(Tick{}, now);
@@ -70,10 +70,10 @@
 };
 
 TEST_CASE("a leader that is cut off stops accepting before another leads") {
-  // Symptom: two control VMs both answer operators.
-  // Events: the leader is cut off silently; its clock runs slow within the
-  // bound; the others elect a new leader.
-  // Cause: a leader that trusts its role and not a lease from a quorum.
+  // Guards against two control VMs that both answer operators. The leader is
+  // partitioned without noticing, its clock is slow within the drift bound, and
+  // the others elect a new leader. It fails if the old leader relies on its
+  // role instead of on a lease from a quorum.
   for (const int size : {3, 5}) {
     ReplicaOptions options;
     options.election_timeout_max =
@@ -106,11 +106,11 @@
   }
 }
 
-TEST_CASE("a voter that hears its leader elects no other") {
-  // Symptom: a healthy leader loses its place, or two hold a lease.
-  // Events: the link from the leader to one follower is cut one way; that
-  // follower stands for election with the vote of the other one.
-  // Cause: a vote granted while a lease counts on the voter.
+TEST_CASE("a voter in contact with its leader votes for no other") {
+  // Guards against a healthy leader that is deposed, or two leaders with a
+  // lease. The link from the leader to one follower fails in one direction;
+  // that follower starts an election. It fails if the other follower grants a
+  // vote while a lease depends on it.
   Elected run(3);
   run.cluster.Cut(run.leader, run.others[0]);
   const Term term = run.replica(run.leader).term();
@@ -123,11 +123,11 @@
   CHECK(run.cluster.failure() == "");
 }
 
-TEST_CASE("a voter that restarts still honours the lease it renewed") {
-  // Symptom: two leaders hold a lease after a restart.
-  // Events: as above, and the follower that still hears its leader restarts
-  // again and again.
-  // Cause: the restart forgot when the leader was heard.
+TEST_CASE("a voter that restarts still honours the lease that it renewed") {
+  // Guards against two leaders with a lease after a restart. One follower
+  // receives nothing from the leader, and the follower that still does restarts
+  // repeatedly. It fails if a restart loses the time of the last leader
+  // contact.
   Elected run(3);
   run.cluster.Cut(run.leader, run.others[0]);
   for (int i = 0; i < 100; ++i) {
@@ -140,10 +140,10 @@
   CHECK(run.cluster.failure() == "");
 }
 
-TEST_CASE("a replica that comes back disturbs nobody") {
-  // Symptom: each return of a VM causes an election.
-  // Events: a follower is cut off for long and comes back.
-  // Cause: terms that grew during its attempts; the pre-vote keeps them down.
+TEST_CASE("a replica that returns from a partition causes no election") {
+  // Guards against an election at each return of a VM. A follower is
+  // partitioned for a long time and returns. Without the pre-vote, its term
+  // would increase with each of its election attempts.
   Elected run(3);
   const Term term = run.replica(run.leader).term();
   run.cluster.Isolate(run.others[0]);
@@ -154,11 +154,11 @@
   CHECK(run.replica(run.leader).role() == Role::kLeader);
 }
 
-TEST_CASE("a leader commits no entry of an earlier term by counting") {
-  // Symptom: an accepted change is gone after the next election.
-  // Events: a leader of term 4 gives a majority an entry of term 2, which a
-  // replica with an entry of term 3 then replaces.
-  // Cause: the entry of term 2 was taken as committed without one of term 4.
+TEST_CASE("a leader commits no entry of an earlier term by counting copies") {
+  // Guards against an accepted change that is lost in the next election. A
+  // leader of term 4 replicates an entry of term 2 to a majority, and a replica
+  // with an entry of term 3 then replaces it. It fails if the entry of term 2
+  // counts as committed without one of term 4.
   LeaderOfThree run;
   run.Receive(run.AcceptedTo(2), Term(4));
   CHECK(run.replica.commit_index() == LogIndex(0));
@@ -166,11 +166,11 @@
   CHECK(run.replica.commit_index() == LogIndex(3));
 }
 
-TEST_CASE("a leader counts its own entries only once they are synced") {
-  // Symptom: an accepted change is gone after the leader lost power.
-  // Events: one follower acknowledges an entry that the leader itself has not
-  // synced; the leader loses power and comes back without it.
-  // Cause: the leader counted itself too early.
+TEST_CASE("a leader counts its own entries only after they are synced") {
+  // Guards against an accepted change that is lost when the leader loses power.
+  // One follower acknowledges an entry that the leader has not synced; the
+  // leader loses power and returns without it. It fails if the leader counts
+  // its own copy before the sync.
   LeaderOfThree run;
   run.Receive(run.AcceptedTo(3), Term(4));
   run.replica.Handle(Propose{RequestTicket(1), "y"}, run.now);
@@ -180,7 +180,7 @@
   CHECK(run.replica.commit_index() == LogIndex(4));
 }
 
-TEST_CASE("a vote goes once a term, and to no log that lacks entries") {
+TEST_CASE("a replica votes once per term, and only for an up-to-date log") {
   const MemberId self{NodeId("a"), ReplicaIdentity(1)};
   const MemberId b{NodeId("b"), ReplicaIdentity(2)};
   const MemberId c{NodeId("c"), ReplicaIdentity(3)};
@@ -216,11 +216,11 @@
   }
 }
 
-TEST_CASE("parts of two leaders' snapshots never mix") {
-  // Symptom: a replica starts from a state that never was.
-  // Events: a leader is lost between two parts of its snapshot; the next one
-  // sends its own snapshot of the same index, written in another way.
-  // Cause: parts that are told apart by their index only.
+TEST_CASE("parts of snapshots of two leaders are not combined") {
+  // Guards against a replica that restores a state that never existed. A leader
+  // fails between two parts of its snapshot, and the next leader sends its own
+  // snapshot of the same index, whose bytes differ. It fails if parts are
+  // distinguished by their index only.
   const MemberId self{NodeId("a"), ReplicaIdentity(1)};
   const ClusterId cluster(9);
   Replica replica({self, {cluster, {}, Term(1), {}}, nullptr, {}}, {}, 1);
@@ -247,11 +247,10 @@
   CHECK(installed == "wxyz");
 }
 
-TEST_CASE("what was accepted survives a power loss of every VM") {
-  // Symptom: an accepted change is gone after a power loss.
-  // Events: every replica crashes at once, again and again, with writes on
-  // their way to the disk.
-  // Cause: an acknowledgement that left before its sync.
+TEST_CASE("accepted entries survive a power loss of every VM") {
+  // Guards against an accepted change that is lost in a power loss. All
+  // replicas crash at once, repeatedly, with writes that are not synced. It
+  // fails if an acknowledgement is sent before its write is synced.
   Elected run(3);
   for (int round = 0; round < 20; ++round) {
     FakeNode* leader = run.cluster.leader();
@@ -273,7 +272,7 @@
   CHECK(run.cluster.failure() == "");
 }
 
-TEST_CASE("failover takes an election timeout and little more") {
+TEST_CASE("failover takes little more than an election timeout") {
   std::vector<Duration> times;
   for (std::uint64_t seed = 1; seed <= 101; ++seed) {
     FakeCluster cluster(3, ReplicaOptions{}, seed);
@@ -304,11 +303,11 @@
   CHECK(run.cluster.failure() == "");
 }
 
-TEST_CASE("a folder that went back in time is reported and halted") {
-  // Symptom: a VM is restored from an old image and accepted changes vanish.
-  // Events: a follower acknowledges entries and comes back without them, while
-  // the leader that counted the acknowledgements still leads.
-  // Cause: the folder keeps its identity, so its votes would still count.
+TEST_CASE("a replica with an outdated folder is detected and halted") {
+  // Guards against accepted changes that are lost when a VM is restored from an
+  // old image. A follower acknowledges entries and returns without them while
+  // the leader that counted the acknowledgements still leads. The folder keeps
+  // its identity, so its votes would still count.
   Elected run(3);
   FakeNode& follower = run.cluster.node(run.others[0].value());
   const FakeDisk old_image = follower.disk;
@@ -324,7 +323,7 @@
   CHECK(run.cluster.leader()->disk.self.node == run.leader);
 }
 
-TEST_CASE("more proposals than may wait are refused as not run") {
+TEST_CASE("proposals beyond the limit of pending ones are refused") {
   ReplicaOptions options;
   options.max_pending_proposals = 4;
   Elected run(3, options);
