--- a/src/libs/spread/coverage.h
+++ b/src/libs/spread/coverage.h
@@ -11,17 +11,18 @@
 
 namespace bilberryspool::spread {
 
-// Answer to "in force on M of K, and who lacks it".
+// On how many of the known nodes a configuration version is in force.
 struct Coverage {
   std::uint32_t nodes = 0;
   std::uint32_t in_force = 0;
-  std::vector<NodeId> lacking;                // a few
-  std::vector<FailureDomain> silent_domains;  // no report of late
+  std::vector<NodeId> lacking;  // some of the nodes that do not have it
+  // Failure domains without a recent report.
+  std::vector<FailureDomain> silent_domains;
 
   bool complete() const { return in_force == nodes && silent_domains.empty(); }
 };
 
-// Adds up reports by whoever sent them; the newest of each counts.
+// The latest report of each reporting node or failure domain.
 template <typename Key>
 class ReportTable {
  public:
@@ -44,9 +45,9 @@
   std::map<Key, Row> rows_;
 };
 
-// Adds what `report` says of `version` to `coverage`. A report of a later
-// version speaks for the earlier one too; one of an earlier version means
-// that none of its nodes is known to have it.
+// Adds the nodes of `report` that have `version` to `coverage`. A report of a
+// later version covers the earlier one too; a report of an earlier version
+// means that none of its nodes is known to have `version`.
 void AddReport(const SpreadReport& report,
                ConfigVersion version,
                std::size_t max_lacking,
--- a/src/libs/spread/delta_history.h
+++ b/src/libs/spread/delta_history.h
@@ -10,20 +10,20 @@
 
 namespace bilberryspool::spread {
 
-// The last few steps, so that a node that lags a little is sent these and
-// only one that lags far is sent the whole state.
+// The latest delta steps, so that a node that lags slightly is sent only the
+// missing steps instead of the full state.
 class DeltaHistory {
  public:
   DeltaHistory(std::size_t max_steps, std::size_t max_bytes)
       : max_steps_(max_steps), max_bytes_(max_bytes) {}
 
-  // Forgets what went before where `step` does not continue it.
+  // Appends `step`; drops the earlier steps if it does not continue them.
   void Add(const DeltaStep& step);
   void Clear();
 
-  // The steps from `have` to the newest; nothing where they are not held.
+  // The steps from `have` to the newest; nullopt if they are not available.
   std::optional<std::vector<DeltaStep>> Since(const ConfigPoint& have) const;
-  // The newest step alone.
+  // Only the newest step; nullopt if there is none.
   std::optional<std::vector<DeltaStep>> Last() const;
 
  private:
--- a/src/libs/spread/spread_codec.h
+++ b/src/libs/spread/spread_codec.h
@@ -1,4 +1,4 @@
-// JSON form of the messages of spread: arrays of fixed order.
+// JSON encoding of the configuration messages: arrays in a fixed field order.
 
 #ifndef LIBS_SPREAD_SPREAD_CODEC_H_
 #define LIBS_SPREAD_SPREAD_CODEC_H_
@@ -14,7 +14,7 @@
 boost::json::value ToJson(const FullMessage& message);
 boost::json::value ToJson(const HaveMessage& message);
 
-// Empty where the value has another shape; never throw.
+// Return nullopt if the value is malformed; never throw.
 std::optional<DeltaMessage> DeltaMessageFromJson(
     const boost::json::value& value);
 std::optional<FullMessage> FullMessageFromJson(const boost::json::value& value);
--- a/src/libs/spread/spread_message.h
+++ b/src/libs/spread/spread_message.h
@@ -1,5 +1,5 @@
-// What nodes tell each other of the accepted configuration. The
-// configuration's own content is opaque here.
+// Messages between nodes that distribute the accepted configuration. The
+// content of the configuration is opaque here.
 
 #ifndef LIBS_SPREAD_SPREAD_MESSAGE_H_
 #define LIBS_SPREAD_SPREAD_MESSAGE_H_
@@ -13,7 +13,7 @@
 
 namespace bilberryspool::spread {
 
-// One accepted state of the configuration: equal versions have equal digests.
+// One accepted state of the configuration. Equal versions have equal digests.
 struct ConfigPoint {
   ConfigVersion version;
   std::uint64_t digest = 0;
@@ -21,41 +21,43 @@
   bool operator==(const ConfigPoint&) const = default;
 };
 
-// Leads from one accepted state to a later one.
+// The encoded difference between an accepted state and a later one.
 struct DeltaStep {
   ConfigPoint from;
   ConfigPoint to;
   std::string bytes;
 };
 
-// How far a node, or a whole failure domain, has come.
+// Progress of a node and its agents, or of a whole failure domain.
 struct SpreadReport {
-  ConfigVersion version;        // what the reporting node itself has
-  std::uint32_t nodes = 0;      // nodes that it speaks for
-  std::uint32_t in_force = 0;   // those of them that have `version` or later
-  std::vector<NodeId> lacking;  // a few of the others
+  ConfigVersion version;        // version of the reporting node itself
+  std::uint32_t nodes = 0;      // number of nodes that the report covers
+  std::uint32_t in_force = 0;   // how many of them have `version` or later
+  std::vector<NodeId> lacking;  // some of the others
 
   bool operator==(const SpreadReport&) const = default;
 };
 
-// What every message says of its sender.
+// State of the sender, part of every message.
 struct SenderState {
   NodeId node;
   FailureDomain domain;
   ConfigPoint have;
-  ConfigVersion newest_known;  // may be above `have`
-  // Whether the leading control VM has vouched that `have` is the newest, and
-  // how long ago.
+  ConfigVersion newest_known;  // may be newer than `have`
+  // Whether the leading control VM has confirmed that `have` is the newest
+  // version, and how long ago.
   bool confirmed = false;
   Duration age{};
 };
 
+// Steps from one configuration version to a later one.
 struct DeltaMessage {
   SenderState sender;
   std::vector<DeltaStep> steps;  // contiguous, oldest first
-  bool relay = false;  // pass it on to the entries of your failure domain
+  bool relay = false;  // forward it to the entries of the own failure domain
 };
 
+// The full configuration as of `at`.
 struct FullMessage {
   SenderState sender;
   ConfigPoint at;
@@ -63,12 +65,14 @@
   bool relay = false;
 };
 
+// Tells a peer which version the sender has.
 struct HaveMessage {
   SenderState sender;
-  bool wants_newer = false;  // asks for whatever is newer
-  bool wants_full = false;   // a delta did not fit: asks for the whole state
-  std::vector<SpreadReport> entry_report;   // none or one
-  std::vector<SpreadReport> domain_report;  // none or one
+  bool wants_newer = false;  // requests anything newer than `sender.have`
+  bool wants_full =
+      false;  // a delta could not be applied: requests a full state
+  std::vector<SpreadReport> entry_report;   // at most one
+  std::vector<SpreadReport> domain_report;  // at most one
 };
 
 }  // namespace bilberryspool::spread
--- a/src/libs/spread/spreader.cc
+++ b/src/libs/spread/spreader.cc
@@ -8,7 +8,8 @@
 namespace bilberryspool::spread {
 namespace {
 
-// How much fresher a vouch must be to be told on.
+// A peer is sent this node's confirmation only if it is at least this much more
+// recent than the peer's.
 constexpr Duration kMinAgeImprovement = Seconds(2);
 
 }  // namespace
@@ -138,8 +139,8 @@
     StartFull(message, actions);
     return;
   }
-  // Just started, with nothing in memory: whoever answers first may be a node
-  // that is itself behind, so the newest of several offers is taken.
+  // After a start without state, the first node that responds may itself be
+  // outdated, so the newest of several offers is applied.
   if (!offer_deadline_) {
     offer_deadline_ = now + options_.offer_window;
   }
@@ -194,7 +195,7 @@
   applying_.reset();
   applying_steps_.clear();
   if (!was_delta) {
-    return;  // the next comparison asks somebody else
+    return;  // the next comparison asks another node
   }
   HaveMessage message = MakeHave(now);
   message.wants_full = true;
@@ -242,7 +243,7 @@
                           TimePoint now,
                           Actions* actions) {
   BILBERRYSPOOL_INVARIANT(point.version > have_.version,
-                          "the configuration in force never goes back");
+                          "the configuration version in force never decreases");
   have_ = point;
   newest_known_ = std::max(newest_known_, point.version);
   version_changed_at_ = now;
@@ -270,8 +271,8 @@
   confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, at) : at;
 }
 
-// Several peers tell of a newer state within moments of each other: only one
-// of them is asked at a time.
+// Several peers may announce a newer state at almost the same time; only one of
+// them is asked per retry interval.
 void Spreader::Pull(const NodeId& node, TimePoint now, Actions* actions) {
   if (applying_ || now < next_pull_) {
     return;
--- a/src/libs/spread/spreader.h
+++ b/src/libs/spread/spreader.h
@@ -1,17 +1,21 @@
-// Brings each accepted configuration to every node, and keeps it there.
+// Distributes each accepted configuration to every node and keeps it up to
+// date.
 //
 // The leading control VM sends a change to two entries of each failure domain
-// (relays), a relay to the entries of its domain, an entry to the agents that
-// announce to it. Each hop is acknowledged and retried with backoff; a relay
-// that does not acknowledge is joined by the next one by rendezvous rank.
-// Independently each node compares what it has with another one every second,
-// which fills whatever the tree left out.
+// (relays), a relay sends it to the entries of its domain, and an entry sends
+// it to the agents that announce to it. Each hop is acknowledged and retried
+// with backoff; if no relay of a domain acknowledges, the next entries by
+// rendezvous rank are used as well. Independently, each entry compares its
+// version with that of another node about every second (each agent about every
+// three), which repairs whatever the tree missed.
 //
-// Guards against: lost messages, relays that die, nodes that missed any
-// number of changes (they get steps or one whole state, never a replay from
-// the beginning), an older state over a newer one (late or duplicated
-// messages, stale peers after a restart), and a cut that nobody notices
-// (config_age).
+// Failures that it handles:
+// - lost messages and failed relays;
+// - nodes that missed any number of changes: they receive the missing steps or
+//   one full state, never a replay from the beginning;
+// - an older state that would replace a newer one, from delayed or duplicated
+//   messages or from outdated peers after a restart;
+// - undetected network partitions, see config_age().
 //
 //   Spreader spreader(options, seed);
 //   for (const SpreaderAction& action : spreader.Handle(event, now)) ...
@@ -43,23 +47,29 @@
   SpreaderRole role = SpreaderRole::kEntry;
   std::size_t relays = 2;  // per failure domain
   Duration tick = Milliseconds(100);
-  // Waits between tries grow by `backoff`: eight tries take 4.2 s, so that a
-  // loss of one message in five leaves the goal of 4 s within reach. After
-  // them the comparison takes over.
+  // The delay between attempts starts at `retry` and grows by `backoff`. Eight
+  // attempts take 4.2 s, so that the goal of 4 s can be met when one message in
+  // five is lost. After that, only the periodic comparison repairs the node.
   Duration retry = Milliseconds(300);
   Duration backoff = Milliseconds(100);
   int max_tries = 8;
   Duration compare_interval = Seconds(1);
-  // Agents are many, and their entry retries until they acknowledge.
+  // Longer than for entries: agents are numerous, and their entry retries until
+  // they acknowledge.
   Duration agent_compare_interval = Seconds(3);
-  // The leader vouches this often that nothing newer exists.
+  // Interval at which the leader confirms that no newer version exists.
   Duration confirm_interval = Seconds(4);
-  Duration report_interval = Seconds(5);  // and within `tick` x 2 on a change
-  // After a start without state, how long offers are compared before the
+  // A changed report is sent earlier, within two ticks.
+  Duration report_interval = Seconds(5);
+  // After a start without state, how long full states are collected before the
   // newest of them is applied.
   Duration offer_window = Milliseconds(500);
+  // Maximum config_age() before the configuration counts as stale.
   Duration stale_after = Seconds(20);
+  // Entry reports older than this are dropped; a failure domain whose report is
+  // older counts as silent.
   Duration report_timeout = Seconds(20);
+  // Maximum number of nodes listed in `lacking`.
   std::size_t max_lacking = 8;
   std::size_t history_steps = 64;
   std::size_t history_bytes = 262144;
@@ -72,28 +82,31 @@
   std::vector<SpreaderAction> Handle(const SpreaderEvent& event, TimePoint now);
   std::optional<TimePoint> next_deadline() const { return next_tick_; }
 
-  // An entry takes part as a control VM from when it has the log on: until
-  // then it must get the configuration from others, or it would serve without.
+  // An entry becomes a control VM once its replica of the log runs. Until then
+  // it must receive the configuration from others, or it would serve without
+  // one.
   void SetRole(SpreaderRole role) { options_.role = role; }
 
   const ConfigPoint& have() const { return have_; }
-  // The highest version that any message named.
+  // The highest version that any received message mentioned.
   ConfigVersion newest_known() const { return newest_known_; }
-  // How long ago the leading control VM vouched for what is in force here;
-  // nothing before the first time.
+  // Time since the leading control VM confirmed that the version in force here
+  // is the newest; nullopt before the first confirmation. Operators see it as
+  // "vouched for by the leader".
   std::optional<Duration> config_age(TimePoint now) const;
-  // Whether to mark answers as resting on an old configuration.
+  // Whether answers must be marked as based on a possibly outdated
+  // configuration.
   bool stale(TimePoint now) const;
-  // On a control VM: how far `version` is in force.
+  // On a control VM: on which nodes `version` is in force.
   Coverage coverage(ConfigVersion version, TimePoint now) const;
 
  private:
   using Actions = std::vector<SpreaderAction>;
 
-  // A node that this one brings up to date.
+  // State of a node that this node keeps up to date.
   struct PeerState {
-    std::optional<ConfigPoint> known;  // what it last said it has
-    ConfigVersion sent;                // what it was last sent
+    std::optional<ConfigPoint> known;  // last reported by it
+    ConfigVersion sent;                // last version sent to it
     int tries = 0;
     TimePoint retry_at;
   };
@@ -144,10 +157,11 @@
   ConfigVersion newest_known_;
   std::optional<TimePoint> confirmed_at_;
   bool leading_ = false;
-  ConfigVersion relay_version_;  // passed on to the domain's entries up to here
+  // Up to this version, this node relays to the entries of its domain.
+  ConfigVersion relay_version_;
   std::optional<ConfigPoint> applying_;
   SenderState applying_from_;
-  std::vector<DeltaStep> applying_steps_;  // none where a whole state is
+  std::vector<DeltaStep> applying_steps_;  // empty for a full state
   std::optional<FullMessage> best_offer_;  // the newest, while settling
   std::optional<TimePoint> offer_deadline_;
   TopologyChanged topology_;
--- a/src/libs/spread/spreader_action.h
+++ b/src/libs/spread/spreader_action.h
@@ -14,8 +14,8 @@
   DeltaMessage message;
 };
 
-// The caller fills in `at` and `bytes` with the state in force here: it is
-// encoded only when someone needs it.
+// The caller fills in `at` and `bytes` with the state in force on this node, so
+// that the state is only encoded when it is needed.
 struct SendFull {
   NodeId to;
   FullMessage message;
@@ -26,19 +26,20 @@
   HaveMessage message;
 };
 
-// Apply the steps in order to the state in force, all or none, and answer
-// with Applied or ApplyFailed.
+// Apply the steps atomically and in order to the state in force, then report
+// Applied or ApplyFailed.
 struct ApplySteps {
   std::vector<DeltaStep> steps;
 };
 
+// Replace the state in force, then report Applied or ApplyFailed.
 struct ApplyFull {
   ConfigPoint at;
   std::string bytes;
 };
 
-// Two nodes hold one version with different content: a fault of the program
-// or of memory, for the operator to see. Nothing is applied for it.
+// Two nodes have the same version with different content, because of a software
+// or memory fault. Reported to the operator; nothing is applied.
 struct ReportDivergence {
   NodeId other;
   ConfigPoint here;
--- a/src/libs/spread/spreader_event.h
+++ b/src/libs/spread/spreader_event.h
@@ -11,7 +11,7 @@
 
 struct SpreaderTick {};
 
-// Whether this control VM leads the replicated log.
+// This control VM has become or is no longer the leader of the replicated log.
 struct LeadershipChanged {
   bool leading = false;
 };
@@ -21,19 +21,19 @@
   DeltaStep step;
 };
 
-// This node has a state that it got elsewhere: from its disk at start, or a
-// control VM from a snapshot of the replicated log.
+// This node has loaded a state from another source: from its disk at process
+// start, or on a control VM from a snapshot of the replicated log.
 struct StateAdopted {
   ConfigPoint at;
 };
 
-// Whom this node may speak to, from the membership directory.
+// The peers of this node, from the membership directory.
 struct TopologyChanged {
-  // Entries by failure domain, this one's domain included: all that are live
-  // in the own domain, a few contacts of each other domain.
+  // Entries by failure domain: all live entries of the own domain, and a few
+  // contacts in each other domain.
   std::map<FailureDomain, std::vector<NodeId>> entries;
-  std::vector<NodeId> agents;   // of an entry: those that announce to it
-  std::vector<NodeId> parents;  // of an agent: entries, best first
+  std::vector<NodeId> agents;   // on an entry: those that announce to it
+  std::vector<NodeId> parents;  // on an agent: entries, best first
   std::vector<NodeId> control;  // the control VMs
 };
 
@@ -47,8 +47,8 @@
   HaveMessage message;
 };
 
-// Outcome of ApplySteps or ApplyFull; the configuration's own check is what
-// finds a digest that does not match.
+// Result of ApplySteps or ApplyFull. Mismatching digests are detected by the
+// configuration's own check, which leads to ApplyFailed.
 struct Applied {
   ConfigPoint at;
 };
--- a/src/libs/spread/spreader_rounds.cc
+++ b/src/libs/spread/spreader_rounds.cc
@@ -1,4 +1,4 @@
-// The pushing, comparing and reporting of the spreader.
+// Spreader: pushing to peers, periodic comparison and reports.
 
 #include <algorithm>
 #include <string>
@@ -10,7 +10,7 @@
 namespace bilberryspool::spread {
 namespace {
 
-// Share of comparisons that go to another failure domain.
+// Probability that a comparison also includes a node of another failure domain.
 constexpr double kOtherDomainProbability = 0.25;
 
 }  // namespace
@@ -48,8 +48,8 @@
   }
 }
 
-// Where no relay of a domain has acknowledged, one more is tried with each
-// retry interval, so that dead relays delay their domain by less than a
+// While no relay of a domain has acknowledged, another one is added in each
+// retry interval, so that failed relays delay their domain by less than a
 // second.
 void Spreader::PushRelays(TimePoint now, Actions* actions) {
   const auto waited =
@@ -100,9 +100,9 @@
   SendNewer(node, peer.known, relay, now, actions);
 }
 
-// A node never heard from most likely lacks only the last step; the whole
-// state is sent to those alone that are known to need it. A node that has
-// nothing takes no steps: it compares whole states first.
+// A node that has sent no message yet most likely lacks only the last step; the
+// full state is sent only to nodes that are known to need it. A node without
+// any state is not sent steps, because it first compares several full states.
 void Spreader::SendNewer(const NodeId& node,
                          const std::optional<ConfigPoint>& known,
                          bool relay,
--- a/tests/auto/spread/fake_nodes.cc
+++ b/tests/auto/spread/fake_nodes.cc
@@ -92,7 +92,7 @@
   for (int d = 0; d < domains_; ++d) {
     const std::string name = Name(d, "e", 0);
     if (!IsReachedByLeader(name)) {
-      continue;  // catches up at its next tick that can
+      continue;  // catches up at a later tick, see CatchUp()
     }
     in_force_[name] = next;
     Handle(name, StepAccepted{step});
--- a/tests/auto/spread/fake_nodes.h
+++ b/tests/auto/spread/fake_nodes.h
@@ -1,5 +1,6 @@
-// Control VMs, entries and agents that spread a configuration over a faulty
-// network. The configuration is a number; its "bytes" are that number.
+// Control VMs, entries and agents that distribute a configuration over a
+// simulated network with faults. The configuration is represented by its
+// version; the delta bytes are a placeholder.
 
 #ifndef AUTO_SPREAD_FAKE_NODES_H_
 #define AUTO_SPREAD_FAKE_NODES_H_
@@ -24,7 +25,8 @@
 
 class FakeNodes {
  public:
-  // The first entry of each domain is a control VM; the first of all leads.
+  // The first entry of each domain is a control VM, that of the first domain
+  // the leader.
   FakeNodes(int domains, int entries, int agents, std::uint64_t seed);
 
   void Run(Duration duration);
@@ -49,7 +51,7 @@
 
   Spreader& node(const std::string& name) { return *nodes_.at(name); }
   const std::vector<std::string>& names() const { return names_; }
-  // Nodes that run and have another version than the accepted one.
+  // Running nodes whose version differs from the accepted one.
   std::vector<std::string> Lagging() const;
   const std::string& leader() const { return names_.front(); }
 
@@ -67,7 +69,7 @@
   static std::string DomainOf(const std::string& name);
   SpreaderRole RoleOf(const std::string& name) const;
   TopologyChanged TopologyOf(const std::string& name) const;
-  // Whether the replicated log reaches a control VM.
+  // Whether the leader can replicate the log to this control VM.
   bool IsReachedByLeader(const std::string& name) const;
   void CatchUp(const std::string& name);
   void Tick(const std::string& name, std::uint64_t generation);
--- a/tests/auto/spread/spread_codec_test.cc
+++ b/tests/auto/spread/spread_codec_test.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::spread {
 namespace {
 
-TEST_CASE("messages survive the way there and back") {
+TEST_CASE("messages are decoded as they were encoded") {
   const SenderState sender{NodeId("n"),
                            FailureDomain("d"),
                            {ConfigVersion(3), ~0ULL},
@@ -34,7 +34,7 @@
   CHECK(full_back->at == sender.have);
 }
 
-TEST_CASE("broken messages are refused, not fatal") {
+TEST_CASE("malformed messages are rejected without an exception") {
   for (const char* row : {"null", "[]", "[[],[],1]", "{\"a\":1}"}) {
     const boost::json::value value = boost::json::parse(row);
     CHECK_FALSE(DeltaMessageFromJson(value));
--- a/tests/auto/spread/spreader_test.cc
+++ b/tests/auto/spread/spreader_test.cc
@@ -14,7 +14,7 @@
   return {domain + "/e0", domain + "/e1", domain + "/e2", domain + "/e3"};
 }
 
-TEST_CASE("a change reaches every node in one pass, and the leader knows") {
+TEST_CASE("a change reaches every node by the tree, and the leader knows") {
   FakeNodes nodes(3, 4, 12, 1);
   nodes.Accept();
   nodes.Run(Seconds(5));
@@ -30,10 +30,10 @@
   CHECK(coverage.nodes == nodes.names().size());
 }
 
-// Symptom: a whole domain keeps the old configuration. Sequence: the entries
-// that pass changes on in that domain die or freeze as a change is accepted.
-// Cause: nobody else is asked to pass it on.
-TEST_CASE("dead relays are bypassed within a second") {
+// Guards against a domain that keeps the old configuration. The relays of the
+// domain fail or freeze when a change is accepted, and no other entry is asked
+// to relay it.
+TEST_CASE("failed relays are bypassed within a second") {
   FakeNodes nodes(3, 4, 12, 2);
   nodes.Accept();
   nodes.Run(Seconds(5));
@@ -94,10 +94,11 @@
   CHECK(nodes.Lagging() == Names());
 }
 
-// Symptom: a domain that is cut off answers as if its configuration were the
-// newest. Sequence: a partition; changes are accepted elsewhere. Cause: a node
-// can't tell "no change" from "no news" unless somebody vouches for the former.
-TEST_CASE("a cut-off domain goes on with what it has and knows how old it is") {
+// Guards against a partitioned domain that answers as if its configuration were
+// the newest while changes are accepted elsewhere. Without confirmations by the
+// leader, a node can't distinguish the absence of changes from the absence of
+// messages.
+TEST_CASE("a partitioned domain keeps its configuration and knows its age") {
   FakeNodes nodes(3, 4, 12, 6);
   nodes.Accept();
   nodes.Run(Seconds(20));
@@ -127,9 +128,9 @@
   CHECK(nodes.Lagging() == Names());
 }
 
-// Symptom: a node returns to a configuration that was replaced. Sequence: a
-// whole state sent long ago arrives after newer changes were applied.
-TEST_CASE("an older state that arrives late is not applied") {
+// Guards against a node that returns to a replaced configuration when a delayed
+// full state arrives after newer changes were applied.
+TEST_CASE("an older full state that arrives late is not applied") {
   SpreaderOptions options;
   options.self = NodeId("n");
   Spreader spreader(options, 1);
@@ -151,10 +152,10 @@
   }
 }
 
-// Symptom: a node that restarts comes up with an old configuration, applies
-// it, and serves with it. Sequence: it restarts with empty memory; the first
-// peer to answer is one that has itself been cut off.
-TEST_CASE("after a start the newest of the first offers is taken") {
+// Guards against a restarted node that applies an old configuration and serves
+// with it. The node starts without state, and the first peer that responds has
+// itself been partitioned.
+TEST_CASE("after a start the newest of the first full states is applied") {
   SpreaderOptions options;
   options.self = NodeId("n");
   Spreader spreader(options, 1);
@@ -173,7 +174,7 @@
   CHECK(applied == std::vector<std::uint64_t>{8});
 }
 
-TEST_CASE("one version with two contents is reported and not applied") {
+TEST_CASE("different content for one version is reported and not applied") {
   SpreaderOptions options;
   Spreader spreader(options, 1);
   const TimePoint now = TimeAt(Seconds(1));
