--- a/src/libs/spread/spreader.h
+++ b/src/libs/spread/spreader.h
@@ -162,7 +162,7 @@
   std::optional<ConfigPoint> applying_;
   SenderState applying_from_;
   std::vector<DeltaStep> applying_steps_;  // empty for a full state
-  std::optional<FullMessage> best_offer_;  // the newest, while settling
+  std::optional<FullMessage> best_offer_;  // newest one received so far
   std::optional<TimePoint> offer_deadline_;
   TopologyChanged topology_;
   DeltaHistory history_;
