--- a/src/libs/consensus/bootstrap.cc
+++ b/src/libs/consensus/bootstrap.cc
@@ -24,7 +24,7 @@
   peers_.assign(all.begin(), all.end());
 }
 
-std::vector<NodeId> Bootstrap::NodesToGreet(TimePoint now) {
+std::vector<NodeId> Bootstrap::NextHelloRecipients(TimePoint now) {
   if (now < next_hello_at_) {
     return {};
   }
--- a/src/libs/consensus/bootstrap.h
+++ b/src/libs/consensus/bootstrap.h
@@ -26,7 +26,7 @@
   void AddPeers(const std::vector<NodeId>& peers);
   // Starts a new round of Hello messages if one is due and returns their
   // recipients; empty before the interval has elapsed.
-  std::vector<NodeId> NodesToGreet(TimePoint now);
+  std::vector<NodeId> NextHelloRecipients(TimePoint now);
   Hello MakeHello() const;
   void NoteReply(const MemberId& from, const HelloReply& reply);
   // The first membership of the new log, or nullopt while this replica may not
--- a/src/libs/consensus/member_manager.cc
+++ b/src/libs/consensus/member_manager.cc
@@ -56,9 +56,9 @@
   if (const auto seen = first_seen_.find(id); seen != first_seen_.end()) {
     last_response = seen->second;
   }
-  if (const auto last_responses = status.last_responses.find(id);
-      last_responses != status.last_responses.end()) {
-    last_response = std::max(last_response, last_responses->second);
+  if (const auto response = status.last_responses.find(id);
+      response != status.last_responses.end()) {
+    last_response = std::max(last_response, response->second);
   }
   return now - last_response;
 }
--- a/src/libs/consensus/recovery.cc
+++ b/src/libs/consensus/recovery.cc
@@ -6,7 +6,7 @@
 
 namespace bilberryspool::consensus {
 
-std::string ForceConfirmation(const RecoveredState& state) {
+std::string RequiredConfirmation(const RecoveredState& state) {
   return state.self.node.value() + " recovery epoch " +
          std::to_string(state.hard_state.epoch.Next().value());
 }
@@ -17,7 +17,7 @@
   if (state.hard_state.cluster == ClusterId(0)) {
     return ForceRefusal::kBlankFolder;
   }
-  if (confirmation != ForceConfirmation(state)) {
+  if (confirmation != RequiredConfirmation(state)) {
     return ForceRefusal::kNotConfirmed;
   }
   const LogView log(state.snapshot, state.entries);
--- a/src/libs/consensus/recovery.h
+++ b/src/libs/consensus/recovery.h
@@ -23,7 +23,7 @@
 };
 
 // The text that the operator must enter: "NODE recovery epoch N".
-std::string ForceConfirmation(const RecoveredState& state);
+std::string RequiredConfirmation(const RecoveredState& state);
 
 // Recovers from the loss of a majority of the folders: makes the replica on
 // this folder the only voter, in the next recovery epoch.
--- a/src/libs/consensus/replica.cc
+++ b/src/libs/consensus/replica.cc
@@ -53,7 +53,7 @@
 }
 
 bool Replica::is_leader_with_lease(TimePoint now) const {
-  return leader_state_ && commit_ >= term_start_ &&
+  return leader_state_ && commit_ >= term_start_index_ &&
          leader_state_->HasLease(log_.membership(), now);
 }
 
--- a/src/libs/consensus/replica.h
+++ b/src/libs/consensus/replica.h
@@ -175,7 +175,7 @@
   LogIndex commit_;
   LogIndex applied_;
   // Index of the first entry of this replica's own term as leader.
-  LogIndex term_start_;
+  LogIndex term_start_index_;
   std::optional<LeaderState> leader_state_;
   std::map<NodeId, MemberId> hello_senders_;
 
--- a/src/libs/consensus/replica_election.cc
+++ b/src/libs/consensus/replica_election.cc
@@ -56,7 +56,7 @@
   role_ = Role::kLeader;
   leader_ = self_;
   leader_state_.emplace(self_, options_, log_, now);
-  term_start_ = AppendAsLeader(NoOp{});
+  term_start_index_ = AppendAsLeader(NoOp{});
 }
 
 void Replica::BecomeFollower(Term term, TimePoint now) {
--- a/src/libs/consensus/replica_header.cc
+++ b/src/libs/consensus/replica_header.cc
@@ -115,7 +115,7 @@
 }
 
 void Replica::TickBlank(TimePoint now) {
-  for (const NodeId& node : bootstrap_.NodesToGreet(now)) {
+  for (const NodeId& node : bootstrap_.NextHelloRecipients(now)) {
     Queue({node, ReplicaIdentity(0)}, bootstrap_.MakeHello(),
           SendAfter::kHardState);
   }
--- a/src/libs/consensus/replica_leader.cc
+++ b/src/libs/consensus/replica_leader.cc
@@ -65,7 +65,7 @@
 }
 
 bool Replica::CanChangeMembership() const {
-  return commit_ >= term_start_ && log_.membership_index() <= commit_;
+  return commit_ >= term_start_index_ && log_.membership_index() <= commit_;
 }
 
 void Replica::AdvanceMembership(TimePoint now) {
@@ -99,7 +99,7 @@
     const MembershipChange& change,
     const Membership& next,
     TimePoint now) const {
-  if (commit_ < term_start_) {
+  if (commit_ < term_start_index_) {
     return RefusalReason::kLeaderNotReady;
   }
   if (!CanChangeMembership()) {
--- a/tests/auto/consensus/membership_test.cc
+++ b/tests/auto/consensus/membership_test.cc
@@ -60,7 +60,7 @@
   ReplicaOptions options;
   options.initial_voters = {NodeId("a"), NodeId("b")};
   Bootstrap bootstrap(options, Member("a", 1));
-  CHECK(bootstrap.NodesToGreet(TimePoint{}).size() == 1);
+  CHECK(bootstrap.NextHelloRecipients(TimePoint{}).size() == 1);
   bootstrap.NoteReply(Member("b", 2), {1, true, {NodeId("b"), NodeId("c")}});
   CHECK_FALSE(bootstrap.InitialMembership());
   bootstrap.NoteReply(Member("b", 2), {1, true, options.initial_voters});
--- a/tests/auto/consensus/safety_test.cc
+++ b/tests/auto/consensus/safety_test.cc
@@ -7,8 +7,8 @@
 namespace bilberryspool::consensus {
 namespace {
 
-struct Elected {
-  explicit Elected(int size, ReplicaOptions options = {})
+struct ElectedCluster {
+  explicit ElectedCluster(int size, ReplicaOptions options = {})
       : cluster(size, std::move(options), 1) {
     cluster.Run(Seconds(3));
     leader = cluster.leader()->disk.self.node;
@@ -78,7 +78,7 @@
     ReplicaOptions options;
     options.election_timeout_max =
         options.election_timeout_min + Milliseconds(1);
-    Elected run(size, options);
+    ElectedCluster run(size, options);
     run.cluster.faults().delay_max = Microseconds(200);
     run.cluster.faults().sync_max = Microseconds(200);
     for (const NodeId& id : run.others) {
@@ -111,7 +111,7 @@
   // lease. The link from the leader to one follower fails in one direction;
   // that follower starts an election. It fails if the other follower grants a
   // vote while a lease depends on it.
-  Elected run(3);
+  ElectedCluster run(3);
   run.cluster.Cut(run.leader, run.others[0]);
   const Term term = run.replica(run.leader).term();
   for (int i = 0; i < 20; ++i) {
@@ -128,7 +128,7 @@
   // receives nothing from the leader, and the follower that still does restarts
   // repeatedly. It fails if a restart loses the time of the last leader
   // contact.
-  Elected run(3);
+  ElectedCluster run(3);
   run.cluster.Cut(run.leader, run.others[0]);
   for (int i = 0; i < 100; ++i) {
     run.cluster.Run(Milliseconds(60L * (i % 5)));
@@ -144,7 +144,7 @@
   // Guards against an election at each return of a VM. A follower is
   // partitioned for a long time and returns. Without the pre-vote, its term
   // would increase with each of its election attempts.
-  Elected run(3);
+  ElectedCluster run(3);
   const Term term = run.replica(run.leader).term();
   run.cluster.Isolate(run.others[0]);
   run.cluster.Run(Seconds(60));
@@ -251,7 +251,7 @@
   // Guards against an accepted change that is lost in a power loss. All
   // replicas crash at once, repeatedly, with writes that are not synced. It
   // fails if an acknowledgement is sent before its write is synced.
-  Elected run(3);
+  ElectedCluster run(3);
   for (int round = 0; round < 20; ++round) {
     FakeNode* leader = run.cluster.leader();
     REQUIRE(leader != nullptr);
@@ -291,7 +291,7 @@
 }
 
 TEST_CASE("a planned stop hands over without an election timeout") {
-  Elected run(3);
+  ElectedCluster run(3);
   run.cluster.Deliver(run.leader, TransferLeadership{});
   const bool moved = run.cluster.RunUntil(
       [&] {
@@ -308,7 +308,7 @@
   // old image. A follower acknowledges entries and returns without them while
   // the leader that counted the acknowledgements still leads. The folder keeps
   // its identity, so its votes would still count.
-  Elected run(3);
+  ElectedCluster run(3);
   FakeNode& follower = run.cluster.node(run.others[0].value());
   const FakeDisk old_image = follower.disk;
   for (int i = 0; i < 5; ++i) {
@@ -326,7 +326,7 @@
 TEST_CASE("proposals beyond the limit of pending ones are refused") {
   ReplicaOptions options;
   options.max_pending_proposals = 4;
-  Elected run(3, options);
+  ElectedCluster run(3, options);
   std::vector<RequestTicket> tickets;
   tickets.reserve(6);
   for (int i = 0; i < 6; ++i) {
