--- a/src/libs/consensus/replica.cc
+++ b/src/libs/consensus/replica.cc
@@ -53,7 +53,7 @@
 }
 
 bool Replica::is_leader_with_lease(TimePoint now) const {
-  return leader_state_ && commit_ >= term_start_ &&
+  return leader_state_ && commit_ >= term_start_index_ &&
          leader_state_->HasLease(log_.membership(), now);
 }
 
@@ -126,7 +126,7 @@
     actions_.push_back(ProposalOutcome{propose.ticket, Busy{}});
     return;
   }
-  const LogIndex index = AppendOwn(Command{propose.bytes});
+  const LogIndex index = AppendAsLeader(Command{propose.bytes});
   leader_state_->AddPending(index, propose.ticket);
 }
 
@@ -149,7 +149,7 @@
     refuse(*reason);
     return;
   }
-  const LogIndex index = AppendOwn(next);
+  const LogIndex index = AppendAsLeader(next);
   leader_state_->AddPending(index, change.ticket);
 }
 
@@ -201,11 +201,11 @@
     AdvanceTransfer(now);
   }
   FlushPersist();
-  outbox_.Seal();
-  for (Message& message : outbox_.Release()) {
+  outbox_.AssignTickets();
+  for (Message& message : outbox_.TakeSendable()) {
     actions_.push_back(Send{std::move(message)});
   }
-  AnnounceRole();
+  ReportRoleChange();
 }
 
 void Replica::FlushPersist() {
@@ -227,7 +227,7 @@
 
 void Replica::ApplyCommitted() {
   BILBERRYSPOOL_INVARIANT(commit_ <= log_.last_index(),
-                          "what is committed is in the log");
+                          "the commit index is within the log");
   BILBERRYSPOOL_INVARIANT(applied_ <= commit_,
                           "only committed entries are applied");
   if (applied_ == commit_) {
@@ -243,12 +243,12 @@
   }
 }
 
-void Replica::AnnounceRole() {
-  const Announced current{role_, hard_state_.term, leader_};
-  if (current == announced_) {
+void Replica::ReportRoleChange() {
+  const ReportedRole current{role_, hard_state_.term, leader_};
+  if (current == reported_role_) {
     return;
   }
-  announced_ = current;
+  reported_role_ = current;
   actions_.push_back(RoleChanged{role_, hard_state_.term, LeaderHint()});
 }
 
--- a/src/libs/consensus/replica_follower.cc
+++ b/src/libs/consensus/replica_follower.cc
@@ -1,4 +1,4 @@
-// Replica: what a follower does with its leader's messages.
+// Replica: handling of the leader's messages by a follower.
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +9,7 @@
 namespace bilberryspool::consensus {
 namespace {
 
-// Entries that do not follow each other can't come from a leader.
+// A leader only sends consecutive entries with terms that do not decrease.
 bool AreWellFormed(const Append& body, Term term) {
   LogIndex expected = body.prev_index;
   Term previous = body.prev_term;
@@ -44,19 +44,20 @@
   FollowLeader(message, now);
   AppendReply reply;
   reply.sent_at = body.sent_at;
-  if (!HasMatch(body)) {
+  if (!MatchesLog(body)) {
     reply.rejected_prev = body.prev_index;
     reply.hint = ConflictHint(body.prev_index);
     reply.last_index = log_.last_index();
     Queue(message.from, reply, SendAfter::kHardState);
     return;
   }
-  TakeEntries(body.entries);
+  AppendReceivedEntries(body.entries);
   const LogIndex verified(body.prev_index.value() + body.entries.size());
   commit_ = std::max(commit_, std::min(body.commit, verified));
   reply.accepted = true;
   reply.last_index = log_.last_index();
-  // A heartbeat's answer does not wait for the disk: it renews the lease.
+  // The reply to a heartbeat does not wait for the disk, because it renews the
+  // leader's lease.
   const bool is_heartbeat = body.entries.empty();
   reply.match =
       is_heartbeat ? std::min(verified, log_.durable_index()) : verified;
@@ -64,8 +65,8 @@
         is_heartbeat ? SendAfter::kHardState : SendAfter::kEverything);
 }
 
-bool Replica::HasMatch(const Append& body) const {
-  // Everything up to the commit index is the same on each replica.
+bool Replica::MatchesLog(const Append& body) const {
+  // Entries up to the commit index are the same on every replica.
   if (body.prev_index <= commit_) {
     return true;
   }
@@ -85,7 +86,7 @@
   return hint;
 }
 
-void Replica::TakeEntries(const std::vector<LogEntry>& entries) {
+void Replica::AppendReceivedEntries(const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     if (entry.index < log_.first_index() ||
         log_.TermAt(entry.index) == entry.term) {
@@ -93,7 +94,7 @@
     }
     if (entry.index <= log_.last_index()) {
       BILBERRYSPOOL_INVARIANT(entry.index > commit_,
-                              "committed entries are never cut");
+                              "committed entries are never truncated");
       log_.TruncateFrom(entry.index);
       truncate_from_ = entry.index;
     }
@@ -108,7 +109,8 @@
   FollowLeader(message, now);
   InstallSnapshotReply reply{body.index, 0, false, body.sent_at};
   if (body.index > commit_) {
-    // Each term's leader sends a snapshot of its own: parts never mix.
+    // Each leader sends a snapshot of its own, so parts of snapshots of
+    // different terms must not be combined.
     if (incoming_.index != body.index || incoming_term_ != message.term) {
       incoming_term_ = message.term;
       incoming_ = {body.index, body.snapshot_term, body.membership, ""};
--- a/src/libs/consensus/replica_header.cc
+++ b/src/libs/consensus/replica_header.cc
@@ -1,4 +1,5 @@
-// Replica: from whom a message is taken, terms and epochs, and new folders.
+// Replica: checks of message headers, terms and epochs, and bootstrap of new
+// folders.
 
 #include <algorithm>
 #include <utility>
@@ -17,20 +18,21 @@
 }  // namespace
 
 bool Replica::AcceptHeader(const Message& message) {
-  const bool is_greeting = IsOneOf<Hello, HelloReply>(message.body);
-  const bool is_any = is_greeting && message.to.identity == ReplicaIdentity(0);
+  const bool is_hello = IsOneOf<Hello, HelloReply>(message.body);
+  const bool accepts_any_identity =
+      is_hello && message.to.identity == ReplicaIdentity(0);
   if (message.to.node != self_.node ||
-      (message.to.identity != self_.identity && !is_any)) {
+      (message.to.identity != self_.identity && !accepts_any_identity)) {
     return false;
   }
-  if (is_greeting) {
+  if (is_hello) {
     return true;
   }
   if (is_blank()) {
     return AcceptBlank(message);
   }
   if (IsOneOf<PreVoteReply>(message.body) && message.cluster == ClusterId(0)) {
-    // A founding voter that is still blank.
+    // An initial voter that has not received the new log yet.
     return true;
   }
   if (message.cluster != hard_state_.cluster) {
@@ -68,8 +70,8 @@
     return true;
   }
   if (const auto* vote = std::get_if<Vote>(&message.body)) {
-    // Not even the term is taken over: that alone would end a live lease.
-    if (!vote->forced && MayFollowLeader(now)) {
+    // The higher term is ignored as well: adopting it would end a valid lease.
+    if (!vote->forced && MustHonorLease(now)) {
       return false;
     }
   }
@@ -91,7 +93,7 @@
   if (IsOneOf<Vote>(message.body)) {
     Queue(message.from, VoteReply{false}, SendAfter::kHardState);
   }
-  // Tells an earlier leader that its term is over.
+  // The reply's term tells the earlier leader that its term has ended.
   if (IsOneOf<Append, InstallSnapshot>(message.body)) {
     Queue(message.from, AppendReply{}, SendAfter::kHardState);
   }
@@ -105,7 +107,7 @@
 }
 
 std::map<NodeId, MemberId> Replica::awaiting_admission() const {
-  std::map<NodeId, MemberId> awaiting = greeted_;
+  std::map<NodeId, MemberId> awaiting = hello_senders_;
   std::erase_if(awaiting, [&](const auto& item) {
     return log_.membership().Contains(item.second);
   });
@@ -113,16 +115,16 @@
 }
 
 void Replica::TickBlank(TimePoint now) {
-  for (const NodeId& node : bootstrap_.NodesToAsk(now)) {
+  for (const NodeId& node : bootstrap_.NextHelloRecipients(now)) {
     Queue({node, ReplicaIdentity(0)}, bootstrap_.MakeHello(),
           SendAfter::kHardState);
   }
-  if (auto membership = bootstrap_.FoundingMembership()) {
-    Found(std::move(*membership), now);
+  if (auto membership = bootstrap_.InitialMembership()) {
+    BootstrapLog(std::move(*membership), now);
   }
 }
 
-void Replica::Found(Membership membership, TimePoint now) {
+void Replica::BootstrapLog(Membership membership, TimePoint now) {
   hard_state_.cluster = ClusterId(1 + random_.Below(UINT64_MAX - 1));
   hard_state_.term = Term(1);
   hard_state_changed_ = true;
@@ -139,7 +141,7 @@
         HelloReply{body.round, is_blank(), options_.initial_voters},
         SendAfter::kHardState);
   if (!is_blank()) {
-    greeted_[message.from.node] = message.from;
+    hello_senders_[message.from.node] = message.from;
   }
 }
 
@@ -152,15 +154,15 @@
   HelloReply reply = body;
   std::sort(reply.initial_voters.begin(), reply.initial_voters.end());
   bootstrap_.NoteReply(message.from, reply);
-  if (auto membership = bootstrap_.FoundingMembership()) {
-    Found(std::move(*membership), now);
+  if (auto membership = bootstrap_.InitialMembership()) {
+    BootstrapLog(std::move(*membership), now);
   }
 }
 
 void Replica::OnBody(const Message& /*message*/,
                      const Superseded& /*body*/,
                      TimePoint /*now*/) {
-  // The header's epoch has halted a replica of an earlier epoch already.
+  // AcceptHeader() has already halted a replica of an earlier epoch.
 }
 
 void Replica::OnBody(const Message& /*message*/,
--- a/src/libs/consensus/replica_leader.cc
+++ b/src/libs/consensus/replica_leader.cc
@@ -1,4 +1,4 @@
-// Replica: what a leader does.
+// Replica: leader.
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,8 @@
   return now.time_since_epoch().count();
 }
 
-// A follower's echo; one from the future would lengthen the lease.
+// Converts a time echoed by a follower. LimitedTargetsOf to `now`, because a
+// time in the future would extend the lease.
 TimePoint FromSentAt(SentAt sent_at, TimePoint now) {
   return std::min(TimePoint(Duration(sent_at)), now);
 }
@@ -35,7 +36,7 @@
   }
 }
 
-LogIndex Replica::AppendOwn(EntryPayload payload) {
+LogIndex Replica::AppendAsLeader(EntryPayload payload) {
   const bool is_membership = std::holds_alternative<Membership>(payload);
   LogEntry entry{log_.last_index().Next(), hard_state_.term,
                  std::move(payload)};
@@ -54,8 +55,8 @@
     return;
   }
 #if !defined(BILBERRYSPOOL_MUTATION_COMMIT_OLD_TERM)
-  // An entry of an earlier term that a quorum holds may still be replaced; it
-  // is committed only together with an entry of this term.
+  // An entry of an earlier term may still be replaced even if a quorum has it;
+  // it is only committed together with an entry of this term.
   if (log_.TermAt(reached) != hard_state_.term) {
     return;
   }
@@ -63,21 +64,21 @@
   commit_ = reached;
 }
 
-bool Replica::IsSettled() const {
-  return commit_ >= term_start_ && log_.membership_index() <= commit_;
+bool Replica::CanChangeMembership() const {
+  return commit_ >= term_start_index_ && log_.membership_index() <= commit_;
 }
 
 void Replica::AdvanceMembership(TimePoint now) {
-  if (!IsSettled()) {
+  if (!CanChangeMembership()) {
     return;
   }
   const Membership& current = log_.membership();
   if (current.is_joint()) {
-    AppendOwn(LeaveJoint(current));
+    AppendAsLeader(LeaveJoint(current));
     return;
   }
   if (!current.IsVoter(self_) && !leader_state_->transfer_deadline()) {
-    // Removed: the remaining voters choose among themselves.
+    // This leader was removed: hand leadership to one of the remaining voters.
     leader_state_->BeginTransfer(now);
     return;
   }
@@ -88,7 +89,7 @@
     }
     const Membership joint = JointForReplacement(current, learner);
     if (leader_state_->HasHealthyQuorum(joint, now)) {
-      AppendOwn(joint);
+      AppendAsLeader(joint);
     }
     return;
   }
@@ -98,10 +99,10 @@
     const MembershipChange& change,
     const Membership& next,
     TimePoint now) const {
-  if (commit_ < term_start_) {
+  if (commit_ < term_start_index_) {
     return RefusalReason::kLeaderNotReady;
   }
-  if (!IsSettled()) {
+  if (!CanChangeMembership()) {
     return RefusalReason::kChangeInProgress;
   }
   if (const auto* promote = std::get_if<PromoteLearner>(&change)) {
@@ -125,14 +126,14 @@
         now >= progress.acked_sent_at() + options_.election_timeout_min) {
       continue;
     }
-    HandOver(MemberId(id), now);
+    TransferLeadershipTo(MemberId(id), now);
     return;
   }
 }
 
-void Replica::HandOver(const MemberId& successor, TimePoint now) {
+void Replica::TransferLeadershipTo(const MemberId& successor, TimePoint now) {
   Queue(successor, TimeoutNow{}, SendAfter::kHardState);
-  // The lease ends here for good: the successor's election does not wait for
+  // Gives up the lease permanently: the successor's election does not wait for
   // it, however late the message arrives.
   BecomeFollower(hard_state_.term, now);
 }
--- a/src/plugins/control_node/replica_host.h
+++ b/src/plugins/control_node/replica_host.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "libs/consensus/member_keeper.h"
+#include "libs/consensus/member_manager.h"
 #include "libs/links/link_client.h"
 #include "libs/links/link_server.h"
 #include "libs/settings/settings.h"
@@ -78,7 +78,7 @@
   bool is_stopping_ = false;
   bool is_changing_ = false;
   // Of the present leadership.
-  std::optional<consensus::MemberKeeper> keeper_;
+  std::optional<consensus::MemberManager> keeper_;
 };
 
 }  // namespace bilberryspool::control_node
