--- a/src/libs/groups/rollout.cc
+++ b/src/libs/groups/rollout.cc
@@ -19,9 +19,9 @@
   if (!running_) {
     return out;
   }
-  Take(event, now);
-  PassDeadlines(now);
-  if (failures_ >= options_.failures) {
+  ApplyEvent(event, now);
+  CheckDeadlines(now);
+  if (failures_ >= options_.max_failures) {
     running_ = false;
     out.emplace_back(RolloutStopped{why_});
     return out;
@@ -43,7 +43,7 @@
       continue;
     }
     const TimePoint due =
-        target.since + (settling ? options_.settle : options_.timeout);
+        target.since + (settling ? options_.settle_time : options_.timeout);
     deadline = deadline ? std::min(*deadline, due) : due;
   }
   return deadline;
@@ -55,9 +55,9 @@
 }
 
 // Reports that don't fit the stage are late or doubled and change nothing.
-void Rollout::Take(const RolloutEvent& event, TimePoint now) {
-  const auto move = [&](const TargetId& id, RolloutStage from,
-                        RolloutStage to) {
+void Rollout::ApplyEvent(const RolloutEvent& event, TimePoint now) {
+  const auto change_stage = [&](const TargetId& id, RolloutStage from,
+                                RolloutStage to) {
     Target* target = Find(id);
     if (target != nullptr && target->stage == from) {
       Enter(*target, to, now);
@@ -66,12 +66,12 @@
   std::visit(
       Overloaded{
           [&](const TargetPrepared& prepared) {
-            move(prepared.target, RolloutStage::kPreparing,
-                 RolloutStage::kPrepared);
+            change_stage(prepared.target, RolloutStage::kPreparing,
+                         RolloutStage::kPrepared);
           },
           [&](const TargetSwitched& switched) {
-            move(switched.target, RolloutStage::kSwitching,
-                 RolloutStage::kSettling);
+            change_stage(switched.target, RolloutStage::kSwitching,
+                         RolloutStage::kSettling);
           },
           [&](const TargetFailed& failed) {
             Target* target = Find(failed.target);
@@ -84,7 +84,7 @@
             const bool watched = target != nullptr &&
                                  (target->stage == RolloutStage::kSettling ||
                                   target->stage == RolloutStage::kDone);
-            if (watched && errors.share > options_.error_share) {
+            if (watched && errors.share > options_.max_error_share) {
               Fail(*target, errors.target.value() + ": too many errors");
             }
           },
@@ -113,17 +113,17 @@
   why_ = why;
 }
 
-void Rollout::PassDeadlines(TimePoint now) {
+void Rollout::CheckDeadlines(TimePoint now) {
   for (auto& [id, target] : targets_) {
     const Duration age = now - target.since;
-    const bool at_work = target.stage == RolloutStage::kPreparing ||
-                         target.stage == RolloutStage::kSwitching;
-    if (at_work && age >= options_.timeout) {
+    const bool is_timed = target.stage == RolloutStage::kPreparing ||
+                          target.stage == RolloutStage::kSwitching;
+    if (is_timed && age >= options_.timeout) {
       Fail(target, id.value() + ": no answer in time");
     }
     // A target that does not serve has not settled, whatever the time.
     if (target.stage == RolloutStage::kSettling && target.serving &&
-        age >= options_.settle) {
+        age >= options_.settle_time) {
       target.stage = RolloutStage::kDone;
     }
   }
@@ -133,7 +133,7 @@
   for (auto& [id, target] : targets_) {
     const bool may_prepare =
         target.stage == RolloutStage::kWaiting &&
-        Count(RolloutStage::kPreparing) < options_.preparing;
+        Count(RolloutStage::kPreparing) < options_.max_preparing;
     if (may_prepare) {
       Enter(target, RolloutStage::kPreparing, now);
       out.emplace_back(PrepareTarget{id});
@@ -167,7 +167,7 @@
                         other.stage != RolloutStage::kFailed;
     others += serves && &other != &target ? 1 : 0;
   }
-  return busy < options_.switching && others >= options_.least_serving;
+  return busy < options_.max_switching && others >= options_.min_serving;
 }
 
 }  // namespace bilberryspool::groups
--- a/src/libs/groups/rollout.h
+++ b/src/libs/groups/rollout.h
@@ -21,12 +21,13 @@
 namespace bilberryspool::groups {
 
 struct RolloutOptions {
-  std::uint32_t preparing = 2;      // at most, at a time
-  std::uint32_t switching = 1;      // at most, at a time, settling included
-  std::uint32_t least_serving = 1;  // besides the target to be switched
-  std::uint32_t failures = 1;       // so many stop the rollout
-  double error_share = 0.05;        // of a switched target's requests
-  Duration settle = Seconds(30);  // a switched target is watched for this long
+  std::uint32_t max_preparing = 2;  // at most, at a time
+  std::uint32_t max_switching = 1;  // at most, at a time, settling included
+  std::uint32_t min_serving = 1;    // besides the target to be switched
+  std::uint32_t max_failures = 1;   // so many stop the rollout
+  double max_error_share = 0.05;    // of a switched target's requests
+  Duration settle_time =
+      Seconds(30);  // a switched target is watched for this long
   Duration timeout = Seconds(600);  // of one preparation or switch
 };
 
@@ -108,10 +109,10 @@
   using Actions = std::vector<RolloutAction>;
 
   Target* Find(const TargetId& target);
-  void Take(const RolloutEvent& event, TimePoint now);
+  void ApplyEvent(const RolloutEvent& event, TimePoint now);
   void Enter(Target& target, RolloutStage stage, TimePoint now);
   void Fail(Target& target, const std::string& why);
-  void PassDeadlines(TimePoint now);
+  void CheckDeadlines(TimePoint now);
   void Advance(TimePoint now, Actions& out);
   std::uint32_t Count(RolloutStage stage) const;
   bool MaySwitch(const Target& target) const;
--- a/tests/auto/groups/rollout_test.cc
+++ b/tests/auto/groups/rollout_test.cc
@@ -10,16 +10,16 @@
 const std::vector<TargetId> kTargets{TargetId("a"), TargetId("b"),
                                      TargetId("c")};
 
-struct Ending {
+struct Outcome {
   bool done = false;
   std::string stopped;
-  std::size_t most_switching = 0;
+  std::size_t most_concurrent_switches = 0;
 };
 
 // Targets answer each order after a while; `fault` may spoil one of them.
-Ending Run(RolloutOptions options,
-           const std::optional<RolloutEvent>& fault,
-           std::uint64_t seed) {
+Outcome Run(RolloutOptions options,
+            const std::optional<RolloutEvent>& fault,
+            std::uint64_t seed) {
   Rollout rollout(options, kTargets);
   Random random(seed);
   std::multimap<TimePoint, RolloutEvent> queue{
@@ -27,7 +27,7 @@
   if (fault) {
     queue.emplace(TimeAt(Seconds(60)), *fault);
   }
-  Ending ending;
+  Outcome outcome;
   while (!queue.empty() && queue.begin()->first < TimeAt(Seconds(5000))) {
     const auto [now, event] = *queue.begin();
     queue.erase(queue.begin());
@@ -41,9 +41,10 @@
         queue.emplace(later, TargetSwitched{change->target});
       }
       if (const auto* stopped = std::get_if<RolloutStopped>(&action)) {
-        ending.stopped = stopped->why;
+        outcome.stopped = stopped->why;
       }
-      ending.done = ending.done || std::holds_alternative<RolloutDone>(action);
+      outcome.done =
+          outcome.done || std::holds_alternative<RolloutDone>(action);
     }
     std::size_t switching = 0;
     for (const TargetId& target : kTargets) {
@@ -51,21 +52,22 @@
       switching +=
           stage == RolloutStage::kSwitching || stage == RolloutStage::kSettling;
     }
-    ending.most_switching = std::max(ending.most_switching, switching);
+    outcome.most_concurrent_switches =
+        std::max(outcome.most_concurrent_switches, switching);
     const std::optional<TimePoint> deadline = rollout.next_deadline();
     if (queue.empty() && deadline) {
       queue.emplace(std::max(*deadline, now), RolloutTick{});
     }
   }
-  return ending;
+  return outcome;
 }
 
 TEST_CASE("a rollout reaches all targets, few at a time") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     CAPTURE(seed);
-    const Ending ending = Run(RolloutOptions{}, std::nullopt, seed);
-    CHECK(ending.done);
-    CHECK(ending.most_switching == 1);
+    const Outcome outcome = Run(RolloutOptions{}, std::nullopt, seed);
+    CHECK(outcome.done);
+    CHECK(outcome.most_concurrent_switches == 1);
   }
 }
 
@@ -81,18 +83,18 @@
       {TargetErrors{TargetId("a"), 0.5}, "a: too many errors"},
       {TargetFailed{TargetId("b"), "out of memory"}, "b: out of memory"}};
   for (const Row& row : rows) {
-    const Ending ending = Run(RolloutOptions{}, row.fault, 1);
-    CHECK_FALSE(ending.done);
-    CHECK(ending.stopped == row.why);
+    const Outcome outcome = Run(RolloutOptions{}, row.fault, 1);
+    CHECK_FALSE(outcome.done);
+    CHECK(outcome.stopped == row.why);
   }
 }
 
 TEST_CASE("no target is switched while too few others serve") {
   RolloutOptions options;
-  options.least_serving = 2;
-  const Ending ending = Run(options, TargetServing{TargetId("c"), false}, 1);
-  CHECK_FALSE(ending.done);
-  CHECK(ending.stopped.empty());
+  options.min_serving = 2;
+  const Outcome outcome = Run(options, TargetServing{TargetId("c"), false}, 1);
+  CHECK_FALSE(outcome.done);
+  CHECK(outcome.stopped.empty());
 }
 
 }  // namespace
