--- a/src/libs/groups/group_controller.cc
+++ b/src/libs/groups/group_controller.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // How often a settled controller looks for lost ranks.
-constexpr int kLooksPerLoss = 4;
+constexpr int kChecksPerLossTimeout = 4;
 
 std::vector<RankIndex> RanksOf(const std::vector<Member>& members) {
   std::vector<RankIndex> ranks;
@@ -49,7 +49,7 @@
     const ControllerEvent& event,
     TimePoint now) {
   Actions out;
-  handled_ = now;
+  last_event_at_ = now;
   std::visit([&](const auto& each) { On(each, now, out); }, event);
   Advance(now, out);
   return out;
@@ -59,10 +59,10 @@
   if (!lease_) {
     return std::nullopt;
   }
-  const bool settled = view_ && !change_ && !obstacle_;
-  const Duration pace =
-      settled ? options_.lost_after / kLooksPerLoss : options_.resend_after;
-  return std::min(lease_->until, handled_ + pace);
+  const bool settled = view_ && !change_ && !blocked_reason_;
+  const Duration pace = settled ? options_.lost_after / kChecksPerLossTimeout
+                                : options_.resend_after;
+  return std::min(lease_->until, last_event_at_ + pace);
 }
 
 std::optional<ChangePhase> GroupController::phase() const {
@@ -86,7 +86,7 @@
   recorded_ = event.record.version;
   view_.reset();
   change_.reset();
-  obstacle_.reset();
+  blocked_reason_.reset();
   stalled_since_.reset();
   last_sequence_ = 0;
   last_grant_ = 0;
@@ -111,7 +111,7 @@
 }
 
 void GroupController::On(const MapChosen& event, TimePoint now, Actions& out) {
-  if (!Holds(now)) {
+  if (!HoldsLease(now)) {
     out.emplace_back(MapRefused{"this process does not hold the lease"});
     return;
   }
@@ -153,8 +153,8 @@
   if (outdated) {
     return;
   }
-  if (is_new || restarted || now - rank.heard >= options_.lost_after) {
-    rank.heard_since = now;
+  if (is_new || restarted || now - rank.last_status_at >= options_.lost_after) {
+    rank.live_since = now;
     rank.was_lost = !is_new;
     rank.claim_next = now;
   }
@@ -162,7 +162,7 @@
     rank.grant.reset();
   }
   rank.status = status;
-  rank.heard = now;
+  rank.last_status_at = now;
   const bool grant_done =
       rank.grant && !status.fetching &&
       status.token == (lease_ ? lease_->token : status.token) &&
@@ -177,7 +177,7 @@
 void GroupController::Advance(TimePoint now, Actions& out) {
   // A frozen process that wakes up reads the time before it acts, and finds
   // its lease over. Without this it would send one more round of orders.
-  if (!Holds(now)) {
+  if (!HoldsLease(now)) {
     lease_.reset();
     change_.reset();
     view_.reset();
@@ -189,14 +189,14 @@
   ClaimRanks(now, out);
   if (Settled(now)) {
     ExcludeAwaited(now);
-    Reconsider(now);
-    Drive(now, out);
+    Reconcile(now);
+    DriveChange(now, out);
   }
   UpdateState(now, out);
 }
 
-bool GroupController::IsHeard(const Rank& rank, TimePoint now) const {
-  return now - rank.heard < options_.lost_after;
+bool GroupController::IsLive(const Rank& rank, TimePoint now) const {
+  return now - rank.last_status_at < options_.lost_after;
 }
 
 bool GroupController::IsInView(const Rank& rank) const {
@@ -205,11 +205,11 @@
                                      view_->members.end(), member);
 }
 
-bool GroupController::Counts(const Rank& rank, TimePoint now) const {
+bool GroupController::IsEligible(const Rank& rank, TimePoint now) const {
   // A rank that comes back before any view without it needs no wait.
   const bool waited = !rank.was_lost || IsInView(rank) ||
-                      now - rank.heard_since >= options_.rejoin_after;
-  return IsHeard(rank, now) && waited && now >= rank.excluded_until &&
+                      now - rank.live_since >= options_.rejoin_after;
+  return IsLive(rank, now) && waited && now >= rank.excluded_until &&
          rank.status.usable && rank.status.token == lease_->token;
 }
 
@@ -219,13 +219,13 @@
   if (now - lease_->since >= options_.lost_after) {
     return true;
   }
-  return CountedMembers(now).size() == options_.ranks;
+  return EligibleMembers(now).size() == options_.ranks;
 }
 
-std::vector<Member> GroupController::CountedMembers(TimePoint now) const {
+std::vector<Member> GroupController::EligibleMembers(TimePoint now) const {
   std::vector<Member> members;
   for (const auto& [index, rank] : ranks_) {
-    if (Counts(rank, now)) {
+    if (IsEligible(rank, now)) {
       members.push_back({index, rank.status.incarnation});
     }
   }
@@ -243,7 +243,7 @@
                               TimePoint now) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& member) {
     const Rank* rank = Find(member);
-    return rank == nullptr || !IsHeard(*rank, now) || !rank->status.usable;
+    return rank == nullptr || !IsLive(*rank, now) || !rank->status.usable;
   });
 }
 
@@ -288,54 +288,54 @@
     excluded = {leader};
   }
   for (const RankIndex rank : excluded) {
-    ranks_[rank].excluded_until = now + options_.excluded_for;
+    ranks_[rank].excluded_until = now + options_.exclusion_time;
   }
 }
 
-const std::optional<placement::ExpertMap>& GroupController::WantedMap(
+const std::optional<placement::ExpertMap>& GroupController::DesiredMap(
     const std::vector<Member>& members) {
-  const bool known = wanted_ && wanted_->members == members &&
-                     wanted_->chosen == record_.chosen;
+  const bool known = desired_map_ && desired_map_->members == members &&
+                     desired_map_->chosen == record_.chosen;
   if (!known) {
     const std::vector<RankIndex> ranks = RanksOf(members);
-    wanted_ =
-        Wanted{members, record_.chosen,
-               placement::RepairOrphans(record_.chosen.RestrictedTo(ranks),
-                                        ranks, options_.slots)};
+    desired_map_ = DesiredMapCache{
+        members, record_.chosen,
+        placement::RepairOrphans(record_.chosen.RestrictedTo(ranks), ranks,
+                                 options_.slots)};
   }
-  return wanted_->map;
+  return desired_map_->map;
 }
 
-bool GroupController::IsWanted(const View& view,
-                               const std::vector<Member>& members) const {
+bool GroupController::IsDesired(const View& view,
+                                const std::vector<Member>& members) const {
   return view.members == members && view.map_version == record_.version;
 }
 
 // Decides what view is wanted and begins a change where it differs.
-void GroupController::Reconsider(TimePoint now) {
-  obstacle_.reset();
-  std::vector<Member> members = CountedMembers(now);
+void GroupController::Reconcile(TimePoint now) {
+  blocked_reason_.reset();
+  std::vector<Member> members = EligibleMembers(now);
   // Two views of one group must share a rank, or both could step at once.
   if (members.size() * 2 <= options_.ranks) {
-    obstacle_ = "no more than half of the ranks are there";
+    blocked_reason_ = "no more than half of the ranks are there";
     change_.reset();
     return;
   }
-  const std::optional<placement::ExpertMap>& map = WantedMap(members);
+  const std::optional<placement::ExpertMap>& map = DesiredMap(members);
   if (!map) {
-    obstacle_ = "the ranks that are left can't hold every expert";
+    blocked_reason_ = "the ranks that are left can't hold every expert";
     change_.reset();
     return;
   }
   const bool same_map = *map == record_.in_force;
   if (change_) {
-    const bool wanted = same_map && IsWanted(change_->view, members);
-    if (wanted || !MayReplaceChange(now)) {
+    const bool is_desired = same_map && IsDesired(change_->view, members);
+    if (is_desired || !MayReplaceChange(now)) {
       return;
     }
   } else if (view_) {
-    const bool wanted = same_map && IsWanted(*view_, members);
-    if (wanted && !NeedsView(*view_)) {
+    const bool is_desired = same_map && IsDesired(*view_, members);
+    if (is_desired && !NeedsView(*view_)) {
       return;
     }
   }
@@ -375,8 +375,8 @@
 void GroupController::UpdateState(TimePoint now, Actions& out) {
   const bool steps_run =
       view_ && !AnyLost(view_->members, now) && !AnyStalled(*view_);
-  if (obstacle_) {
-    ChangeState(GroupState::kOut, *obstacle_, out);
+  if (blocked_reason_) {
+    ChangeState(GroupState::kOut, *blocked_reason_, out);
   } else if (steps_run && !change_) {
     ChangeState(GroupState::kServing, "steps run", out);
   } else if (steps_run) {
--- a/src/libs/groups/group_controller.h
+++ b/src/libs/groups/group_controller.h
@@ -38,7 +38,7 @@
   // heard, is replaced by one without the members that its leader waits for.
   Duration exclude_after = Seconds(2);
   // For how long such a member stays excluded.
-  Duration excluded_for = Seconds(20);
+  Duration exclusion_time = Seconds(20);
 };
 
 enum class ChangePhase { kRecording, kPreparing, kSealing, kInstalling };
@@ -76,8 +76,8 @@
   };
   struct Rank {
     RankStatus status;
-    TimePoint heard;
-    TimePoint heard_since;  // without a gap of `lost_after`
+    TimePoint last_status_at;
+    TimePoint live_since;  // without a gap of `lost_after`
     bool was_lost = false;
     TimePoint claim_next;
     TimePoint excluded_until;
@@ -93,7 +93,7 @@
   };
 
   // What `record_.chosen` comes to for these members; kept, as it is costly.
-  struct Wanted {
+  struct DesiredMapCache {
     std::vector<Member> members;
     placement::ExpertMap chosen;
     std::optional<placement::ExpertMap> map;
@@ -106,29 +106,29 @@
   void On(const StatusReceived& event, TimePoint now, Actions& out);
   void On(const ControllerTick& event, TimePoint now, Actions& out);
 
-  bool Holds(TimePoint now) const { return lease_ && now < lease_->until; }
+  bool HoldsLease(TimePoint now) const { return lease_ && now < lease_->until; }
   void Advance(TimePoint now, Actions& out);
   void ClaimRanks(TimePoint now, Actions& out);
   bool Settled(TimePoint now) const;
-  bool IsHeard(const Rank& rank, TimePoint now) const;
+  bool IsLive(const Rank& rank, TimePoint now) const;
   bool IsInView(const Rank& rank) const;
-  bool Counts(const Rank& rank, TimePoint now) const;
-  std::vector<Member> CountedMembers(TimePoint now) const;
+  bool IsEligible(const Rank& rank, TimePoint now) const;
+  std::vector<Member> EligibleMembers(TimePoint now) const;
   const Rank* Find(const Member& member) const;
   bool AnyStalled(const View& view) const;
   bool AnyLost(const std::vector<Member>& members, TimePoint now) const;
   bool NeedsView(const View& view) const;
 
-  void Reconsider(TimePoint now);
-  const std::optional<placement::ExpertMap>& WantedMap(
+  void Reconcile(TimePoint now);
+  const std::optional<placement::ExpertMap>& DesiredMap(
       const std::vector<Member>& members);
-  bool IsWanted(const View& view, const std::vector<Member>& members) const;
+  bool IsDesired(const View& view, const std::vector<Member>& members) const;
   void ExcludeAwaited(TimePoint now);
   bool MayReplaceChange(TimePoint now) const;
   void BeginChange(std::vector<Member> members,
                    const placement::ExpertMap& map,
                    TimePoint now);
-  void Drive(TimePoint now, Actions& out);
+  void DriveChange(TimePoint now, Actions& out);
   bool PhaseDone() const;
   void EnterNextPhase(TimePoint now);
   void SendPhaseOrders(Actions& out);
@@ -144,15 +144,15 @@
 
   ControllerOptions options_;
   std::optional<Lease> lease_;
-  TimePoint handled_;  // when the last event was
+  TimePoint last_event_at_;  // when the last event was
   MapRecord record_;
   MapVersion recorded_;  // the version that the configuration has accepted
   std::map<RankIndex, Rank> ranks_;
   std::optional<View> view_;
   std::optional<Change> change_;
-  std::optional<Wanted> wanted_;
+  std::optional<DesiredMapCache> desired_map_;
   std::optional<TimePoint> stalled_since_;
-  std::optional<std::string> obstacle_;  // why no view can be arranged
+  std::optional<std::string> blocked_reason_;  // why no view can be arranged
   std::uint64_t last_sequence_ = 0;
   std::uint64_t last_grant_ = 0;
   std::optional<FetchBudget> budget_;
--- a/src/libs/groups/group_controller_orders.cc
+++ b/src/libs/groups/group_controller_orders.cc
@@ -16,7 +16,7 @@
 
 void GroupController::ClaimRanks(TimePoint now, Actions& out) {
   for (auto& [index, rank] : ranks_) {
-    const bool due = rank.status.token < lease_->token && IsHeard(rank, now) &&
+    const bool due = rank.status.token < lease_->token && IsLive(rank, now) &&
                      now >= rank.claim_next;
     if (!due) {
       continue;
@@ -26,7 +26,7 @@
   }
 }
 
-void GroupController::Drive(TimePoint now, Actions& out) {
+void GroupController::DriveChange(TimePoint now, Actions& out) {
   if (change_ && AnyLost(change_->view.members, now)) {
     return;
   }
--- a/src/libs/groups/rank_machine.cc
+++ b/src/libs/groups/rank_machine.cc
@@ -68,7 +68,7 @@
   if (!accepted) {
     return;
   }
-  std::visit([&](const auto& order) { Obey(order, now, out); }, event.order);
+  std::visit([&](const auto& order) { Execute(order, now, out); }, event.order);
   SendStatusNow(now, out);
 }
 
@@ -110,21 +110,22 @@
   return true;
 }
 
-void RankMachine::Obey(const ClaimOrder&, TimePoint, Actions&) {}
+void RankMachine::Execute(const ClaimOrder&, TimePoint, Actions&) {}
 
-void RankMachine::Obey(const PrepareOrder& order, TimePoint, Actions& out) {
-  const bool outdated = (target_ && order.view.id <= target_->view.id) ||
-                        (sealed_ && order.view.id <= *sealed_);
+void RankMachine::Execute(const PrepareOrder& order, TimePoint, Actions& out) {
+  const bool outdated =
+      (pending_view_ && order.view.id <= pending_view_->view.id) ||
+      (sealed_ && order.view.id <= *sealed_);
   const bool goes_back =
       installed_ && order.view.map_version < installed_->map_version;
   if (outdated || goes_back) {
     return;
   }
-  target_ = order;
+  pending_view_ = order;
   DropUnused(out);
 }
 
-void RankMachine::Obey(const FetchOrder& order, TimePoint, Actions& out) {
+void RankMachine::Execute(const FetchOrder& order, TimePoint, Actions& out) {
   if (!engine_reset_ || order.grant <= last_grant_) {
     return;
   }
@@ -136,29 +137,31 @@
   out.emplace_back(FetchWeights{order.key});
 }
 
-void RankMachine::Obey(const SealOrder& order, TimePoint, Actions&) {
-  const bool matches = target_ && target_->view.id == order.view;
+void RankMachine::Execute(const SealOrder& order, TimePoint, Actions&) {
+  const bool matches = pending_view_ && pending_view_->view.id == order.view;
   if (matches && IsPrepared()) {
     sealed_ = order.view;
   }
 }
 
-void RankMachine::Obey(const InstallOrder& order, TimePoint now, Actions& out) {
-  const bool matches =
-      sealed_ == order.view && target_ && target_->view.id == order.view;
+void RankMachine::Execute(const InstallOrder& order,
+                          TimePoint now,
+                          Actions& out) {
+  const bool matches = sealed_ == order.view && pending_view_ &&
+                       pending_view_->view.id == order.view;
   const bool done = installed_ && installed_->id == order.view;
   if (!matches || done) {
     return;
   }
-  FinishViewBefore(order, now, out);
+  FinishPreviousView(order, now, out);
   BILBERRYSPOOL_INVARIANT(
-      !installed_ || target_->view.map_version >= installed_->map_version,
+      !installed_ || pending_view_->view.map_version >= installed_->map_version,
       "the map version of a rank never goes back");
-  installed_ = target_->view;
-  map_ = target_->map;
-  held_ = map_->HeldBy(options_.rank);
+  installed_ = pending_view_->view;
+  map_ = pending_view_->map;
+  required_experts_ = map_->HeldBy(options_.rank);
   needs_view_ = false;
-  let_go_ = 0;
+  last_go_ = 0;
   DropUnused(out);
   PromiseNextStep(now, out);
 }
@@ -166,9 +169,9 @@
 // Peers may be running the last step that all have promised while this rank
 // has missed the go-ahead. Were it to skip that step, they would wait in it
 // until their timeout.
-void RankMachine::FinishViewBefore(const InstallOrder& order,
-                                   TimePoint now,
-                                   Actions& out) {
+void RankMachine::FinishPreviousView(const InstallOrder& order,
+                                     TimePoint now,
+                                     Actions& out) {
   if (!order.finish) {
     AbortRunningStep(out);
     return;
@@ -180,11 +183,11 @@
 }
 
 bool RankMachine::IsPrepared() const {
-  if (!target_ || !engine_reset_) {
+  if (!pending_view_ || !engine_reset_) {
     return false;
   }
   const std::vector<placement::ExpertKey> needed =
-      target_->map->HeldBy(options_.rank);
+      pending_view_->map->HeldBy(options_.rank);
   return std::all_of(needed.begin(), needed.end(),
                      [&](const auto& key) { return resident_.contains(key); });
 }
@@ -194,7 +197,8 @@
   DropWeights drop;
   for (const placement::ExpertKey& key : resident_) {
     const bool in_use = map_ && map_->Holds(options_.rank, key);
-    const bool wanted = target_ && target_->map->Holds(options_.rank, key);
+    const bool wanted =
+        pending_view_ && pending_view_->map->Holds(options_.rank, key);
     if (!in_use && !wanted) {
       drop.keys.push_back(key);
     }
@@ -216,7 +220,7 @@
   status.sequence = ++status_sequence_;
   status.token = token_;
   if (IsPrepared()) {
-    status.prepared = target_->view.id;
+    status.prepared = pending_view_->view.id;
   }
   status.sealed = sealed_;
   if (installed_) {
@@ -244,7 +248,7 @@
     change = {GroupState::kOut, "no view is installed"};
   } else if (now - last_started_ >= options_.stall_after) {
     change = {GroupState::kStalled, "the members do not agree on a step"};
-  } else if (target_->view.id > installed_->id) {
+  } else if (pending_view_->view.id > installed_->id) {
     change = {GroupState::kChanging, "another view is being prepared"};
   } else {
     change = {GroupState::kServing, "steps run"};
--- a/src/libs/groups/rank_machine.h
+++ b/src/libs/groups/rank_machine.h
@@ -63,11 +63,11 @@
   void On(const RankMessageReceived& event, TimePoint now, Actions& out);
   void On(const RankTick& event, TimePoint now, Actions& out);
 
-  void Obey(const ClaimOrder& order, TimePoint now, Actions& out);
-  void Obey(const PrepareOrder& order, TimePoint now, Actions& out);
-  void Obey(const FetchOrder& order, TimePoint now, Actions& out);
-  void Obey(const SealOrder& order, TimePoint now, Actions& out);
-  void Obey(const InstallOrder& order, TimePoint now, Actions& out);
+  void Execute(const ClaimOrder& order, TimePoint now, Actions& out);
+  void Execute(const PrepareOrder& order, TimePoint now, Actions& out);
+  void Execute(const FetchOrder& order, TimePoint now, Actions& out);
+  void Execute(const SealOrder& order, TimePoint now, Actions& out);
+  void Execute(const InstallOrder& order, TimePoint now, Actions& out);
 
   void OnReady(const StepReady& message, TimePoint now, Actions& out);
   void OnGo(const StepGo& message, TimePoint now, Actions& out);
@@ -81,10 +81,12 @@
   Member self() const { return {options_.rank, options_.incarnation}; }
   void PromiseNextStep(TimePoint now, Actions& out);
   void SendReady(TimePoint now, Actions& out);
-  void MaybeLetGo(TimePoint now, Actions& out);
+  void MaybeSendGo(TimePoint now, Actions& out);
   void SendGo(Member to, Actions& out) const;
   void StartPromisedStep(TimePoint now, Actions& out);
-  void FinishViewBefore(const InstallOrder& order, TimePoint now, Actions& out);
+  void FinishPreviousView(const InstallOrder& order,
+                          TimePoint now,
+                          Actions& out);
   void AbortRunningStep(Actions& out);
   void UpdateState(TimePoint now, Actions& out);
   void DropUnused(Actions& out);
@@ -97,11 +99,12 @@
   std::optional<placement::ExpertKey> fetching_;
   std::uint64_t last_grant_ = 0;
 
-  std::optional<PrepareOrder> target_;
+  std::optional<PrepareOrder> pending_view_;
   std::optional<ViewId> sealed_;
   std::optional<View> installed_;
   std::shared_ptr<const placement::ExpertMap> map_;
-  std::vector<placement::ExpertKey> held_;  // what `map_` has at this rank
+  std::vector<placement::ExpertKey>
+      required_experts_;  // what `map_` has at this rank
 
   std::optional<StepId> promised_;
   std::optional<StepId> running_;
@@ -111,7 +114,7 @@
 
   // As step leader: the latest word of each rank, and the last step let go.
   std::map<RankIndex, StepReady> ready_;
-  std::uint64_t let_go_ = 0;  // step number in the installed view
+  std::uint64_t last_go_ = 0;  // step number in the installed view
 
   GroupState state_ = GroupState::kOut;
   std::uint64_t status_sequence_ = 0;
--- a/src/libs/groups/rank_machine_steps.cc
+++ b/src/libs/groups/rank_machine_steps.cc
@@ -93,16 +93,16 @@
   }
   // The go-ahead was lost on its way to this member.
   const bool repeated =
-      message.step.view == installed_->id && message.step.number <= let_go_;
+      message.step.view == installed_->id && message.step.number <= last_go_;
   if (repeated) {
     SendGo(message.from, out);
     return;
   }
-  MaybeLetGo(now, out);
+  MaybeSendGo(now, out);
 }
 
 std::vector<RankIndex> RankMachine::AwaitedRanks() const {
-  const StepId step{installed_->id, let_go_ + 1};
+  const StepId step{installed_->id, last_go_ + 1};
   std::vector<RankIndex> awaited;
   for (const Member& member : installed_->members) {
     const auto latest = ready_.find(member.rank);
@@ -117,7 +117,7 @@
   return awaited;
 }
 
-void RankMachine::MaybeLetGo(TimePoint now, Actions& out) {
+void RankMachine::MaybeSendGo(TimePoint now, Actions& out) {
 #if defined(BILBERRYSPOOL_MUTATION_STEP_WITHOUT_ALL)
   const bool all =
       AwaitsGo() && ready_.size() + 1 >= installed_->members.size();
@@ -127,7 +127,7 @@
   if (!all) {
     return;
   }
-  ++let_go_;
+  ++last_go_;
   for (const Member& member : installed_->members) {
     if (member != self()) {
       SendGo(member, out);
@@ -140,7 +140,7 @@
   StepGo go;
   go.group = options_.group;
   go.to = to;
-  go.step = {installed_->id, let_go_};
+  go.step = {installed_->id, last_go_};
   go.map_version = installed_->map_version;
   go.ready_members = static_cast<std::uint32_t>(installed_->members.size());
   out.emplace_back(SendToRank{to.rank, go});
@@ -167,14 +167,14 @@
   MapVersion version = installed_->map_version;
 #if defined(BILBERRYSPOOL_MUTATION_SWITCH_EARLY)
   if (IsPrepared()) {
-    version = target_->view.map_version;
+    version = pending_view_->view.map_version;
   }
 #endif
   BILBERRYSPOOL_INVARIANT(
       promised_->view == installed_->id && version == installed_->map_version,
       "a step uses the map of the view in which it was promised");
   BILBERRYSPOOL_INVARIANT(
-      std::all_of(held_.begin(), held_.end(),
+      std::all_of(required_experts_.begin(), required_experts_.end(),
                   [&](const auto& key) { return resident_.contains(key); }),
       "the experts of the map are resident when a step starts");
   BILBERRYSPOOL_INVARIANT(last_step_ < *promised_,
--- a/tests/auto/groups/group_run_test.cc
+++ b/tests/auto/groups/group_run_test.cc
@@ -37,7 +37,7 @@
       world.CutDomain(domain, false);
       break;
     case 5:
-      world.StickEngine(rank, world.random().Chance(0.5));
+      world.SetEngineStuck(rank, world.random().Chance(0.5));
       break;
     default:
       world.ChooseRandomMap();
@@ -53,26 +53,26 @@
     options.ranks = 3 + static_cast<std::uint32_t>(seed % 5);
     options.experts = options.ranks;
     options.loss = 0.02;
-    options.doubled = 0.02;
-    options.very_late = 0.01;
+    options.duplicated = 0.02;
+    options.long_delay = 0.01;
     options.fetch_failure = 0.1;
     GroupWorld world(options, seed);
     for (int i = 0; i < 40; ++i) {
       InjectFault(world, options.ranks);
       world.RunFor(world.random().Between(Milliseconds(5), Milliseconds(800)));
     }
-    world.CalmDown();
+    world.StopFaults();
     for (std::uint32_t i = 0; i < GroupWorld::kDomains; ++i) {
       world.CutDomain(i, false);
     }
     for (std::uint32_t i = 0; i < options.ranks; ++i) {
-      world.StickEngine(i, false);
+      world.SetEngineStuck(i, false);
     }
-    CHECK(world.RunUntilWhole(Seconds(40)));
+    CHECK(world.RunUntilComplete(Seconds(40)));
     const std::size_t done = world.steps_done();
     world.RunFor(Seconds(1));
     CHECK(world.steps_done() > done + 20);
-    REQUIRE_MESSAGE(world.faults().empty(), world.faults().front());
+    REQUIRE_MESSAGE(world.violations().empty(), world.violations().front());
   }
 }
 
--- a/tests/auto/groups/group_scenario_test.cc
+++ b/tests/auto/groups/group_scenario_test.cc
@@ -21,7 +21,7 @@
 
 TEST_CASE("a group switches to another map while it serves") {
   GroupWorld world(WorldOptions{}, 1);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   const MapVersion before = world.map_version();
   world.ChooseRandomMap();
   world.RunFor(Milliseconds(20));
@@ -36,7 +36,7 @@
   }
   CHECK(world.map_version() > before);
   CHECK(world.controller(*world.holder()).state() == GroupState::kServing);
-  CHECK(world.faults().empty());
+  CHECK(world.violations().empty());
 }
 
 // Symptom: the group answers nobody for minutes after one rank has died.
@@ -51,17 +51,17 @@
   };
   const Row rows[] = {
       {"frozen", [](GroupWorld& world) { world.FreezeRank(0, Seconds(6)); }},
-      {"stuck", [](GroupWorld& world) { world.StickEngine(3, true); }},
+      {"stuck", [](GroupWorld& world) { world.SetEngineStuck(3, true); }},
       {"restarted", [](GroupWorld& world) { world.RestartRank(5); }}};
   for (const Row& row : rows) {
     CAPTURE(row.name);
     GroupWorld world(WorldOptions{}, 2);
-    REQUIRE(world.RunUntilWhole(Seconds(10)));
+    REQUIRE(world.RunUntilComplete(Seconds(10)));
     row.lose(world);
     CHECK(world.RunUntilMembers(5, Seconds(4)));
-    world.StickEngine(3, false);
-    CHECK(world.RunUntilWhole(Seconds(15)));
-    CHECK(world.faults().empty());
+    world.SetEngineStuck(3, false);
+    CHECK(world.RunUntilComplete(Seconds(15)));
+    CHECK(world.violations().empty());
   }
 }
 
@@ -72,7 +72,7 @@
   WorldOptions options;
   options.slots = 1;
   GroupWorld world(options, 3);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.FreezeRank(1, Seconds(5));
   world.RunFor(Milliseconds(700));
   CHECK(EveryRank(world, {0, 2, 3, 4, 5}, GroupState::kStalled));
@@ -80,8 +80,8 @@
   const GroupController& controller = world.controller(*world.holder());
   CHECK(controller.state() == GroupState::kOut);
   CHECK(controller.why() == "the ranks that are left can't hold every expert");
-  CHECK(world.RunUntilWhole(Seconds(20)));
-  CHECK(world.faults().empty());
+  CHECK(world.RunUntilComplete(Seconds(20)));
+  CHECK(world.violations().empty());
 }
 
 // Symptom: after a partition, answers mix tokens of two maps.
@@ -90,7 +90,7 @@
 // Cause: both sides believe to be the group.
 TEST_CASE("a partition through the group leaves one side serving") {
   GroupWorld world(WorldOptions{}, 4);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.CutDomain(1, true);
   world.RunFor(Milliseconds(700));
   CHECK(EveryRank(world, {1, 4}, GroupState::kStalled));
@@ -99,8 +99,8 @@
   world.RunFor(Seconds(3));
   CHECK(world.rank(1).last_step() == before);
   world.CutDomain(1, false);
-  CHECK(world.RunUntilWhole(Seconds(15)));
-  CHECK(world.faults().empty());
+  CHECK(world.RunUntilComplete(Seconds(15)));
+  CHECK(world.violations().empty());
 }
 
 TEST_CASE("no more than half of the ranks never serve") {
@@ -108,13 +108,13 @@
   options.ranks = 4;
   options.experts = 2;
   GroupWorld world(options, 5);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.FreezeRank(0, Seconds(8));
   world.FreezeRank(1, Seconds(8));
   world.RunFor(Seconds(3));
   CHECK(EveryRank(world, {2, 3}, GroupState::kStalled));
-  CHECK(world.RunUntilWhole(Seconds(20)));
-  CHECK(world.faults().empty());
+  CHECK(world.RunUntilComplete(Seconds(20)));
+  CHECK(world.violations().empty());
 }
 
 // Symptom: the map in use changes back, seconds after a change.
@@ -123,19 +123,19 @@
 // Cause: it doesn't look at the time before it acts, or ranks obey old tokens.
 TEST_CASE("a controller that wakes up after its lease changes nothing") {
   GroupWorld world(WorldOptions{}, 6);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   const std::uint32_t first = *world.holder();
   const FencingToken old = world.token();
   world.ChooseRandomMap();
   world.FreezeController(first, Seconds(9));
   world.RunFor(Seconds(6));
   REQUIRE(world.holder() != first);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.RunFor(Seconds(5));
   CHECK(world.controller(first).state() == GroupState::kOut);
   CHECK(world.token() > old);
   CHECK(world.rank(0).token() == world.token());
-  CHECK(world.faults().empty());
+  CHECK(world.violations().empty());
 }
 
 // Symptom: a rank steps with weights that it doesn't have.
@@ -144,7 +144,7 @@
 TEST_CASE(
     "orders for an earlier incarnation or with an old token are refused") {
   GroupWorld world(WorldOptions{}, 7);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   const View view = *world.rank(2).installed();
   const Incarnation before = view.members[2].incarnation;
   const FencingToken token = world.token();
@@ -165,13 +165,13 @@
     world.Inject(2, ClaimOrder{row.header});
     CHECK(world.rank(2).token() == FencingToken());
   }
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   const OrderHeader old{GroupId("g"), RankIndex(2), Incarnation(2),
                         FencingToken(token.value() - 1)};
   world.Inject(2, ClaimOrder{old});
   world.Inject(2, SealOrder{old, view.id});
   CHECK(world.rank(2).token() == token);
-  CHECK(world.faults().empty());
+  CHECK(world.violations().empty());
 }
 
 // Symptom: a group hangs between two maps.
@@ -179,16 +179,16 @@
 // Cause: ranks wait for weights that the controller no longer grants.
 TEST_CASE("a later map supersedes one that is being prepared") {
   GroupWorld world(WorldOptions{}, 8);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   for (int i = 0; i < 5; ++i) {
     world.ChooseRandomMap();
     world.RunFor(Milliseconds(30));
   }
   const placement::ExpertMap last =
       world.controller(*world.holder()).record().chosen;
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   CHECK(world.map() == last);
-  CHECK(world.faults().empty());
+  CHECK(world.violations().empty());
 }
 
 // Symptom: an agent stops in the middle of a change of map.
@@ -213,7 +213,7 @@
 
 TEST_CASE("maps that the ranks can't hold are refused") {
   GroupWorld world(WorldOptions{}, 9);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   const MapVersion before = world.map_version();
   const placement::ExpertMap maps[] = {
       placement::ExpertMap(2, 6), placement::ExpertMap(3, 6),
@@ -232,12 +232,12 @@
 // Cause: a rank counts as there as long as the controller hears it.
 TEST_CASE("ranks that can't hear each other are not kept together") {
   GroupWorld world(WorldOptions{}, 10);
-  REQUIRE(world.RunUntilWhole(Seconds(10)));
+  REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.CutRanks(0, 4);
   CHECK(world.RunUntilMembers(5, Seconds(8)));
   CHECK(world.controller(*world.holder()).view()->members.front().rank ==
         RankIndex(0));
-  CHECK(world.faults().empty());
+  CHECK(world.violations().empty());
 }
 
 }  // namespace
--- a/tests/auto/groups/group_world.cc
+++ b/tests/auto/groups/group_world.cc
@@ -73,7 +73,7 @@
   now_ = end;
 }
 
-bool GroupWorld::RunUntilWhole(Duration limit) {
+bool GroupWorld::RunUntilComplete(Duration limit) {
   return RunUntilMembers(ranks_.size(), limit);
 }
 
@@ -99,7 +99,7 @@
 }
 
 void GroupWorld::Inject(std::uint32_t rank, const Order& order) {
-  GiveRank(rank, OrderReceived{order});
+  DeliverToRank(rank, OrderReceived{order});
 }
 
 void GroupWorld::Send(std::uint32_t from,
@@ -110,10 +110,10 @@
   if (cut || random_.Chance(options_.loss)) {
     return;
   }
-  const int copies = random_.Chance(options_.doubled) ? 2 : 1;
+  const int copies = random_.Chance(options_.duplicated) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     Duration delay = random_.Between(Microseconds(100), Milliseconds(2));
-    if (random_.Chance(options_.very_late)) {
+    if (random_.Chance(options_.long_delay)) {
       delay = random_.Between(Milliseconds(2), Seconds(5));
     }
     At(now_ + delay, what);
@@ -121,17 +121,17 @@
 }
 
 void GroupWorld::Tick() {
-  TendLease();
+  MaintainLease();
   for (std::uint32_t i = 0; i < ranks_.size(); ++i) {
     const std::optional<TimePoint> due = ranks_[i].machine->next_deadline();
     if (due && *due <= now_) {
-      GiveRank(i, RankTick{});
+      DeliverToRank(i, RankTick{});
     }
   }
   for (std::uint32_t i = 0; i < controllers_.size(); ++i) {
     const auto due = controllers_[i].machine.next_deadline();
     if (due && *due <= now_) {
-      GiveController(i, ControllerTick{});
+      DeliverToController(i, ControllerTick{});
     }
   }
   At(now_ + kTick, [this] { Tick(); });
@@ -139,14 +139,15 @@
 
 // The replicated configuration: it reaches the controllers outside of domains
 // that are cut off.
-void GroupWorld::TendLease() {
+void GroupWorld::MaintainLease() {
   const auto reachable = [&](std::uint32_t i) {
     return !cut_[i] && controllers_[i].frozen_until <= now_;
   };
   if (holder_ && now_ < lease_until_) {
     if (reachable(*holder_) && lease_until_ - now_ < kLease / 2) {
       lease_until_ = now_ + kLease;
-      GiveController(*holder_, LeaseGranted{token_, lease_until_, record_});
+      DeliverToController(*holder_,
+                          LeaseGranted{token_, lease_until_, record_});
     }
     return;
   }
@@ -159,46 +160,46 @@
   token_ = token_.Next();
   lease_until_ = now_ + kLease;
   store_bytes_ += kStoreBurst;
-  GiveController(candidate, LeaseGranted{token_, lease_until_, record_});
+  DeliverToController(candidate, LeaseGranted{token_, lease_until_, record_});
 }
 
-void GroupWorld::GiveRank(std::uint32_t rank, const RankEvent& event) {
+void GroupWorld::DeliverToRank(std::uint32_t rank, const RankEvent& event) {
   RankNode& node = ranks_[rank];
   if (node.frozen_until > now_) {
     const std::uint64_t incarnation = node.incarnation;
     At(node.frozen_until, [this, rank, event, incarnation] {
       if (ranks_[rank].incarnation == incarnation) {
-        GiveRank(rank, event);
+        DeliverToRank(rank, event);
       }
     });
     return;
   }
-  Take(rank, node.machine->Handle(event, now_));
+  HandleActions(rank, node.machine->Handle(event, now_));
   if (std::holds_alternative<RankTick>(event)) {
     Expect(*node.machine->next_deadline() > now_, "a tick is not asked twice");
   }
 }
 
-void GroupWorld::GiveController(std::uint32_t controller,
-                                const ControllerEvent& event) {
+void GroupWorld::DeliverToController(std::uint32_t controller,
+                                     const ControllerEvent& event) {
   ControllerNode& node = controllers_[controller];
   if (node.frozen_until > now_) {
     At(node.frozen_until,
-       [this, controller, event] { GiveController(controller, event); });
+       [this, controller, event] { DeliverToController(controller, event); });
     return;
   }
-  Take(controller, node.machine.Handle(event, now_));
+  HandleActions(controller, node.machine.Handle(event, now_));
   const std::optional<TimePoint> next = node.machine.next_deadline();
   Expect(!next || *next > now_, "a tick is not asked twice");
 }
 
-void GroupWorld::Take(std::uint32_t controller,
-                      const std::vector<ControllerAction>& actions) {
+void GroupWorld::HandleActions(std::uint32_t controller,
+                               const std::vector<ControllerAction>& actions) {
   for (const ControllerAction& action : actions) {
     if (const auto* send = std::get_if<SendOrder>(&action)) {
       const std::uint32_t to = send->rank.value();
       Send(controller, to, [this, to, order = send->order] {
-        GiveRank(to, OrderReceived{order});
+        DeliverToRank(to, OrderReceived{order});
       });
     }
     if (const auto* request = std::get_if<RecordMap>(&action)) {
@@ -219,13 +220,13 @@
   if (known) {
     At(now_ + Milliseconds(3),
        [this, to = *holder_, version = record_.version] {
-         GiveController(to, MapRecorded{version});
+         DeliverToController(to, MapRecorded{version});
        });
   }
 }
 
-void GroupWorld::Take(std::uint32_t rank,
-                      const std::vector<RankAction>& actions) {
+void GroupWorld::HandleActions(std::uint32_t rank,
+                               const std::vector<RankAction>& actions) {
   const RankNode& node = ranks_[rank];
   const Member self{RankIndex(rank), Incarnation(node.incarnation)};
   if (node.machine->installed()) {
@@ -236,16 +237,16 @@
     promises_.emplace(self, *node.machine->promised());
   }
   for (const RankAction& action : actions) {
-    Carry(rank, action);
+    Perform(rank, action);
   }
 }
 
-void GroupWorld::Carry(std::uint32_t rank, const RankAction& action) {
+void GroupWorld::Perform(std::uint32_t rank, const RankAction& action) {
   RankNode& node = ranks_[rank];
   const auto later = [&](Duration delay, RankEvent event) {
     At(now_ + delay, [this, rank, incarnation = node.incarnation, event] {
       if (ranks_[rank].incarnation == incarnation) {
-        GiveRank(rank, event);
+        DeliverToRank(rank, event);
       }
     });
   };
@@ -274,7 +275,7 @@
           [&](const SendStatus& send) {
             for (std::uint32_t i = 0; i < kDomains; ++i) {
               Send(rank, i, [this, i, status = send.status] {
-                GiveController(i, StatusReceived{status});
+                DeliverToController(i, StatusReceived{status});
               });
             }
           },
@@ -284,7 +285,7 @@
               return;
             }
             Send(rank, to, [this, to, message = send.message] {
-              GiveRank(to, RankMessageReceived{message});
+              DeliverToRank(to, RankMessageReceived{message});
             });
           },
           [&](const RankStateChanged&) {},
@@ -338,7 +339,7 @@
     At(now_ + lasts, [this, i, step, incarnation = ranks_[i].incarnation] {
       if (ranks_[i].incarnation == incarnation && ranks_[i].running == step) {
         ranks_[i].running.reset();
-        GiveRank(i, StepFinished{step});
+        DeliverToRank(i, StepFinished{step});
       }
     });
   }
@@ -355,14 +356,14 @@
 
 void GroupWorld::Expect(bool holds, const std::string& what) {
   if (!holds) {
-    faults_.push_back(what);
+    violations_.push_back(what);
   }
 }
 
-void GroupWorld::CalmDown() {
+void GroupWorld::StopFaults() {
   options_.loss = 0;
-  options_.doubled = 0;
-  options_.very_late = 0;
+  options_.duplicated = 0;
+  options_.long_delay = 0;
   options_.fetch_failure = 0;
 }
 
@@ -376,14 +377,14 @@
   options.rank = RankIndex(rank);
   options.incarnation = Incarnation(node.incarnation);
   node.machine.emplace(options);
-  Take(rank, node.machine->Start(now_));
+  HandleActions(rank, node.machine->Start(now_));
 }
 
 void GroupWorld::FreezeRank(std::uint32_t rank, Duration span) {
   ranks_[rank].frozen_until = now_ + span;
 }
 
-void GroupWorld::StickEngine(std::uint32_t rank, bool stuck) {
+void GroupWorld::SetEngineStuck(std::uint32_t rank, bool stuck) {
   ranks_[rank].stuck = stuck;
   if (!stuck) {
     RestartRank(rank);
@@ -404,7 +405,7 @@
 
 void GroupWorld::Choose(const placement::ExpertMap& map) {
   if (holder_) {
-    GiveController(*holder_, MapChosen{map});
+    DeliverToController(*holder_, MapChosen{map});
   }
 }
 
--- a/tests/auto/groups/group_world.h
+++ b/tests/auto/groups/group_world.h
@@ -23,8 +23,8 @@
   std::uint32_t experts = 6;
   std::uint32_t slots = 2;
   double loss = 0;
-  double doubled = 0;
-  double very_late = 0;  // share of messages that take up to 5 s
+  double duplicated = 0;
+  double long_delay = 0;  // share of messages that take up to 5 s
   double fetch_failure = 0;
 };
 
@@ -39,13 +39,13 @@
   Random& random() { return random_; }
   void RunFor(Duration span);
   // Runs until the group serves with all its ranks; false after `limit`.
-  bool RunUntilWhole(Duration limit);
+  bool RunUntilComplete(Duration limit);
   // Runs until the controller's view has so many members and steps run.
   bool RunUntilMembers(std::size_t members, Duration limit);
 
   void RestartRank(std::uint32_t rank);
   void FreezeRank(std::uint32_t rank, Duration span);
-  void StickEngine(std::uint32_t rank, bool stuck);
+  void SetEngineStuck(std::uint32_t rank, bool stuck);
   void FreezeController(std::uint32_t controller, Duration span);
   void CutDomain(std::uint32_t domain, bool cut);
   void CutRanks(std::uint32_t one, std::uint32_t other);
@@ -54,7 +54,7 @@
   void ChooseRandomMap();
   void Choose(const placement::ExpertMap& map);
   // No more lost, doubled or late messages and failed fetches.
-  void CalmDown();
+  void StopFaults();
 
   RankMachine& rank(std::uint32_t index) { return *ranks_[index].machine; }
   GroupController& controller(std::uint32_t index) {
@@ -65,7 +65,7 @@
   const placement::ExpertMap& map() const { return record_.in_force; }
   MapVersion map_version() const { return record_.version; }
   std::size_t steps_done() const { return steps_done_; }
-  const std::vector<std::string>& faults() const { return faults_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   struct RankNode {
@@ -89,13 +89,15 @@
   void At(TimePoint when, std::function<void()> what);
   void Send(std::uint32_t from, std::uint32_t to, std::function<void()> what);
   void Tick();
-  void TendLease();
-  void GiveRank(std::uint32_t rank, const RankEvent& event);
-  void GiveController(std::uint32_t controller, const ControllerEvent& event);
-  void Take(std::uint32_t rank, const std::vector<RankAction>& actions);
-  void Take(std::uint32_t controller,
-            const std::vector<ControllerAction>& actions);
-  void Carry(std::uint32_t rank, const RankAction& action);
+  void MaintainLease();
+  void DeliverToRank(std::uint32_t rank, const RankEvent& event);
+  void DeliverToController(std::uint32_t controller,
+                           const ControllerEvent& event);
+  void HandleActions(std::uint32_t rank,
+                     const std::vector<RankAction>& actions);
+  void HandleActions(std::uint32_t controller,
+                     const std::vector<ControllerAction>& actions);
+  void Perform(std::uint32_t rank, const RankAction& action);
   void OnStart(std::uint32_t rank, const StartStep& start);
   void OnComplete(const StepId& step);
   void ChargeStore();
@@ -124,7 +126,7 @@
   std::size_t steps_done_ = 0;
   double store_bytes_;
   TimePoint store_refilled_;
-  std::vector<std::string> faults_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace bilberryspool::groups
