--- a/src/libs/groups/json_reader.cc
+++ b/src/libs/groups/json_reader.cc
@@ -10,7 +10,7 @@
 namespace json = boost::json;
 
 // A larger map or list is not one of ours, and would only take memory.
-constexpr std::uint64_t kMostExperts = 1U << 20U;
+constexpr std::uint64_t kMaxExperts = 1U << 20U;
 
 std::optional<std::uint64_t> NumberOf(const json::value& value) {
   json::error_code error;
@@ -30,7 +30,7 @@
   const std::uint32_t layers = reader.SmallNumber("layers");
   const std::uint32_t experts = reader.SmallNumber("experts");
   const std::uint64_t count = std::uint64_t{layers} * experts;
-  if (!reader.good() || count > kMostExperts) {
+  if (!reader.good() || count > kMaxExperts) {
     return std::nullopt;
   }
   const json::value* holders = value.as_object().if_contains("holders");
@@ -106,7 +106,7 @@
   std::vector<std::uint64_t> numbers;
   const json::value* found = Find(name);
   const json::array* list = found == nullptr ? nullptr : found->if_array();
-  if (list == nullptr || list->size() > 2 * kMostExperts) {
+  if (list == nullptr || list->size() > 2 * kMaxExperts) {
     good_ = false;
     numbers.resize(size);
     return numbers;
--- a/src/libs/groups/rank_round.h
+++ b/src/libs/groups/rank_round.h
@@ -1,8 +1,8 @@
 // How the state and the counts of a group's ranks reach its leader.
 //
 // A sidecar reads its engine and tells a RankReading; a node that reads several
-// ranks answers a RoundQuestion of the leader with a RoundAnswer, and passes a
-// WideOrder on to them.
+// ranks answers a RoundRequest of the leader with a RoundResponse, and passes a
+// MulticastOrder on to them.
 
 #ifndef LIBS_GROUPS_RANK_ROUND_H_
 #define LIBS_GROUPS_RANK_ROUND_H_
@@ -34,7 +34,7 @@
   std::string engine;  // "ip:port"
 };
 
-struct RoundQuestion {
+struct RoundRequest {
   GroupId group;
   // Of the last answer that the asker got from this node.
   placement::ReadingMark mark;
@@ -46,29 +46,29 @@
 };
 
 // What one rank said.
-struct RankWord {
+struct RankPollResult {
   RankIndex rank;
   // How long after the question came the rank was asked. The report describes
   // it as it was then or later.
-  Duration asked_after{};
+  Duration poll_delay{};
   EngineReport report;
 };
 
-struct RoundAnswer {
+struct RoundResponse {
   FailureDomain domain;  // of the node that answers
   placement::ReadingMark mark;
   // Ranks that did not answer in time have none.
-  std::vector<RankWord> words;
+  std::vector<RankPollResult> results;
   // By layer, then expert, of all ranks that were read since the answer that
   // the question names; empty where that is not the last one.
   std::vector<double> work;
 };
 
 // One order to several ranks, which is the same for each.
-struct WideOrder {
+struct MulticastOrder {
   std::vector<RankAddress> ranks;
   // How long each engine may take to answer.
-  Duration patience{};
+  Duration timeout{};
   std::string method;
   std::string target;
   std::string content_type;
@@ -76,7 +76,7 @@
 };
 
 // What the engines answered, in the order of the ranks; 0: nothing.
-struct WideAnswer {
+struct MulticastResult {
   std::vector<std::uint32_t> statuses;
 };
 
--- a/src/libs/groups/round_codec.cc
+++ b/src/libs/groups/round_codec.cc
@@ -17,12 +17,12 @@
 
 // Picks of one expert, or its work in kWorkUnits, in as few bytes as hold them.
 using Amounts = std::vector<std::uint16_t>;
-constexpr std::uint64_t kMostAmount = std::numeric_limits<std::uint16_t>::max();
+constexpr std::uint64_t kMaxAmount = std::numeric_limits<std::uint16_t>::max();
 // Fractions of a pick that are told apart: of few picks that are weighed low
 // the rounding would leave nothing.
 constexpr double kWorkUnits = 8.0;
 // More bytes are no message of ours; a whole answer of 12,000 ranks has less.
-constexpr std::size_t kMostBytes = std::size_t{4} << 20U;
+constexpr std::size_t kMaxBytes = std::size_t{4} << 20U;
 
 struct WireArmed {
   std::uint64_t version = 0;
@@ -96,7 +96,7 @@
   }
 };
 
-struct WireQuestion {
+struct WireRoundRequest {
   std::string group;
   std::uint64_t mark = 0;
   double read_work = 1.0;
@@ -109,32 +109,32 @@
   }
 };
 
-struct WireWord {
+struct WireRankPollResult {
   std::uint32_t rank = 0;
-  std::int64_t asked_after_us = 0;
+  std::int64_t poll_delay_us = 0;
   WireReport report;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(rank, asked_after_us, report);
+    archive(rank, poll_delay_us, report);
   }
 };
 
-struct WireAnswer {
+struct WireRoundResponse {
   std::string domain;
   std::uint64_t mark = 0;
-  std::vector<WireWord> words;
+  std::vector<WireRankPollResult> results;
   WireAmounts work;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(domain, mark, words, work);
+    archive(domain, mark, results, work);
   }
 };
 
-struct WireWideOrder {
+struct WireMulticastOrder {
   std::vector<WireRank> ranks;
-  std::int64_t patience_us = 0;
+  std::int64_t timeout_us = 0;
   std::string method;
   std::string target;
   std::string content_type;
@@ -142,11 +142,11 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(ranks, patience_us, method, target, content_type, body);
+    archive(ranks, timeout_us, method, target, content_type, body);
   }
 };
 
-struct WireWideAnswer {
+struct WireMulticastResult {
   std::vector<std::uint32_t> statuses;
 
   template <typename Archive>
@@ -183,7 +183,7 @@
   const auto most = static_cast<std::uint64_t>(
       *std::max_element(amounts.begin(), amounts.end()));
   packed.unit =
-      std::max<std::uint64_t>(1, (most + kMostAmount - 1) / kMostAmount);
+      std::max<std::uint64_t>(1, (most + kMaxAmount - 1) / kMaxAmount);
   packed.values.reserve(amounts.size());
   for (const Number amount : amounts) {
     packed.values.push_back(static_cast<std::uint16_t>(
@@ -247,7 +247,7 @@
 template <typename Wire>
 std::optional<Wire> FromBytes(std::string_view bytes) {
   // Links are authenticated, so lengths inside are those that Encode() wrote.
-  if (bytes.size() > kMostBytes) {
+  if (bytes.size() > kMaxBytes) {
     return std::nullopt;
   }
   try {
@@ -294,19 +294,19 @@
   return reading;
 }
 
-std::string Encode(const RoundQuestion& question) {
-  WireQuestion wire{question.group.value(), question.mark.value(),
-                    question.read_work, question.counters,
-                    ToWire(question.ranks)};
+std::string Encode(const RoundRequest& question) {
+  WireRoundRequest wire{question.group.value(), question.mark.value(),
+                        question.read_work, question.counters,
+                        ToWire(question.ranks)};
   return ToBytes(wire);
 }
 
-std::optional<RoundQuestion> DecodeQuestion(std::string_view bytes) {
-  auto wire = FromBytes<WireQuestion>(bytes);
+std::optional<RoundRequest> DecodeRoundRequest(std::string_view bytes) {
+  auto wire = FromBytes<WireRoundRequest>(bytes);
   if (!wire.has_value()) {
     return std::nullopt;
   }
-  RoundQuestion question;
+  RoundRequest question;
   question.group = GroupId(std::move(wire->group));
   question.mark = placement::ReadingMark(wire->mark);
   question.read_work = wire->read_work;
@@ -315,13 +315,14 @@
   return question;
 }
 
-std::string Encode(const RoundAnswer& answer) {
-  WireAnswer wire;
+std::string Encode(const RoundResponse& answer) {
+  WireRoundResponse wire;
   wire.domain = answer.domain.value();
   wire.mark = answer.mark.value();
-  for (const RankWord& word : answer.words) {
-    wire.words.push_back({word.rank.value(), word.asked_after / Microseconds(1),
-                          ToWire(word.report)});
+  for (const RankPollResult& result : answer.results) {
+    wire.results.push_back({result.rank.value(),
+                            result.poll_delay / Microseconds(1),
+                            ToWire(result.report)});
   }
   std::vector<double> units;
   units.reserve(answer.work.size());
@@ -332,18 +333,18 @@
   return ToBytes(wire);
 }
 
-std::optional<RoundAnswer> DecodeAnswer(std::string_view bytes) {
-  auto wire = FromBytes<WireAnswer>(bytes);
+std::optional<RoundResponse> DecodeRoundResponse(std::string_view bytes) {
+  auto wire = FromBytes<WireRoundResponse>(bytes);
   if (!wire.has_value()) {
     return std::nullopt;
   }
-  RoundAnswer answer;
+  RoundResponse answer;
   answer.domain = FailureDomain(std::move(wire->domain));
   answer.mark = placement::ReadingMark(wire->mark);
-  for (const WireWord& word : wire->words) {
-    answer.words.push_back({RankIndex(word.rank),
-                            Microseconds(word.asked_after_us),
-                            FromWire(word.report)});
+  for (const WireRankPollResult& result : wire->results) {
+    answer.results.push_back({RankIndex(result.rank),
+                              Microseconds(result.poll_delay_us),
+                              FromWire(result.report)});
   }
   const double unit = static_cast<double>(wire->work.unit) / kWorkUnits;
   answer.work.reserve(wire->work.values.size());
@@ -353,22 +354,22 @@
   return answer;
 }
 
-std::string Encode(const WideOrder& order) {
-  const WireWideOrder wire{
-      ToWire(order.ranks), order.patience / Microseconds(1),
+std::string Encode(const MulticastOrder& order) {
+  const WireMulticastOrder wire{
+      ToWire(order.ranks), order.timeout / Microseconds(1),
       order.method,        order.target,
       order.content_type,  order.body.value};
   return ToBytes(wire);
 }
 
-std::optional<WideOrder> DecodeWideOrder(std::string_view bytes) {
-  auto wire = FromBytes<WireWideOrder>(bytes);
+std::optional<MulticastOrder> DecodeMulticastOrder(std::string_view bytes) {
+  auto wire = FromBytes<WireMulticastOrder>(bytes);
   if (!wire.has_value()) {
     return std::nullopt;
   }
-  WideOrder order;
+  MulticastOrder order;
   order.ranks = FromWire(std::move(wire->ranks));
-  order.patience = Microseconds(wire->patience_us);
+  order.timeout = Microseconds(wire->timeout_us);
   order.method = std::move(wire->method);
   order.target = std::move(wire->target);
   order.content_type = std::move(wire->content_type);
@@ -376,16 +377,16 @@
   return order;
 }
 
-std::string Encode(const WideAnswer& answer) {
-  return ToBytes(WireWideAnswer{answer.statuses});
+std::string Encode(const MulticastResult& answer) {
+  return ToBytes(WireMulticastResult{answer.statuses});
 }
 
-std::optional<WideAnswer> DecodeWideAnswer(std::string_view bytes) {
-  auto wire = FromBytes<WireWideAnswer>(bytes);
+std::optional<MulticastResult> DecodeMulticastResult(std::string_view bytes) {
+  auto wire = FromBytes<WireMulticastResult>(bytes);
   if (!wire.has_value()) {
     return std::nullopt;
   }
-  return WideAnswer{std::move(wire->statuses)};
+  return MulticastResult{std::move(wire->statuses)};
 }
 
 }  // namespace bilberryspool::groups
--- a/src/libs/groups/round_codec.h
+++ b/src/libs/groups/round_codec.h
@@ -15,17 +15,17 @@
 namespace bilberryspool::groups {
 
 std::string Encode(const RankReading& reading);
-std::string Encode(const RoundQuestion& question);
-std::string Encode(const RoundAnswer& answer);
-std::string Encode(const WideOrder& order);
-std::string Encode(const WideAnswer& answer);
+std::string Encode(const RoundRequest& question);
+std::string Encode(const RoundResponse& answer);
+std::string Encode(const MulticastOrder& order);
+std::string Encode(const MulticastResult& answer);
 
 // Nothing for bytes that no Encode() made, or that were cut.
 std::optional<RankReading> DecodeReading(std::string_view bytes);
-std::optional<RoundQuestion> DecodeQuestion(std::string_view bytes);
-std::optional<RoundAnswer> DecodeAnswer(std::string_view bytes);
-std::optional<WideOrder> DecodeWideOrder(std::string_view bytes);
-std::optional<WideAnswer> DecodeWideAnswer(std::string_view bytes);
+std::optional<RoundRequest> DecodeRoundRequest(std::string_view bytes);
+std::optional<RoundResponse> DecodeRoundResponse(std::string_view bytes);
+std::optional<MulticastOrder> DecodeMulticastOrder(std::string_view bytes);
+std::optional<MulticastResult> DecodeMulticastResult(std::string_view bytes);
 
 }  // namespace bilberryspool::groups
 
--- a/src/libs/groups/silent_ranks.cc
+++ b/src/libs/groups/silent_ranks.cc
@@ -5,18 +5,18 @@
 namespace {
 
 // One answer may get lost, and so may all of a moment.
-constexpr std::uint32_t kLeastUnanswered = 3;
-constexpr Duration kSilence = Milliseconds(500);
+constexpr std::uint32_t kMinUnanswered = 3;
+constexpr Duration kMinSilence = Milliseconds(500);
 // Ticks are due every 25 ms.
-constexpr Duration kLate = Milliseconds(100);
+constexpr Duration kMaxTickDelay = Milliseconds(100);
 
 }  // namespace
 
-void SilentRanks::OnHeard(RankIndex rank, TimePoint now) {
+void SilentRanks::OnResponse(RankIndex rank, TimePoint now) {
   ranks_[rank] = Rank{now, 0, now};
 }
 
-void SilentRanks::OnSilent(RankIndex rank, TimePoint now) {
+void SilentRanks::OnTimeout(RankIndex rank, TimePoint now) {
   const auto found = ranks_.find(rank);
   if (found == ranks_.end()) {
     return;
@@ -27,26 +27,28 @@
 }
 
 void SilentRanks::Tick(TimePoint now) {
-  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kLate) {
+  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kMaxTickDelay) {
     late_at_ = now;
   }
   ticked_at_ = now;
 }
 
 bool SilentRanks::WasLateSince(TimePoint since, TimePoint now) const {
-  return late_at_ >= since || now - ticked_at_ > kLate;
+  return late_at_ >= since || now - ticked_at_ > kMaxTickDelay;
 }
 
-bool SilentRanks::IsHeard(RankIndex rank, Duration age, TimePoint now) const {
+bool SilentRanks::HasResponded(RankIndex rank,
+                               Duration age,
+                               TimePoint now) const {
   const auto found = ranks_.find(rank);
-  return found != ranks_.end() && now - found->second.heard_at <= age;
+  return found != ranks_.end() && now - found->second.last_response <= age;
 }
 
 std::set<RankIndex> SilentRanks::Missing(TimePoint now) const {
   std::set<RankIndex> missing;
   for (const auto& [index, rank] : ranks_) {
-    if (rank.unanswered >= kLeastUnanswered &&
-        now - rank.silent_since >= kSilence) {
+    if (rank.unanswered >= kMinUnanswered &&
+        now - rank.silent_since >= kMinSilence) {
       missing.insert(index);
     }
   }
--- a/src/libs/groups/silent_ranks.h
+++ b/src/libs/groups/silent_ranks.h
@@ -27,9 +27,9 @@
 
 class SilentRanks {
  public:
-  void OnHeard(RankIndex rank, TimePoint now);
+  void OnResponse(RankIndex rank, TimePoint now);
   // It was asked and has not answered.
-  void OnSilent(RankIndex rank, TimePoint now);
+  void OnTimeout(RankIndex rank, TimePoint now);
   // To be called often; takes notice of its own lateness.
   void Tick(TimePoint now);
 
@@ -37,16 +37,16 @@
   // meanwhile may have been answered.
   bool WasLateSince(TimePoint since, TimePoint now) const;
   // Whether a rank was heard within `age`.
-  bool IsHeard(RankIndex rank, Duration age, TimePoint now) const;
+  bool HasResponded(RankIndex rank, Duration age, TimePoint now) const;
   // None where that is most of those that were ever heard, for then it is the
   // listener that is cut off.
   std::set<RankIndex> Missing(TimePoint now) const;
   // How many were ever heard.
-  std::size_t heard() const { return ranks_.size(); }
+  std::size_t known_ranks() const { return ranks_.size(); }
 
  private:
   struct Rank {
-    TimePoint heard_at;
+    TimePoint last_response;
     // Questions without an answer since, and when the first was given up.
     std::uint32_t unanswered = 0;
     TimePoint silent_since;
--- a/src/libs/groups/slow_ranks.cc
+++ b/src/libs/groups/slow_ranks.cc
@@ -8,20 +8,20 @@
 
 namespace {
 
-struct Pace {
+struct RankPace {
   RankIndex rank;
   double pace = 1.0;
 };
 
-std::vector<Pace> FastestFirst(const std::map<RankIndex, double>& paces) {
-  std::vector<Pace> sorted;
+std::vector<RankPace> FastestFirst(const std::map<RankIndex, double>& paces) {
+  std::vector<RankPace> sorted;
   sorted.reserve(paces.size());
   for (const auto& [rank, pace] : paces) {
     sorted.push_back({rank, std::max(pace, 1.0)});
   }
   std::stable_sort(
       sorted.begin(), sorted.end(),
-      [](const Pace& a, const Pace& b) { return a.pace < b.pace; });
+      [](const RankPace& a, const RankPace& b) { return a.pace < b.pace; });
   return sorted;
 }
 
@@ -29,9 +29,9 @@
 
 std::set<RankIndex> FindSlowRanks(const std::map<RankIndex, double>& paces,
                                   const BatchTimes& times) {
-  const std::vector<Pace> sorted = FastestFirst(paces);
+  const std::vector<RankPace> sorted = FastestFirst(paces);
   double speeds = 0.0;
-  for (const Pace& item : sorted) {
+  for (const RankPace& item : sorted) {
     speeds += 1.0 / item.pace;
   }
   const double per_batch = times.slots * ToSeconds(times.step_per_request);
@@ -52,7 +52,7 @@
   }
   std::set<RankIndex> slow;
   for (std::size_t i = most_useful; i < sorted.size(); ++i) {
-    if (sorted[i].pace >= kLeastSlowPace) {
+    if (sorted[i].pace >= kMinSlowPace) {
       slow.insert(sorted[i].rank);
     }
   }
--- a/src/libs/groups/slow_ranks.h
+++ b/src/libs/groups/slow_ranks.h
@@ -34,7 +34,7 @@
 
 // A rank below this is not taken for slow: reported paces vary by some percent,
 // and one that is left out costs its whole batch.
-inline constexpr double kLeastSlowPace = 1.4;
+inline constexpr double kMinSlowPace = 1.4;
 
 // The ranks without which full batches of the others write most tokens per
 // second. `paces`: how many times as long as a healthy rank each takes.
--- a/src/libs/groups/step_switch.cc
+++ b/src/libs/groups/step_switch.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Duration kShortestStep = Milliseconds(1);
-constexpr Duration kLongestStep = Milliseconds(1000);
+constexpr Duration kMinStepTime = Milliseconds(1);
+constexpr Duration kMaxStepTime = Milliseconds(1000);
 
 }  // namespace
 
@@ -36,18 +36,18 @@
     // What another owner may have ordered is not known here.
     rank.may_be_armed = rank.may_be_armed || phase == SwitchPhase::kObserving;
     rank.is_done = false;
-    rank.is_pending = false;
+    rank.is_order_in_flight = false;
     rank.is_copying = false;
     rank.send_next = now;
-    rank.ask_next = now;
-    rank.turn_at.reset();
+    rank.next_poll = now;
+    rank.arming_polled_at.reset();
     rank.to_disarm.reset();
   }
 }
 
 void StepSwitch::GiveUp(std::string why, TimePoint now) {
   why_ = std::move(why);
-  target_.reset();
+  pending_map_.reset();
   trusted_from_ = now;
   Enter(SwitchPhase::kObserving, now);
 }
@@ -63,17 +63,17 @@
   });
 }
 
-bool StepSwitch::AllHeardSince(TimePoint since) const {
+bool StepSwitch::AllRespondedSince(TimePoint since) const {
   return std::all_of(ranks_.begin(), ranks_.end(), [since](const auto& item) {
-    return item.second.heard_at > since;
+    return item.second.responded_at > since;
   });
 }
 
-bool StepSwitch::IsWhole(TimePoint now) const {
-  constexpr Duration kForgotten = Seconds(4);
+bool StepSwitch::IsGroupComplete(TimePoint now) const {
+  constexpr Duration kMaxReportAge = Seconds(4);
   return std::all_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return rank.report.has_value() && now - rank.as_of < kForgotten &&
+    return rank.report.has_value() && now - rank.as_of < kMaxReportAge &&
            rank.report->is_open && rank.report->epoch == epoch_;
   });
 }
@@ -85,7 +85,7 @@
   checked_at_ = as_of;
   if (step == seen_step_) {
     // A step that is still running is at least as long as that.
-    step_time_ = std::clamp(as_of - seen_at_, step_time_, kLongestStep);
+    step_time_ = std::clamp(as_of - seen_at_, step_time_, kMaxStepTime);
     return;
   }
   const auto steps =
@@ -93,7 +93,7 @@
   if (seen_step_.value() > 0 && as_of > seen_at_) {
     const Duration pace = (as_of - seen_at_) / steps;
     step_time_ =
-        std::clamp((step_time_ + pace) / 2, kShortestStep, kLongestStep);
+        std::clamp((step_time_ + pace) / 2, kMinStepTime, kMaxStepTime);
   }
   seen_step_ = step;
   seen_at_ = as_of;
@@ -102,19 +102,20 @@
 void StepSwitch::OnReport(RankIndex index,
                           const EngineReport& report,
                           TimePoint as_of,
-                          TimePoint heard_at) {
+                          TimePoint responded_at) {
   const auto found = ranks_.find(index);
   if (found == ranks_.end()) {
     return;
   }
-  found->second.heard_at = std::max(found->second.heard_at, heard_at);
+  found->second.responded_at =
+      std::max(found->second.responded_at, responded_at);
   if (as_of < found->second.as_of) {
     return;
   }
   found->second.report = report;
   found->second.as_of = as_of;
   if (phase_ == SwitchPhase::kPreparing && report.epoch == epoch_ &&
-      report.prepared == target_version_) {
+      report.prepared == pending_version_) {
     found->second.is_done = true;
   }
   OnStep(report.epoch, report.step, as_of);
@@ -137,7 +138,7 @@
   epoch_ = newest;
   map_.reset();
   version_ = MapVersion(0);
-  target_.reset();
+  pending_map_.reset();
   seen_step_ = StepNumber(0);
   released_step_ = StepNumber(0);
   checked_at_ = TimePoint{};
@@ -165,12 +166,12 @@
     return;
   }
   why_.clear();
-  target_ = std::move(map);
-  target_version_ = next_version_;
+  pending_map_ = std::move(map);
+  pending_version_ = next_version_;
   next_version_ = next_version_.Next();
   late_holds_ = 0;
   are_all_armed_ = false;
-  copies_ = copies;
+  expected_copy_time_ = copies;
   for (auto& [index, rank] : ranks_) {
     rank.may_be_armed = false;
   }
@@ -178,7 +179,7 @@
 }
 
 void StepSwitch::Observe(TimePoint now) {
-  if (!IsWhole(now) || !AllReportedSince(trusted_from_)) {
+  if (!IsGroupComplete(now) || !AllReportedSince(trusted_from_)) {
     return;
   }
   std::optional<ArmedMap> armed;
@@ -192,7 +193,7 @@
     next_version_ = std::max(next_version_, highest.Next());
     if (report.held.has_value()) {
       held = report.held;
-      holder_ = index;
+      holding_rank_ = index;
     }
     any_armed = any_armed || report.armed.has_value();
     all_armed = all_armed && report.armed.has_value() &&
@@ -201,8 +202,8 @@
   }
   if (held.has_value() && all_armed && armed->step == *held) {
     // A predecessor's change lacks nothing but the release.
-    target_version_ = armed->version;
-    target_ = nullptr;
+    pending_version_ = armed->version;
+    pending_map_ = nullptr;
     step_ = *held;
     are_all_armed_ = false;
     Enter(SwitchPhase::kReleasing, now);
@@ -236,9 +237,9 @@
 // way can arm them, and they may be silent.
 void StepSwitch::BeginClearing(TimePoint now) {
   const bool is_own = phase_ == SwitchPhase::kArming;
-  const MapVersion own = target_version_;
-  target_ = map_;
-  target_version_ = next_version_;
+  const MapVersion own = pending_version_;
+  pending_map_ = map_;
+  pending_version_ = next_version_;
   next_version_ = next_version_.Next();
   are_all_armed_ = false;
   Enter(SwitchPhase::kClearing, now);
@@ -253,28 +254,30 @@
   }
 }
 
-bool StepSwitch::IsSomeoneUnarmedSilent(TimePoint now) const {
+bool StepSwitch::IsUnarmedRankSilent(TimePoint now) const {
   return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return !rank.may_be_armed && rank.turn_at.has_value() &&
-           now - *rank.turn_at > options_.word_timeout;
+    return !rank.may_be_armed && rank.arming_polled_at.has_value() &&
+           now - *rank.arming_polled_at > options_.liveness_timeout;
   });
 }
 
-bool StepSwitch::IsCopyingSilent(TimePoint now) const {
+bool StepSwitch::IsCopyingRankSilent(TimePoint now) const {
   return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return !rank.is_done && now - rank.heard_at > options_.copy_silence;
+    return !rank.is_done &&
+           now - rank.responded_at > options_.copy_silence_timeout;
   });
 }
 
 void StepSwitch::ChooseStep(TimePoint now) {
   // The step that was seen last began at `seen_at_` or before. Refused holds
   // tell that the group was further than thought.
-  const Duration wait(static_cast<Duration::rep>(
-      options_.wait_for_switch * static_cast<double>(step_time_.count())));
+  const Duration wait(
+      static_cast<Duration::rep>(options_.max_stall_step_fraction *
+                                 static_cast<double>(step_time_.count())));
   const Duration lead =
-      std::min(options_.lead + expected_arming_, options_.longest_lead);
+      std::min(options_.lead + expected_arming_, options_.max_lead);
   const Duration since =
       now - seen_at_ + std::max(lead - wait, Duration::zero());
   const double ahead = ToSeconds(since) / ToSeconds(step_time_);
@@ -284,9 +287,10 @@
   step_ = std::max(step_, released_step_.Next());
 }
 
-void StepSwitch::NoteArming(Duration took) {
+void StepSwitch::RecordArmingTime(Duration took) {
   const Duration remembered(static_cast<Duration::rep>(
-      options_.arming_memory * static_cast<double>(expected_arming_.count())));
+      options_.arming_time_decay *
+      static_cast<double>(expected_arming_.count())));
   expected_arming_ = std::max(took, remembered);
 }
 
@@ -296,8 +300,8 @@
 
 // All ranks use the target from now on.
 void StepSwitch::EndChange(TimePoint now) {
-  map_ = target_;
-  version_ = target_version_;
+  map_ = pending_map_;
+  version_ = pending_version_;
   Enter(SwitchPhase::kIdle, now);
 }
 
@@ -316,7 +320,7 @@
     if (report.held.has_value()) {
       // A hold that was carried out late.
       if (*report.held == step_) {
-        holder_ = index;
+        holding_rank_ = index;
         Enter(SwitchPhase::kReleasing, now);
       } else {
         GiveUp("a step is held that was not asked for", now);
@@ -329,7 +333,7 @@
     return;
   }
   const MapVersion in_use = ranks_.begin()->second.report->map;
-  if (in_use == target_version_ && target_ != nullptr) {
+  if (in_use == pending_version_ && pending_map_ != nullptr) {
     EndChange(now);
     return;
   }
@@ -345,13 +349,13 @@
       Observe(now);
       return;
     case SwitchPhase::kIdle: {
-      const bool is_foreign =
+      const bool is_unexpected =
           std::any_of(ranks_.begin(), ranks_.end(), [this](const auto& item) {
             const auto& report = item.second.report;
             return report.has_value() && item.second.as_of >= entered_ &&
                    (report->held.has_value() || report->armed.has_value());
           });
-      if (is_foreign || !IsWhole(now)) {
+      if (is_unexpected || !IsGroupComplete(now)) {
         GiveUp("the ranks are not as they were left", now);
       }
       return;
@@ -361,31 +365,32 @@
         Enter(SwitchPhase::kConfirming, now);
       } else if (now - entered_ > options_.prepare_timeout) {
         GiveUp("not all ranks prepared in time", now);
-      } else if (IsCopyingSilent(now)) {
+      } else if (IsCopyingRankSilent(now)) {
         GiveUp("a rank is silent while it copies", now);
       }
       return;
     case SwitchPhase::kConfirming:
-      if (AllHeardSince(entered_)) {
-        arms_on_word_ = now - entered_ <= options_.longest_word_round;
+      if (AllRespondedSince(entered_)) {
+        requires_liveness_reply_ =
+            now - entered_ <= options_.max_liveness_round;
         ChooseStep(now);
-        holder_ = ranks_.begin()->first;
+        holding_rank_ = ranks_.begin()->first;
         Enter(SwitchPhase::kHolding, now);
       } else if (now - entered_ > options_.confirm_timeout) {
         GiveUp("a rank is silent before the hold", now);
       }
       return;
     case SwitchPhase::kHolding:
-      if (ranks_.at(holder_).is_done) {
+      if (ranks_.at(holding_rank_).is_done) {
         Enter(SwitchPhase::kArming, now);
       }
       return;
     case SwitchPhase::kArming:
       if (AllDone()) {
-        NoteArming(now - entered_);
+        RecordArmingTime(now - entered_);
         are_all_armed_ = true;
         Enter(SwitchPhase::kReleasing, now);
-      } else if (IsSomeoneUnarmedSilent(now)) {
+      } else if (IsUnarmedRankSilent(now)) {
         why_ = "a rank is silent before it is armed";
         BeginClearing(now);
       }
@@ -397,7 +402,7 @@
       }
       return;
     case SwitchPhase::kReleasing:
-      if (ranks_.at(holder_).is_done) {
+      if (ranks_.at(holding_rank_).is_done) {
         Enter(SwitchPhase::kSettling, now);
       }
       return;
--- a/src/libs/groups/step_switch.h
+++ b/src/libs/groups/step_switch.h
@@ -67,43 +67,43 @@
   Duration copy_resend = Milliseconds(300);
   // Ranks that were not heard yet where all have to be, and the few that tell
   // when a step begins, are asked at this interval.
-  Duration ask_again = Milliseconds(40);
+  Duration poll_interval = Milliseconds(40);
   // How far ahead of the present step the switch is put, so that all ranks are
   // armed before the group gets there and need not wait; the time that arming
   // took lately comes on top, up to the bound: where orders are lost it takes
   // several rounds, and all that time the whole group would stand still.
   Duration lead = Milliseconds(15);
-  Duration longest_lead = Milliseconds(1000);
+  Duration max_lead = Milliseconds(1000);
   // The group rather stands still for this part of a step than make one more
   // step with the old map, which is changed because it makes steps last longer:
   // at three times the even load a step lost costs two thirds of its length.
-  double wait_for_switch = 0.4;
+  double max_stall_step_fraction = 0.4;
   // What is left of a long arming in the expectation after each further change.
-  double arming_memory = 0.7;
+  double arming_time_decay = 0.7;
   // A preparation that takes longer is given up; nothing is armed yet.
   Duration prepare_timeout = Seconds(20);
   // Ranks that are asked for their word and armed at a time. The more, the
   // longer each waits for the others between its word and the answer; the
   // fewer, the longer the whole takes, in which several VMs that freeze
   // together may be found on both sides of it.
-  std::uint32_t armed_at_once = 8;
+  std::uint32_t max_concurrent_arming = 8;
   // From the question to the answer to the order, usually: a rank that takes
   // longer does not keep the next one waiting.
-  Duration arming_turn = Milliseconds(6);
+  Duration arming_slot_time = Milliseconds(6);
   // Ranks are armed on their own word where hearing all of them right before
   // the hold took no longer than this; else at once. A second round of words
   // doubles the messages of the exchange; where a round takes long the words
   // come too late to be of use, and the group waits for them.
-  Duration longest_word_round = Milliseconds(15);
+  Duration max_liveness_round = Milliseconds(15);
   // While a step is held, ranks are asked for their words at this interval.
-  Duration ask_again_held = Milliseconds(15);
+  Duration held_poll_interval = Milliseconds(15);
   // A rank that has said nothing for this long since it was asked is not armed.
   // Twice the time after which it is asked again: one word may get lost. The
   // group stands still meanwhile, and callers take a pause of 120 ms for late.
-  Duration word_timeout = Milliseconds(30);
+  Duration liveness_timeout = Milliseconds(30);
   // A rank that is silent for this long while copies are made: the change is
   // given up, for the demand that it was made for does not last.
-  Duration copy_silence = Seconds(1);
+  Duration copy_silence_timeout = Seconds(1);
   // Once all have copied, every rank has to be heard anew within this time;
   // otherwise the change is given up. Several rounds of reports.
   Duration confirm_timeout = Milliseconds(400);
@@ -133,12 +133,12 @@
              MapVersion first_version,
              TimePoint now);
 
-  // The rank answered at `heard_at` or later, and the report describes it as it
-  // was at `as_of` or later.
+  // The rank answered at `responded_at` or later, and the report describes it
+  // as it was at `as_of` or later.
   void OnReport(RankIndex rank,
                 const EngineReport& report,
                 TimePoint as_of,
-                TimePoint heard_at);
+                TimePoint responded_at);
   // A step of that epoch had begun at `as_of`, from whatever source; keeps the
   // estimate of the present step close.
   void OnStep(GroupEpoch epoch, StepNumber step, TimePoint as_of);
@@ -153,7 +153,7 @@
   // The ranks whose reports would bring the change on: those whose copies
   // should be done, those that have to be heard before the hold, and a few that
   // tell that the step has begun. Each counts as asked.
-  std::vector<RankIndex> Questions(TimePoint now);
+  std::vector<RankIndex> RanksToPoll(TimePoint now);
   // Whether the phase ends by what all ranks report.
   bool NeedsAllReports(TimePoint now) const;
 
@@ -173,10 +173,10 @@
   struct Rank {
     std::optional<EngineReport> report;
     TimePoint as_of;
-    TimePoint heard_at;
+    TimePoint responded_at;
     // An answer proved the state that the phase is after.
     bool is_done = false;
-    bool is_pending = false;
+    bool is_order_in_flight = false;
     // An order to arm it may have reached it, or may yet. False only of ranks
     // that this owner has not ordered so since it began the present change,
     // whose version nobody else gives.
@@ -184,18 +184,18 @@
     // The order to copy was taken; its end is still to be reported.
     bool is_copying = false;
     TimePoint send_next;
-    TimePoint ask_next;
+    TimePoint next_poll;
     // While arming: when it was first asked for its word.
-    std::optional<TimePoint> turn_at;
+    std::optional<TimePoint> arming_polled_at;
     // While clearing: what has to be disarmed before the rank can prepare.
     std::optional<MapVersion> to_disarm;
   };
 
   void Enter(SwitchPhase phase, TimePoint now);
   // Whether all ranks are heard, of one epoch, and the group is open.
-  bool IsWhole(TimePoint now) const;
+  bool IsGroupComplete(TimePoint now) const;
   bool AllReportedSince(TimePoint since) const;
-  bool AllHeardSince(TimePoint since) const;
+  bool AllRespondedSince(TimePoint since) const;
   bool AllDone() const;
   void CheckEpoch(TimePoint now);
   void Advance(TimePoint now);
@@ -203,21 +203,23 @@
   void Settle(TimePoint now);
   bool HasBegunAsArmed() const;
   void EndChange(TimePoint now);
-  Duration AskInterval() const;
-  bool IsAskedNow(RankIndex index, const Rank& rank, TimePoint now) const;
+  Duration PollInterval() const;
+  bool ShouldPoll(RankIndex index, const Rank& rank, TimePoint now) const;
   // Whether it has said something since the phase was entered.
-  bool HasWord(const Rank& rank) const { return rank.heard_at > entered_; }
+  bool HasLivenessReply(const Rank& rank) const {
+    return rank.responded_at > entered_;
+  }
   // Whether a rank may be ordered to be armed now.
   bool IsArmable(const Rank& rank) const {
-    return !arms_on_word_ || HasWord(rank);
+    return !requires_liveness_reply_ || HasLivenessReply(rank);
   }
-  bool MayTakeArmingTurn(const Rank& rank, TimePoint now) const;
-  bool IsSomeoneUnarmedSilent(TimePoint now) const;
-  bool IsCopyingSilent(TimePoint now) const;
+  bool MayTakeArmingSlot(const Rank& rank, TimePoint now) const;
+  bool IsUnarmedRankSilent(TimePoint now) const;
+  bool IsCopyingRankSilent(TimePoint now) const;
   void BeginClearing(TimePoint now);
   void GiveUp(std::string why, TimePoint now);
   void ChooseStep(TimePoint now);
-  void NoteArming(Duration took);
+  void RecordArmingTime(Duration took);
   std::optional<EngineOrder> OrderFor(RankIndex index, const Rank& rank) const;
   void OnRefused(const RankOrder& order, Rank& rank, TimePoint now);
   bool IsAwaited(const RankOrder& order) const;
@@ -234,19 +236,19 @@
   MapVersion next_version_;
   MapVersion version_;  // in use by all ranks
   MapPointer map_;
-  MapVersion target_version_;
-  MapPointer target_;
+  MapVersion pending_version_;
+  MapPointer pending_map_;
   StepNumber step_;  // at which the target takes effect
   // No step up to this one is held again: a release of it may still be carried
   // out late, and would let a step begin for which ranks are being armed.
   StepNumber released_step_;
-  RankIndex holder_{0};  // where that step is held
-  Duration copies_{};    // expected of the change
+  RankIndex holding_rank_{0};      // where that step is held
+  Duration expected_copy_time_{};  // expected of the change
   std::uint32_t late_holds_ = 0;
   // All ranks were confirmed to be armed with the target for that step.
   bool are_all_armed_ = false;
   // Whether ranks are armed on their own word in this change.
-  bool arms_on_word_ = true;
+  bool requires_liveness_reply_ = true;
   std::string why_;
   // For the pace of steps.
   StepNumber seen_step_;
--- a/src/libs/groups/step_switch_orders.cc
+++ b/src/libs/groups/step_switch_orders.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostLateHolds = 8;
+constexpr std::uint32_t kMaxLateHolds = 8;
 
 }  // namespace
 
@@ -22,22 +22,24 @@
     case SwitchPhase::kSettling:
       return std::nullopt;
     case SwitchPhase::kPreparing:
-      return PrepareMap{target_version_, target_};
+      return PrepareMap{pending_version_, pending_map_};
     case SwitchPhase::kClearing:
       if (rank.to_disarm.has_value()) {
         return DisarmMap{*rank.to_disarm};
       }
-      return PrepareMap{target_version_, target_};
+      return PrepareMap{pending_version_, pending_map_};
     case SwitchPhase::kArming:
       return IsArmable(rank)
-                 ? std::optional<EngineOrder>(ArmMap{target_version_, step_})
+                 ? std::optional<EngineOrder>(ArmMap{pending_version_, step_})
                  : std::nullopt;
     case SwitchPhase::kHolding:
-      return index == holder_ ? std::optional<EngineOrder>(HoldStep{step_})
-                              : std::nullopt;
+      return index == holding_rank_
+                 ? std::optional<EngineOrder>(HoldStep{step_})
+                 : std::nullopt;
     case SwitchPhase::kReleasing:
-      return index == holder_ ? std::optional<EngineOrder>(ReleaseStep{step_})
-                              : std::nullopt;
+      return index == holding_rank_
+                 ? std::optional<EngineOrder>(ReleaseStep{step_})
+                 : std::nullopt;
   }
   return std::nullopt;
 }
@@ -47,11 +49,11 @@
   Advance(now);
   std::vector<RankOrder> orders;
   for (auto& [index, rank] : ranks_) {
-    if (rank.is_done || rank.is_pending || now < rank.send_next) {
+    if (rank.is_done || rank.is_order_in_flight || now < rank.send_next) {
       continue;
     }
     if (auto order = OrderFor(index, rank)) {
-      rank.is_pending = true;
+      rank.is_order_in_flight = true;
       rank.may_be_armed =
           rank.may_be_armed || std::holds_alternative<ArmMap>(*order);
       orders.push_back({index, epoch_, std::move(*order)});
@@ -61,20 +63,20 @@
 }
 
 // Whether a report of the rank is what the phase waits for.
-bool StepSwitch::IsAskedNow(RankIndex index,
+bool StepSwitch::ShouldPoll(RankIndex index,
                             const Rank& rank,
                             TimePoint now) const {
   // A few, so that a silent one does not keep the change from ending.
-  constexpr std::uint32_t kToldByRanks = 3;
+  constexpr std::uint32_t kStepReporters = 3;
   switch (phase_) {
     case SwitchPhase::kPreparing:
       return rank.is_copying && !rank.is_done;
     case SwitchPhase::kConfirming:
-      return !HasWord(rank);
+      return !HasLivenessReply(rank);
     case SwitchPhase::kArming:
-      return !IsArmable(rank) && MayTakeArmingTurn(rank, now);
+      return !IsArmable(rank) && MayTakeArmingSlot(rank, now);
     case SwitchPhase::kSettling:
-      return are_all_armed_ && index.value() < kToldByRanks;
+      return are_all_armed_ && index.value() < kStepReporters;
     case SwitchPhase::kObserving:
     case SwitchPhase::kIdle:
     case SwitchPhase::kHolding:
@@ -86,49 +88,49 @@
 }
 
 // Few at a time, so that a rank's word is followed by its order at once.
-bool StepSwitch::MayTakeArmingTurn(const Rank& rank, TimePoint now) const {
-  if (rank.turn_at.has_value()) {
+bool StepSwitch::MayTakeArmingSlot(const Rank& rank, TimePoint now) const {
+  if (rank.arming_polled_at.has_value()) {
     return true;
   }
   const auto taken =
       std::count_if(ranks_.begin(), ranks_.end(), [&](const auto& item) {
         const Rank& other = item.second;
-        return !other.is_done && other.turn_at.has_value() &&
-               now - *other.turn_at < options_.arming_turn;
+        return !other.is_done && other.arming_polled_at.has_value() &&
+               now - *other.arming_polled_at < options_.arming_slot_time;
       });
-  return taken < options_.armed_at_once;
+  return taken < options_.max_concurrent_arming;
 }
 
 bool StepSwitch::NeedsAllReports(TimePoint now) const {
   // A step that was not released as it was held, or an idle group, which begins
   // none. Steps under way last 50 to 300 ms.
-  constexpr Duration kSoon = Milliseconds(300);
+  constexpr Duration kReleaseSettleTime = Milliseconds(300);
   return phase_ == SwitchPhase::kObserving ||
          (phase_ == SwitchPhase::kSettling &&
-          (!are_all_armed_ || now - entered_ > kSoon));
+          (!are_all_armed_ || now - entered_ > kReleaseSettleTime));
 }
 
-Duration StepSwitch::AskInterval() const {
+Duration StepSwitch::PollInterval() const {
   switch (phase_) {
     case SwitchPhase::kPreparing:
       return options_.copy_poll;
     case SwitchPhase::kArming:
-      return options_.ask_again_held;
+      return options_.held_poll_interval;
     default:
-      return options_.ask_again;
+      return options_.poll_interval;
   }
 }
 
-std::vector<RankIndex> StepSwitch::Questions(TimePoint now) {
-  const Duration interval = AskInterval();
+std::vector<RankIndex> StepSwitch::RanksToPoll(TimePoint now) {
+  const Duration interval = PollInterval();
   std::vector<RankIndex> asked;
   for (auto& [index, rank] : ranks_) {
-    if (now < rank.ask_next || !IsAskedNow(index, rank, now)) {
+    if (now < rank.next_poll || !ShouldPoll(index, rank, now)) {
       continue;
     }
-    rank.ask_next = now + interval;
-    if (phase_ == SwitchPhase::kArming && !rank.turn_at.has_value()) {
-      rank.turn_at = now;
+    rank.next_poll = now + interval;
+    if (phase_ == SwitchPhase::kArming && !rank.arming_polled_at.has_value()) {
+      rank.arming_polled_at = now;
     }
     asked.push_back(index);
   }
@@ -139,7 +141,7 @@
 bool StepSwitch::IsAwaited(const RankOrder& order) const {
   const auto found = ranks_.find(order.rank);
   if (found == ranks_.end() || order.epoch != epoch_ ||
-      !found->second.is_pending) {
+      !found->second.is_order_in_flight) {
     return false;
   }
   const auto expected = OrderFor(order.rank, found->second);
@@ -153,7 +155,7 @@
     return;
   }
   Rank& rank = ranks_.at(order.rank);
-  rank.is_pending = false;
+  rank.is_order_in_flight = false;
   if (rank.is_done) {
     return;
   }
@@ -172,8 +174,8 @@
         break;
       }
       rank.is_copying = true;
-      rank.ask_next = now + copies_;
-      rank.send_next = now + copies_ + options_.copy_resend;
+      rank.next_poll = now + expected_copy_time_;
+      rank.send_next = now + expected_copy_time_ + options_.copy_resend;
       break;
     case OrderAnswer::kUnanswered:
       rank.send_next = now;
@@ -192,7 +194,7 @@
       return;
     case SwitchPhase::kHolding:
       // The group was faster than thought.
-      if (++late_holds_ >= kMostLateHolds) {
+      if (++late_holds_ >= kMaxLateHolds) {
         GiveUp("the step to hold was always over", now);
         return;
       }
@@ -210,7 +212,7 @@
       } else if (rank.report.has_value() && rank.report->armed.has_value()) {
         rank.to_disarm = rank.report->armed->version;
       } else if (rank.report.has_value() && rank.report->prepared.has_value() &&
-                 *rank.report->prepared >= target_version_) {
+                 *rank.report->prepared >= pending_version_) {
         next_version_ = std::max(next_version_, rank.report->prepared->Next());
         BeginClearing(now);
       }
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -147,7 +147,7 @@
              {"waiting", waiting},
              {"slots", engine_.slots * ranks_},
              {"slowest_percent", static_cast<int>(slowest * kPercent)},
-             {"heard", silence_.heard()},
+             {"heard", silence_.known_ranks()},
              {"missing", silence_.Missing(now).size()},
              {"counts", static_cast<std::uint64_t>(loads_.weight())},
              {"sums", sums_},
@@ -158,7 +158,7 @@
 }
 
 GroupFigures GroupTask::figures(TimePoint now) const {
-  return {silence_.heard(), silence_.Missing(now).size(), OldestSum(now),
+  return {silence_.known_ranks(), silence_.Missing(now).size(), OldestSum(now),
           last_plan_, now - ticked_at_};
 }
 
@@ -194,7 +194,7 @@
   for (const groups::RankOrder& order : SendWide(switch_.Tick(now), now)) {
     SendOrder(order);
   }
-  const std::vector<RankIndex> asked = switch_.Questions(now);
+  const std::vector<RankIndex> asked = switch_.RanksToPoll(now);
   if (asked.size() > kMostCalls) {
     // The readers tell of all sooner than the leader could ask them.
     shares_.Hasten(now);
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -90,12 +90,12 @@
   // group_task_readings.cc
   void BeginRounds(TimePoint now);
   void AskRound(const Round& round);
-  std::optional<groups::RoundAnswer> AnswerOf(
+  std::optional<groups::RoundResponse> AnswerOf(
       const Round& round,
-      const groups::RoundQuestion& question);
+      const groups::RoundRequest& question);
   double read_work() const;
-  void NoteSum(const Round& round, const groups::RoundAnswer& answer);
-  void NoteSilent(const Round& round, const groups::RoundAnswer& answer);
+  void NoteSum(const Round& round, const groups::RoundResponse& answer);
+  void NoteSilent(const Round& round, const groups::RoundResponse& answer);
   void AskSilent(TimePoint now);
   void AskReport(RankIndex rank, const net::Endpoint& endpoint);
   void TakeReport(RankIndex rank,
@@ -129,12 +129,13 @@
   // them; returns the others.
   std::vector<groups::RankOrder> SendWide(std::vector<groups::RankOrder> orders,
                                           TimePoint now);
-  groups::WideOrder WideOrderOf(const groups::RankOrder& order) const;
+  groups::MulticastOrder WideOrderOf(const groups::RankOrder& order) const;
   void SendPart(const Round& part,
                 const groups::RankOrder& order,
-                groups::WideOrder wide);
-  std::optional<groups::WideAnswer> AnswerOf(const Round& part,
-                                             const groups::WideOrder& wide);
+                groups::MulticastOrder wide);
+  std::optional<groups::MulticastResult> AnswerOf(
+      const Round& part,
+      const groups::MulticastOrder& wide);
   void OnAnswer(const groups::RankOrder& order, int status);
   EngineCalls::Answer AskForHold(const net::Endpoint& engine,
                                  const net::HttpRequest& request);
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -77,7 +77,7 @@
       ranks.push_back(order.rank);
     }
   }
-  const groups::WideOrder wide = WideOrderOf(first);
+  const groups::MulticastOrder wide = WideOrderOf(first);
   std::set<RankIndex> sent;
   for (const Round& part : shares_.Split(ranks, now)) {
     if (!part.reader.has_value()) {
@@ -93,10 +93,11 @@
 }
 
 // For no rank yet.
-groups::WideOrder GroupTask::WideOrderOf(const groups::RankOrder& order) const {
+groups::MulticastOrder GroupTask::WideOrderOf(
+    const groups::RankOrder& order) const {
   const net::HttpRequest request = protocol_.order_request(order, ranks_);
-  groups::WideOrder wide;
-  wide.patience = kOrderPatience;
+  groups::MulticastOrder wide;
+  wide.timeout = kOrderPatience;
   wide.method = request.method;
   wide.target = request.target;
   wide.content_type = request.headers.ValueOr("Content-Type", "");
@@ -106,7 +107,7 @@
 
 void GroupTask::SendPart(const Round& part,
                          const groups::RankOrder& order,
-                         groups::WideOrder wide) {
+                         groups::MulticastOrder wide) {
   for (const RankIndex rank : part.ranks) {
     wide.ranks.push_back({rank, addresses_.at(rank).ToString()});
   }
@@ -126,9 +127,9 @@
   });
 }
 
-std::optional<groups::WideAnswer> GroupTask::AnswerOf(
+std::optional<groups::MulticastResult> GroupTask::AnswerOf(
     const Round& part,
-    const groups::WideOrder& wide) {
+    const groups::MulticastOrder& wide) {
   if (!may_act_()) {
     return std::nullopt;
   }
@@ -136,7 +137,7 @@
       calls_.AskNode(*part.reader, OrderSpreader::RequestFor(wide),
                      OrderSpreader::PatienceFor(wide) + kOrderWay);
   return answer.status == net::status::kOk
-             ? groups::DecodeWideAnswer(answer.body)
+             ? groups::DecodeMulticastResult(answer.body)
              : std::nullopt;
 }
 
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -51,22 +51,23 @@
   }
 }
 
-std::optional<groups::RoundAnswer> GroupTask::AnswerOf(
+std::optional<groups::RoundResponse> GroupTask::AnswerOf(
     const Round& round,
-    const groups::RoundQuestion& question) {
+    const groups::RoundRequest& question) {
   if (!round.reader.has_value()) {
     return rounds_.Read(question);
   }
   const EngineCalls::Answer answer =
       calls_.AskNode(*round.reader, RankRounds::RequestFor(question),
                      RankRounds::kRoundPatience + kRoundWay);
-  return answer.status == net::status::kOk ? groups::DecodeAnswer(answer.body)
-                                           : std::nullopt;
+  return answer.status == net::status::kOk
+             ? groups::DecodeRoundResponse(answer.body)
+             : std::nullopt;
 }
 
 void GroupTask::AskRound(const Round& round) {
   Spawn([this, round] {
-    groups::RoundQuestion question;
+    groups::RoundRequest question;
     question.group = group_;
     question.mark = sums_of_[round.reader].mark;
     question.read_work = read_work();
@@ -89,10 +90,10 @@
     }
     shares_.OnAnswer(round, answer->domain, SteadyNow());
     NoteSum(round, *answer);
-    for (const groups::RankWord& word : answer->words) {
+    for (const groups::RankPollResult& word : answer->results) {
       // The answer waits for the slowest rank; that a rank answers is known of
       // the time at which it was asked, and it may be frozen since.
-      const TimePoint at = asked + word.asked_after;
+      const TimePoint at = asked + word.poll_delay;
       TakeReport(word.rank, word.report, at, at);
     }
     NoteSilent(round, *answer);
@@ -100,7 +101,8 @@
   });
 }
 
-void GroupTask::NoteSum(const Round& round, const groups::RoundAnswer& answer) {
+void GroupTask::NoteSum(const Round& round,
+                        const groups::RoundResponse& answer) {
   const TimePoint now = SteadyNow();
   Sum& sum = sums_of_[round.reader];
   sum.mark = answer.mark;
@@ -115,16 +117,16 @@
 // Where most of its ranks are silent, the reader may be cut off or late itself;
 // the leader asks them then.
 void GroupTask::NoteSilent(const Round& round,
-                           const groups::RoundAnswer& answer) {
+                           const groups::RoundResponse& answer) {
   std::set<RankIndex> silent(round.ranks.begin(), round.ranks.end());
-  for (const groups::RankWord& word : answer.words) {
+  for (const groups::RankPollResult& word : answer.results) {
     silent.erase(word.rank);
   }
   if (silent.size() * 2 >= round.ranks.size()) {
     return;
   }
   for (const RankIndex rank : silent) {
-    silence_.OnSilent(rank, SteadyNow());
+    silence_.OnTimeout(rank, SteadyNow());
   }
 }
 
@@ -144,7 +146,8 @@
   }
   std::vector<RankIndex> silent;
   for (const auto& [rank, endpoint] : addresses_) {
-    if (silent.size() < kAsksAtOnce && !silence_.IsHeard(rank, kSilent, now) &&
+    if (silent.size() < kAsksAtOnce &&
+        !silence_.HasResponded(rank, kSilent, now) &&
         now - asked_at_[rank] > kSilent) {
       silent.push_back(rank);
     }
@@ -167,7 +170,7 @@
     const auto report = protocol_.read_report(answer.body);
     if (!report.has_value()) {
       if (!silence_.WasLateSince(asked, SteadyNow())) {
-        silence_.OnSilent(rank, SteadyNow());
+        silence_.OnTimeout(rank, SteadyNow());
       }
       return;
     }
@@ -181,7 +184,7 @@
                            TimePoint as_of,
                            TimePoint heard_at) {
   paces_[rank] = report.pace;
-  silence_.OnHeard(rank, SteadyNow());
+  silence_.OnResponse(rank, SteadyNow());
   loads_at_[rank] = {report.running, report.waiting};
   newest_step_ = report.step;
   switch_.OnReport(rank, report, as_of, heard_at);
--- a/src/plugins/control_node/order_spreader.cc
+++ b/src/plugins/control_node/order_spreader.cc
@@ -20,7 +20,7 @@
 constexpr Duration kTimePerRank = Milliseconds(1);
 
 // What all ranks get.
-net::HttpRequest RequestToEngines(const groups::WideOrder& order) {
+net::HttpRequest RequestToEngines(const groups::MulticastOrder& order) {
   net::HttpRequest request;
   request.method = order.method;
   request.target = order.target;
@@ -33,7 +33,7 @@
 }
 
 struct Replies {
-  groups::WideAnswer answer;
+  groups::MulticastResult answer;
   std::size_t missing = 0;
   net::FiberSignal changed;
 };
@@ -44,7 +44,8 @@
   return request.target == kSpreadTarget;
 }
 
-net::HttpRequest OrderSpreader::RequestFor(const groups::WideOrder& order) {
+net::HttpRequest OrderSpreader::RequestFor(
+    const groups::MulticastOrder& order) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = kSpreadTarget;
@@ -53,25 +54,26 @@
   return request;
 }
 
-Duration OrderSpreader::PatienceFor(const groups::WideOrder& order) {
-  return order.patience + kWay +
+Duration OrderSpreader::PatienceFor(const groups::MulticastOrder& order) {
+  return order.timeout + kWay +
          kTimePerRank * static_cast<Duration::rep>(order.ranks.size());
 }
 
-groups::WideAnswer OrderSpreader::Spread(const groups::WideOrder& order) {
+groups::MulticastResult OrderSpreader::Spread(
+    const groups::MulticastOrder& order) {
   const auto request =
       std::make_shared<const net::HttpRequest>(RequestToEngines(order));
-  const EngineCalls::Patience patience{order.patience,
-                                       PatienceFor(order) - order.patience};
+  const EngineCalls::Patience timeout{order.timeout,
+                                      PatienceFor(order) - order.timeout};
   auto replies = std::make_shared<Replies>();
   replies->missing = order.ranks.size();
   replies->answer.statuses.resize(order.ranks.size());
   for (std::size_t i = 0; i < order.ranks.size(); ++i) {
-    loop_.Spawn([this, request, patience, replies, i,
+    loop_.Spawn([this, request, timeout, replies, i,
                  engine = net::ParseEndpoint(order.ranks[i].engine)] {
       if (engine.has_value()) {
         const EngineCalls::Answer answer =
-            calls_.AskSidecar(*engine, *request, patience);
+            calls_.AskSidecar(*engine, *request, timeout);
         replies->answer.statuses[i] = static_cast<std::uint32_t>(answer.status);
       }
       --replies->missing;
@@ -85,7 +87,7 @@
 }
 
 void OrderSpreader::Answer(net::HttpExchange& exchange) {
-  const auto order = groups::DecodeWideOrder(exchange.request().body);
+  const auto order = groups::DecodeMulticastOrder(exchange.request().body);
   net::HttpResponseHead head;
   if (!order.has_value()) {
     head.status = net::status::kBadRequest;
--- a/src/plugins/control_node/order_spreader.h
+++ b/src/plugins/control_node/order_spreader.h
@@ -20,17 +20,17 @@
   OrderSpreader(net::NetworkLoop& loop, EngineCalls& calls)
       : loop_(loop), calls_(calls) {}
 
-  // Whether a request of another control node is a groups::WideOrder.
+  // Whether a request of another control node is a groups::MulticastOrder.
   static bool IsAsked(const net::HttpRequest& request);
-  static net::HttpRequest RequestFor(const groups::WideOrder& order);
+  static net::HttpRequest RequestFor(const groups::MulticastOrder& order);
 
   // Blocks the calling fiber until all ranks have answered or were given up.
-  groups::WideAnswer Spread(const groups::WideOrder& order);
+  groups::MulticastResult Spread(const groups::MulticastOrder& order);
   // The same for another control node; 400 for what can't be read.
   void Answer(net::HttpExchange& exchange);
 
   // How long Spread() may take.
-  static Duration PatienceFor(const groups::WideOrder& order);
+  static Duration PatienceFor(const groups::MulticastOrder& order);
 
  private:
   net::NetworkLoop& loop_;
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_rounds.cc
@@ -36,7 +36,7 @@
 
 struct RankRounds::Round {
   TimePoint begun;
-  std::vector<groups::RankWord> words;
+  std::vector<groups::RankPollResult> results;
   std::size_t missing = 0;
   net::FiberSignal changed;
 };
@@ -50,7 +50,7 @@
   return request.target == kRoundTarget;
 }
 
-net::HttpRequest RankRounds::RequestFor(const groups::RoundQuestion& question) {
+net::HttpRequest RankRounds::RequestFor(const groups::RoundRequest& question) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = kRoundTarget;
@@ -59,7 +59,7 @@
   return request;
 }
 
-RankRounds::Group& RankRounds::GroupOf(const groups::RoundQuestion& question,
+RankRounds::Group& RankRounds::GroupOf(const groups::RoundRequest& question,
                                        TimePoint now) {
   auto found = groups_.find(question.group);
   // Its engines may have been replaced by ones with other experts.
@@ -100,7 +100,7 @@
   return !std::exchange(mark.is_asked, true);
 }
 
-std::optional<groups::RankWord> RankRounds::ReadRank(
+std::optional<groups::RankPollResult> RankRounds::ReadRank(
     const GroupId& group,
     const groups::RankAddress& rank,
     TimePoint begun) {
@@ -126,10 +126,11 @@
   if (reading->growth.has_value()) {
     found->second.sums.Add(*reading->growth);
   }
-  return groups::RankWord{rank.rank, answer.as_of - begun, reading->report};
+  return groups::RankPollResult{rank.rank, answer.as_of - begun,
+                                reading->report};
 }
 
-groups::RoundAnswer RankRounds::Read(const groups::RoundQuestion& question) {
+groups::RoundResponse RankRounds::Read(const groups::RoundRequest& question) {
   const TimePoint begun = SteadyNow();
   Forget(begun);
   GroupOf(question, begun);
@@ -139,7 +140,7 @@
   for (const groups::RankAddress& rank : question.ranks) {
     loop_.Spawn([this, round, group = question.group, rank] {
       if (auto word = ReadRank(group, rank, round->begun)) {
-        round->words.push_back(*std::move(word));
+        round->results.push_back(*std::move(word));
       }
       --round->missing;
       round->changed.NotifyAll();
@@ -149,17 +150,17 @@
          round->changed.WaitUntil(begun + kRoundPatience)) {
   }
   Group& group = GroupOf(question, SteadyNow());
-  groups::RoundAnswer answer;
+  groups::RoundResponse answer;
   answer.domain = domain_;
   // A late one still adds to `round`, which nobody reads again.
-  answer.words = std::move(round->words);
+  answer.results = std::move(round->results);
   answer.work = group.sums.Take(question.mark);
   answer.mark = group.sums.mark();
   return answer;
 }
 
 void RankRounds::Answer(net::HttpExchange& exchange) {
-  const auto question = groups::DecodeQuestion(exchange.request().body);
+  const auto question = groups::DecodeRoundRequest(exchange.request().body);
   net::HttpResponseHead head;
   if (!question.has_value()) {
     head.status = net::status::kBadRequest;
--- a/src/plugins/control_node/rank_rounds.h
+++ b/src/plugins/control_node/rank_rounds.h
@@ -24,13 +24,13 @@
  public:
   RankRounds(net::NetworkLoop& loop, EngineCalls& calls, FailureDomain domain);
 
-  // Whether a request of another control node is a groups::RoundQuestion.
+  // Whether a request of another control node is a groups::RoundRequest.
   static bool IsAsked(const net::HttpRequest& request);
-  static net::HttpRequest RequestFor(const groups::RoundQuestion& question);
+  static net::HttpRequest RequestFor(const groups::RoundRequest& question);
 
   // Blocks the calling fiber until all ranks have answered, or for
   // kRoundPatience. What comes later is in the next sum.
-  groups::RoundAnswer Read(const groups::RoundQuestion& question);
+  groups::RoundResponse Read(const groups::RoundRequest& question);
   // The same for another control node; 400 for what can't be read.
   void Answer(net::HttpExchange& exchange);
 
@@ -54,10 +54,11 @@
 
   // False where the rank has another question under way.
   bool BeginReading(const GroupId& group, RankIndex rank);
-  std::optional<groups::RankWord> ReadRank(const GroupId& group,
-                                           const groups::RankAddress& rank,
-                                           TimePoint begun);
-  Group& GroupOf(const groups::RoundQuestion& question, TimePoint now);
+  std::optional<groups::RankPollResult> ReadRank(
+      const GroupId& group,
+      const groups::RankAddress& rank,
+      TimePoint begun);
+  Group& GroupOf(const groups::RoundRequest& question, TimePoint now);
   void Forget(TimePoint now);
 
   net::NetworkLoop& loop_;
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_rounds_test.cc
@@ -84,12 +84,12 @@
     spreader_ = std::make_unique<OrderSpreader>(loop_, *calls_);
   }
 
-  groups::RoundAnswer Read(placement::ReadingMark mark,
-                           std::uint32_t counters = 1) {
-    groups::RoundQuestion question{kGroup, mark, 1.0, counters, Addresses()};
+  groups::RoundResponse Read(placement::ReadingMark mark,
+                             std::uint32_t counters = 1) {
+    groups::RoundRequest question{kGroup, mark, 1.0, counters, Addresses()};
     return rounds_->Read(question);
   }
-  groups::WideAnswer Spread(const std::string& body) {
+  groups::MulticastResult Spread(const std::string& body) {
     return spreader_->Spread({Addresses(), Milliseconds(50), "POST", "/order",
                               "text/plain", packing::Pack(body)});
   }
@@ -186,12 +186,12 @@
     placement::ReadingMark mark;
     std::set<RankIndex> heard;
     for (int i = 0; i < kMostTries && heard.size() < kRanks; ++i) {
-      const groups::RoundAnswer answer = world.Read(mark);
+      const groups::RoundResponse answer = world.Read(mark);
       mark = answer.mark;
       CHECK(answer.domain == kDomain);
-      for (const groups::RankWord& word : answer.words) {
+      for (const groups::RankPollResult& word : answer.results) {
         heard.insert(word.rank);
-        CHECK(word.asked_after >= Duration::zero());
+        CHECK(word.poll_delay >= Duration::zero());
       }
       // First readings only set the marks.
       CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) ==
@@ -203,13 +203,13 @@
     }
     double work = 0.0;
     for (int i = 0; i < kMostTries && work < 60.0; ++i) {
-      const groups::RoundAnswer answer = world.Read(mark);
+      const groups::RoundResponse answer = world.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
     CHECK(work == doctest::Approx(60.0));
     // Nothing new, and nothing twice.
-    const groups::RoundAnswer answer = world.Read(mark);
+    const groups::RoundResponse answer = world.Read(mark);
     CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) == 0.0);
   });
 }
@@ -223,7 +223,7 @@
     double work = 0.0;
     for (int i = 0; i < kMostTries && work == 0.0; ++i) {
       ++world.engine(0).step;
-      const groups::RoundAnswer answer = world.Read(mark);
+      const groups::RoundResponse answer = world.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
@@ -237,9 +237,9 @@
   WithWorld([](World& world) {
     world.engine(1).is_silent = true;
     // Returns at all, though that rank says nothing as long as it lasts.
-    const groups::RoundAnswer answer = world.Read({});
+    const groups::RoundResponse answer = world.Read({});
     CHECK(world.engine(1).is_silent);
-    for (const groups::RankWord& word : answer.words) {
+    for (const groups::RankPollResult& word : answer.results) {
       CHECK(word.rank != RankIndex(1));
     }
   });
@@ -255,7 +255,7 @@
     for (int i = 0; i < kMostTries &&
                     (statuses[0] != kAccepted || statuses[1] != kAccepted);
          ++i) {
-      const groups::WideAnswer answer = world.Spread(map);
+      const groups::MulticastResult answer = world.Spread(map);
       REQUIRE(answer.statuses.size() == kRanks);
       CHECK(answer.statuses[2] == 0);
       statuses[0] = std::max(statuses[0], answer.statuses[0]);
--- a/tests/auto/groups/fake_group.h
+++ b/tests/auto/groups/fake_group.h
@@ -27,7 +27,7 @@
 
   explicit FakeGroup(std::uint32_t ranks) : engines_(ranks) {}
 
-  OrderAnswer Obey(const RankOrder& order) {
+  OrderAnswer Execute(const RankOrder& order) {
     if (order.epoch != epoch_) {
       return OrderAnswer::kRefused;
     }
@@ -80,11 +80,11 @@
     const StepNumber next = step_.Next();
     for (const Engine& engine : engines_) {
       if (engine.held == next) {
-        ++stalled_;
+        ++stalled_attempts_;
         return;
       }
     }
-    stalled_ = 0;
+    stalled_attempts_ = 0;
     step_ = next;
     for (Engine& engine : engines_) {
       if (engine.armed && engine.armed->step == step_) {
@@ -94,7 +94,7 @@
     }
     for (const Engine& engine : engines_) {
       if (engine.map != engines_.front().map) {
-        ++split_steps_;
+        ++mixed_map_steps_;
       }
     }
   }
@@ -113,7 +113,7 @@
   }
 
   // A rank ended: the group forms anew and has forgotten everything.
-  void FormAnew() {
+  void Reform() {
     epoch_ = epoch_.Next();
     for (Engine& engine : engines_) {
       engine = {};
@@ -122,15 +122,15 @@
 
   MapVersion map() const { return engines_.front().map; }
   StepNumber step() const { return step_; }
-  int split_steps() const { return split_steps_; }
-  int stalled() const { return stalled_; }
+  int mixed_map_steps() const { return mixed_map_steps_; }
+  int stalled_attempts() const { return stalled_attempts_; }
 
  private:
   GroupEpoch epoch_{1};
   StepNumber step_{1};
   std::vector<Engine> engines_;
-  int split_steps_ = 0;
-  int stalled_ = 0;
+  int mixed_map_steps_ = 0;
+  int stalled_attempts_ = 0;
 };
 
 }  // namespace bilberryspool::groups
--- a/tests/auto/groups/freeze_at_any_moment_test.cc
+++ b/tests/auto/groups/freeze_at_any_moment_test.cc
@@ -23,7 +23,7 @@
 namespace bilberryspool::groups {
 namespace {
 
-constexpr Duration kLongestHold = Milliseconds(500);
+constexpr Duration kMaxStall = Milliseconds(500);
 constexpr Duration kFreeze = Seconds(4);
 constexpr Duration kSweepStep = Microseconds(500);
 constexpr Duration kSweepEnd = Milliseconds(60);
@@ -44,7 +44,7 @@
         FreezeWorld world(seed);
         world.Freeze(RankIndex(row.rank), begin, kFreeze);
         world.RunChange(kFreeze + Seconds(2));
-        held += world.held() > kLongestHold ? 1 : 0;
+        held += world.held() > kMaxStall ? 1 : 0;
       }
       CHECK(held == 0);
     }
--- a/tests/auto/groups/freeze_meets_change_test.cc
+++ b/tests/auto/groups/freeze_meets_change_test.cc
@@ -32,7 +32,7 @@
 
 // Callers take a pause of 0.12 to 0.15 s for late and leave after 2 s; an
 // ordinary change that met something may cost a few pauses.
-constexpr Duration kLongestHold = Milliseconds(500);
+constexpr Duration kMaxStall = Milliseconds(500);
 constexpr Duration kFreeze = Seconds(4);
 constexpr Duration kSweepStep = Microseconds(500);
 constexpr Duration kSweepEnd = Milliseconds(60);
@@ -41,8 +41,8 @@
 struct Sweep {
   int plays = 0;
   int held = 0;
-  int held_without_doubt = 0;
-  int split_steps = 0;
+  int held_with_known_outcome = 0;
+  int mixed_map_steps = 0;
   int not_idle = 0;
 };
 
@@ -53,13 +53,13 @@
     world.Freeze(rank, begin, kFreeze);
     world.RunChange(kFreeze + Seconds(2));
     ++sweep.plays;
-    sweep.split_steps += world.group().split_steps();
+    sweep.mixed_map_steps += world.group().mixed_map_steps();
     sweep.not_idle += world.phase() == SwitchPhase::kIdle ? 0 : 1;
-    if (world.held() <= kLongestHold) {
+    if (world.held() <= kMaxStall) {
       continue;
     }
     ++sweep.held;
-    sweep.held_without_doubt += world.was_struck_in_doubt() ? 0 : 1;
+    sweep.held_with_known_outcome += world.froze_with_unknown_outcome() ? 0 : 1;
   }
   return sweep;
 }
@@ -80,7 +80,7 @@
     world.RunChange(Seconds(1));
     CHECK(world.phase() == SwitchPhase::kIdle);
     CHECK(world.held() < FreezeWorld::kStep);
-    CHECK(world.group().split_steps() == 0);
+    CHECK(world.group().mixed_map_steps() == 0);
   }
 }
 
@@ -90,9 +90,9 @@
       CAPTURE(row.name);
       CAPTURE(seed);
       const Sweep sweep = MoveFreeze(RankIndex(row.rank), seed);
-      CHECK(sweep.split_steps == 0);
+      CHECK(sweep.mixed_map_steps == 0);
       CHECK(sweep.not_idle == 0);
-      CHECK(sweep.held_without_doubt == 0);
+      CHECK(sweep.held_with_known_outcome == 0);
     }
   }
 }
@@ -102,15 +102,15 @@
 // needs for the words and orders of the few others that are in doubt with it.
 TEST_CASE("a rank is in doubt for no more than its own exchange") {
   constexpr int kOthersAtOnce = 3;
-  constexpr Duration kLongestDoubt =
+  constexpr Duration kMaxUnknownTime =
       FreezeWorld::kRoundTrip * 3 / 2 +
-      FreezeWorld::kOwnerTurn * 2 * (kOthersAtOnce + 1);
+      FreezeWorld::kOwnerProcessingTime * 2 * (kOthersAtOnce + 1);
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(row.name);
       CAPTURE(seed);
       const Sweep sweep = MoveFreeze(RankIndex(row.rank), seed);
-      CHECK(sweep.held * kSweepStep <= kLongestDoubt + kSweepStep);
+      CHECK(sweep.held * kSweepStep <= kMaxUnknownTime + kSweepStep);
     }
   }
 }
@@ -126,7 +126,7 @@
         FreezeWorld world(seed);
         world.Freeze(RankIndex(row.rank), begin, kFreeze);
         world.RunChange(Seconds(1));
-        if (!world.was_struck_in_doubt()) {
+        if (!world.froze_with_unknown_outcome()) {
           CHECK(world.held() < FreezeWorld::kStep);
         }
       }
@@ -145,7 +145,7 @@
       }
       world.RunChange(kFreeze + Seconds(2));
       CAPTURE(begin.count());
-      CHECK(world.group().split_steps() == 0);
+      CHECK(world.group().mixed_map_steps() == 0);
       CHECK(world.phase() == SwitchPhase::kIdle);
     }
   }
--- a/tests/auto/groups/freeze_world.cc
+++ b/tests/auto/groups/freeze_world.cc
@@ -10,8 +10,8 @@
 
 constexpr std::uint32_t kFirstVersion = 1000;
 // What an order is waited for, as with real engines.
-constexpr Duration kOrderPatience = Milliseconds(80);
-constexpr Duration kReportPatience = Milliseconds(300);
+constexpr Duration kOrderTimeout = Milliseconds(80);
+constexpr Duration kReportTimeout = Milliseconds(300);
 constexpr Duration kReportInterval = Milliseconds(250);
 
 std::shared_ptr<const placement::ExpertMap> AnyMap() {
@@ -32,11 +32,11 @@
 FreezeWorld::FreezeWorld(std::uint64_t seed, StepSwitchOptions options)
     : random_(seed),
       step_due_(now_),
-      ask_due_(now_),
+      poll_due_(now_),
       owner_(ForAllRanks(options), MapVersion(kFirstVersion), now_) {
   const TimePoint latest = now_ + Seconds(3);
   while (owner_.phase() != SwitchPhase::kIdle && now_ < latest) {
-    Turn();
+    AdvanceTime();
     if (const auto version = owner_.unread_version()) {
       owner_.OnMapRead(*version, AnyMap());
     }
@@ -54,15 +54,15 @@
   holds_.clear();
   owner_.Begin(AnyMap(), Duration::zero(), now_);
   while (now_ < change_at_ + length) {
-    Turn();
+    AdvanceTime();
   }
 }
 
-bool FreezeWorld::was_struck_in_doubt() const {
+bool FreezeWorld::froze_with_unknown_outcome() const {
   for (const auto& [rank, frozen] : frozen_) {
-    for (const auto* doubts : {&arms_, &holds_}) {
-      const auto found = doubts->find(rank);
-      if (found != doubts->end() && frozen.begin >= found->second.from &&
+    for (const auto* periods : {&arms_, &holds_}) {
+      const auto found = periods->find(rank);
+      if (found != periods->end() && frozen.begin >= found->second.from &&
           (!found->second.until.has_value() ||
            frozen.begin <= *found->second.until)) {
         return true;
@@ -73,28 +73,28 @@
 }
 
 // Exact where the exchange is; coarse while nothing but a thaw is waited for.
-Duration FreezeWorld::TurnLength() const {
+Duration FreezeWorld::TimeStep() const {
   constexpr Duration kExchange = Milliseconds(200);
   return now_ - change_at_ < kExchange ? Microseconds(200) : Milliseconds(4);
 }
 
-void FreezeWorld::Turn() {
-  now_ += TurnLength();
+void FreezeWorld::AdvanceTime() {
+  now_ += TimeStep();
   while (!events_.empty() && events_.begin()->first <= now_) {
     auto event = std::move(events_.begin()->second);
     events_.erase(events_.begin());
     event();
   }
   BeginSteps();
-  if (now_ >= ask_due_) {
-    ask_due_ = now_ + kReportInterval;
-    AskAll();
+  if (now_ >= poll_due_) {
+    poll_due_ = now_ + kReportInterval;
+    PollAll();
   }
   for (const RankOrder& order : owner_.Tick(now_)) {
     Send(order);
   }
-  for (const RankIndex rank : owner_.Questions(now_)) {
-    Ask(rank);
+  for (const RankIndex rank : owner_.RanksToPoll(now_)) {
+    Poll(rank);
   }
 }
 
@@ -105,7 +105,7 @@
   const StepNumber before = group_.step();
   group_.BeginStep();
   if (group_.step() == before) {
-    held_ += TurnLength();
+    held_ += TimeStep();
     return;
   }
   step_due_ = now_ + kStep;
@@ -116,7 +116,7 @@
 }
 
 TimePoint FreezeWorld::OwnerDone(TimePoint when) {
-  owner_free_at_ = std::max(when, owner_free_at_) + kOwnerTurn;
+  owner_free_at_ = std::max(when, owner_free_at_) + kOwnerProcessingTime;
   return owner_free_at_;
 }
 
@@ -125,7 +125,7 @@
      [this, arrives, what = std::move(what)] { At(OwnerDone(arrives), what); });
 }
 
-TimePoint FreezeWorld::Awake(RankIndex rank, TimePoint when) const {
+TimePoint FreezeWorld::AwakeAt(RankIndex rank, TimePoint when) const {
   const auto found = frozen_.find(rank);
   const bool is_frozen = found != frozen_.end() &&
                          when >= found->second.begin &&
@@ -134,69 +134,72 @@
 }
 
 void FreezeWorld::Send(const RankOrder& order) {
-  NoteSent(order);
+  RecordSent(order);
   auto is_over = std::make_shared<bool>(false);
-  At(now_ + kOrderPatience, [this, order, is_over] {
+  At(now_ + kOrderTimeout, [this, order, is_over] {
     if (!std::exchange(*is_over, true)) {
       owner_.OnAnswer(order, OrderAnswer::kUnanswered, now_);
     }
   });
-  const TimePoint arrives = Awake(order.rank, OwnerDone(now_) + Way());
+  const TimePoint arrives =
+      AwakeAt(order.rank, OwnerDone(now_) + RandomLatency());
   At(arrives, [this, order, is_over, arrives] {
-    const OrderAnswer answer = group_.Obey(order);
-    const TimePoint leaves = Awake(order.rank, arrives + kTurn);
-    AtOwner(leaves + Way(), [this, order, is_over, answer, leaves] {
+    const OrderAnswer answer = group_.Execute(order);
+    const TimePoint leaves = AwakeAt(order.rank, arrives + kProcessingTime);
+    AtOwner(leaves + RandomLatency(), [this, order, is_over, answer, leaves] {
       if (!std::exchange(*is_over, true)) {
-        NoteAnswerLeft(order, leaves);
+        RecordAnswerSent(order, leaves);
         owner_.OnAnswer(order, answer, now_);
       }
     });
   });
 }
 
-void FreezeWorld::Ask(RankIndex rank) {
+void FreezeWorld::Poll(RankIndex rank) {
   const TimePoint asked = now_;
-  const TimePoint arrives = Awake(rank, OwnerDone(now_) + Way());
+  const TimePoint arrives = AwakeAt(rank, OwnerDone(now_) + RandomLatency());
   At(arrives, [this, rank, asked, arrives] {
     const EngineReport report = group_.Report(rank);
-    const TimePoint leaves = Awake(rank, arrives + kTurn);
-    const TimePoint back = leaves + Way();
-    if (back - asked > kReportPatience) {
+    const TimePoint leaves = AwakeAt(rank, arrives + kProcessingTime);
+    const TimePoint back = leaves + RandomLatency();
+    if (back - asked > kReportTimeout) {
       return;
     }
     AtOwner(back, [this, rank, asked, report, leaves] {
-      word_left_at_[rank] = leaves;
+      report_sent_at_[rank] = leaves;
       owner_.OnReport(rank, report, asked, now_);
     });
   });
 }
 
-void FreezeWorld::AskAll() {
+void FreezeWorld::PollAll() {
   for (std::uint32_t i = 0; i < kRanks; ++i) {
-    Ask(RankIndex(i));
+    Poll(RankIndex(i));
   }
 }
 
 // An owner can't tell a VM that froze after its last word from one that froze
 // after the order had come.
-void FreezeWorld::NoteSent(const RankOrder& order) {
+void FreezeWorld::RecordSent(const RankOrder& order) {
   if (std::holds_alternative<ArmMap>(order.order)) {
-    arms_.try_emplace(order.rank, Doubt{word_left_at_[order.rank], {}});
+    arms_.try_emplace(order.rank,
+                      UnknownOutcomePeriod{report_sent_at_[order.rank], {}});
   }
   if (std::holds_alternative<HoldStep>(order.order)) {
-    holds_.try_emplace(order.rank, Doubt{word_left_at_[order.rank], {}});
+    holds_.try_emplace(order.rank,
+                       UnknownOutcomePeriod{report_sent_at_[order.rank], {}});
   }
 }
 
-void FreezeWorld::NoteAnswerLeft(const RankOrder& order, TimePoint when) {
+void FreezeWorld::RecordAnswerSent(const RankOrder& order, TimePoint when) {
   const bool is_arm = std::holds_alternative<ArmMap>(order.order);
   const bool is_release = std::holds_alternative<ReleaseStep>(order.order);
   if (!is_arm && !is_release) {
     return;
   }
-  auto& doubts = is_arm ? arms_ : holds_;
-  const auto found = doubts.find(order.rank);
-  if (found != doubts.end() && !found->second.until.has_value()) {
+  auto& periods = is_arm ? arms_ : holds_;
+  const auto found = periods.find(order.rank);
+  if (found != periods.end() && !found->second.until.has_value()) {
     found->second.until = when;
   }
 }
--- a/tests/auto/groups/freeze_world.h
+++ b/tests/auto/groups/freeze_world.h
@@ -25,13 +25,13 @@
   static constexpr std::uint32_t kRanks = 16;
   // Between two VMs, one way: 0.5 ms between failure domains, and the turns of
   // two busy processes.
-  static constexpr Duration kShortestWay = Microseconds(600);
-  static constexpr Duration kLongestWay = Microseconds(1300);
+  static constexpr Duration kMinLatency = Microseconds(600);
+  static constexpr Duration kMaxLatency = Microseconds(1300);
   // From the arrival of a message until its answer leaves.
-  static constexpr Duration kTurn = Microseconds(400);
-  static constexpr Duration kRoundTrip = kLongestWay * 2 + kTurn;
+  static constexpr Duration kProcessingTime = Microseconds(400);
+  static constexpr Duration kRoundTrip = kMaxLatency * 2 + kProcessingTime;
   // The owner handles one message at a time, sent or received.
-  static constexpr Duration kOwnerTurn = Microseconds(200);
+  static constexpr Duration kOwnerProcessingTime = Microseconds(200);
   static constexpr Duration kStep = Milliseconds(40);
 
   explicit FreezeWorld(std::uint64_t seed, StepSwitchOptions options = {});
@@ -47,7 +47,7 @@
   SwitchPhase phase() const { return owner_.phase(); }
   // Whether the VM froze with an order to arm its rank, or a hold, not known to
   // be carried out or undone: no owner can know what its engine will do.
-  bool was_struck_in_doubt() const;
+  bool froze_with_unknown_outcome() const;
 
  private:
   struct Frozen {
@@ -55,41 +55,41 @@
     TimePoint end;
   };
   // What is on its way to the rank that freezes.
-  struct Doubt {
+  struct UnknownOutcomePeriod {
     TimePoint from;
     std::optional<TimePoint> until;
   };
 
-  void Turn();
-  Duration TurnLength() const;
+  void AdvanceTime();
+  Duration TimeStep() const;
   void At(TimePoint when, std::function<void()> what);
   // When the owner is done with a message that it takes up at `when`.
   TimePoint OwnerDone(TimePoint when);
   // Of a message to the owner.
   void AtOwner(TimePoint arrives, std::function<void()> what);
-  Duration Way() { return random_.Between(kShortestWay, kLongestWay); }
-  TimePoint Awake(RankIndex rank, TimePoint when) const;
+  Duration RandomLatency() { return random_.Between(kMinLatency, kMaxLatency); }
+  TimePoint AwakeAt(RankIndex rank, TimePoint when) const;
   void Send(const RankOrder& order);
-  void Ask(RankIndex rank);
-  void AskAll();
+  void Poll(RankIndex rank);
+  void PollAll();
   void BeginSteps();
-  void NoteSent(const RankOrder& order);
-  void NoteAnswerLeft(const RankOrder& order, TimePoint when);
+  void RecordSent(const RankOrder& order);
+  void RecordAnswerSent(const RankOrder& order, TimePoint when);
 
   Random random_;
   TimePoint now_ = TimeAt(Seconds(1000));
   TimePoint change_at_;
   TimePoint step_due_;
-  TimePoint ask_due_;
+  TimePoint poll_due_;
   TimePoint owner_free_at_;
   FakeGroup group_{kRanks};
   StepSwitch owner_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::map<RankIndex, Frozen> frozen_;
   // When the last report that has arrived had left each rank.
-  std::map<RankIndex, TimePoint> word_left_at_;
-  std::map<RankIndex, Doubt> arms_;
-  std::map<RankIndex, Doubt> holds_;
+  std::map<RankIndex, TimePoint> report_sent_at_;
+  std::map<RankIndex, UnknownOutcomePeriod> arms_;
+  std::map<RankIndex, UnknownOutcomePeriod> holds_;
   Duration held_{};
 };
 
--- a/tests/auto/groups/round_codec_test.cc
+++ b/tests/auto/groups/round_codec_test.cc
@@ -78,12 +78,12 @@
 }
 
 TEST_CASE("a question and its answer come back as they were") {
-  const RoundQuestion question{GroupId("g"),
-                               placement::ReadingMark(9),
-                               0.02,
-                               3'840,
-                               {{RankIndex(4), "10.0.0.4:80"}}};
-  const auto asked = DecodeQuestion(Encode(question));
+  const RoundRequest question{GroupId("g"),
+                              placement::ReadingMark(9),
+                              0.02,
+                              3'840,
+                              {{RankIndex(4), "10.0.0.4:80"}}};
+  const auto asked = DecodeRoundRequest(Encode(question));
   REQUIRE(asked.has_value());
   CHECK(asked->group == question.group);
   CHECK(asked->mark == question.mark);
@@ -93,19 +93,19 @@
   CHECK(asked->ranks[0].rank == RankIndex(4));
   CHECK(asked->ranks[0].engine == "10.0.0.4:80");
 
-  RoundAnswer answer;
+  RoundResponse answer;
   answer.domain = FailureDomain("sahab");
   answer.mark = placement::ReadingMark(10);
-  answer.words.push_back({RankIndex(4), Milliseconds(12), BusyReport()});
+  answer.results.push_back({RankIndex(4), Milliseconds(12), BusyReport()});
   answer.work = {0.0, 0.125, 17.5, 40'000.0};
-  const auto got = DecodeAnswer(Encode(answer));
+  const auto got = DecodeRoundResponse(Encode(answer));
   REQUIRE(got.has_value());
   CHECK(got->domain == answer.domain);
   CHECK(got->mark == answer.mark);
-  REQUIRE(got->words.size() == 1);
-  CHECK(got->words[0].rank == RankIndex(4));
-  CHECK(got->words[0].asked_after == Milliseconds(12));
-  CheckSame(got->words[0].report, BusyReport());
+  REQUIRE(got->results.size() == 1);
+  CHECK(got->results[0].rank == RankIndex(4));
+  CHECK(got->results[0].poll_delay == Milliseconds(12));
+  CheckSame(got->results[0].report, BusyReport());
   REQUIRE(got->work.size() == answer.work.size());
   for (std::size_t i = 0; i < answer.work.size(); ++i) {
     // A sixteen-bit share of the largest.
@@ -114,27 +114,28 @@
 }
 
 TEST_CASE("an order to several ranks and its answers come back as they were") {
-  const WideOrder order{{{RankIndex(4), "10.0.0.4:80"}},
-                        Milliseconds(25),
-                        "POST",
-                        "/order",
-                        "application/json",
-                        packing::Pack("{}")};
-  const auto got = DecodeWideOrder(Encode(order));
+  const MulticastOrder order{{{RankIndex(4), "10.0.0.4:80"}},
+                             Milliseconds(25),
+                             "POST",
+                             "/order",
+                             "application/json",
+                             packing::Pack("{}")};
+  const auto got = DecodeMulticastOrder(Encode(order));
   REQUIRE(got.has_value());
   REQUIRE(got->ranks.size() == 1);
   CHECK(got->ranks[0].rank == RankIndex(4));
   CHECK(got->ranks[0].engine == "10.0.0.4:80");
-  CHECK(got->patience == order.patience);
+  CHECK(got->timeout == order.timeout);
   CHECK(got->method == order.method);
   CHECK(got->target == order.target);
   CHECK(got->content_type == order.content_type);
   CHECK(got->body == order.body);
-  const auto answer = DecodeWideAnswer(Encode(WideAnswer{{202, 0, 409}}));
+  const auto answer =
+      DecodeMulticastResult(Encode(MulticastResult{{202, 0, 409}}));
   REQUIRE(answer.has_value());
   CHECK(answer->statuses == std::vector<std::uint32_t>{202, 0, 409});
-  CHECK_FALSE(DecodeWideOrder("x").has_value());
-  CHECK_FALSE(DecodeWideAnswer("").has_value());
+  CHECK_FALSE(DecodeMulticastOrder("x").has_value());
+  CHECK_FALSE(DecodeMulticastResult("").has_value());
 }
 
 TEST_CASE("bytes that were cut, or are longer, are no message") {
@@ -144,8 +145,8 @@
     CHECK_FALSE(DecodeReading(reading.substr(0, length)).has_value());
   }
   CHECK_FALSE(DecodeReading(reading + "x").has_value());
-  CHECK_FALSE(DecodeAnswer("").has_value());
-  CHECK_FALSE(DecodeQuestion("no such engine").has_value());
+  CHECK_FALSE(DecodeRoundResponse("").has_value());
+  CHECK_FALSE(DecodeRoundRequest("no such engine").has_value());
 }
 
 }  // namespace
--- a/tests/auto/groups/silent_ranks_test.cc
+++ b/tests/auto/groups/silent_ranks_test.cc
@@ -24,12 +24,12 @@
 
   // The listener itself stands still. What it had asked of the first `asked`
   // ranks times out.
-  void Stall(Duration length, std::uint32_t asked) {
+  void StallCaller(Duration length, std::uint32_t asked) {
     const TimePoint since = now_;
     now_ += length;
     for (std::uint32_t i = 0; i < asked; ++i) {
       if (!ranks_.WasLateSince(since, now_)) {
-        ranks_.OnSilent(RankIndex(i), now_);
+        ranks_.OnTimeout(RankIndex(i), now_);
       }
     }
   }
@@ -41,9 +41,9 @@
     asked_at_ = now_;
     for (std::uint32_t i = 0; i < kRanks; ++i) {
       if (i < silent) {
-        ranks_.OnSilent(RankIndex(i), now_);
+        ranks_.OnTimeout(RankIndex(i), now_);
       } else {
-        ranks_.OnHeard(RankIndex(i), now_);
+        ranks_.OnResponse(RankIndex(i), now_);
       }
     }
   }
@@ -84,7 +84,7 @@
     world.Run(Milliseconds(300), row.silent);
     CHECK(world.missing() == row.missing);
     // Lateness of the listener tells nothing of those that are gone.
-    world.Stall(Milliseconds(300), 0);
+    world.StallCaller(Milliseconds(300), 0);
     CHECK(world.missing() == row.missing);
     world.Run(Milliseconds(100), row.silent);
     CHECK(world.missing() == row.missing);
@@ -106,8 +106,8 @@
     world.Run(Seconds(1), 0);
     // Silent for a while already when the stall begins.
     world.Run(Milliseconds(200), 40);
-    world.Stall(late, 40);
-    world.Stall(late, 40);
+    world.StallCaller(late, 40);
+    world.StallCaller(late, 40);
     CHECK(world.missing() == 0);
     world.Run(kTick, 0);
     CHECK(world.missing() == 0);
@@ -127,11 +127,11 @@
   SilentRanks ranks;
   TimePoint now = TimeAt(Seconds(5));
   for (std::uint32_t i = 0; i < kRanks; ++i) {
-    ranks.OnHeard(RankIndex(i), now);
+    ranks.OnResponse(RankIndex(i), now);
   }
   for (int tick = 0; tick < 80; ++tick, now += kTick) {
     for (std::uint32_t i = kUnheard; i < kRanks; ++i) {
-      ranks.OnHeard(RankIndex(i), now);
+      ranks.OnResponse(RankIndex(i), now);
     }
     ranks.Tick(now);
     CHECK(ranks.Missing(now).empty());
--- a/tests/auto/groups/step_switch_test.cc
+++ b/tests/auto/groups/step_switch_test.cc
@@ -29,7 +29,7 @@
   return map;
 }
 
-struct Chances {
+struct FaultChances {
   const char* name;
   double lost = 0.0;      // carried out at once, not answered
   double late = 0.0;      // not answered, carried out 2 to 12 s later
@@ -43,7 +43,7 @@
 // Drives owners of the switch against the group, 10 ms a turn.
 class World {
  public:
-  World(const Chances& chances, std::uint64_t seed)
+  World(const FaultChances& chances, std::uint64_t seed)
       : chances_(chances), random_(seed) {
     TakeOver();
   }
@@ -62,8 +62,8 @@
       now_ += Milliseconds(10);
       Turn(i);
     }
-    return owner_->phase() == SwitchPhase::kIdle && group_.stalled() == 0 &&
-           changes_ > 0;
+    return owner_->phase() == SwitchPhase::kIdle &&
+           group_.stalled_attempts() == 0 && changes_ > 0;
   }
 
   const FakeGroup& group() const { return group_; }
@@ -87,7 +87,7 @@
       TakeOver();
     }
     if (random_.Chance(chances_.reform)) {
-      group_.FormAnew();
+      group_.Reform();
     }
     if (number % 3 == 0) {
       group_.BeginStep();
@@ -113,7 +113,7 @@
       Send(order);
     }
     // All that are awake report often enough; whom it asks counts as asked.
-    owner_->Questions(now_);
+    owner_->RanksToPoll(now_);
   }
 
   void FreezeSome() {
@@ -137,7 +137,7 @@
     if (IsFrozen(order.rank)) {
       // It may also have been carried out right before.
       if (random_.Chance(0.5)) {
-        group_.Obey(order);
+        group_.Execute(order);
       } else {
         late_.push_back({frozen_until_[order.rank], order});
       }
@@ -149,7 +149,7 @@
       owner_->OnAnswer(order, OrderAnswer::kUnanswered, now_);
       return;
     }
-    const OrderAnswer answer = group_.Obey(order);
+    const OrderAnswer answer = group_.Execute(order);
     owner_->OnAnswer(
         order,
         random_.Chance(chances_.lost) ? OrderAnswer::kUnanswered : answer,
@@ -162,12 +162,12 @@
         ++item;
         continue;
       }
-      group_.Obey(item->order);
+      group_.Execute(item->order);
       item = late_.erase(item);
     }
   }
 
-  Chances chances_;
+  FaultChances chances_;
   Random random_;
   TimePoint now_ = TimeAt(Seconds(1000));
   FakeGroup group_{kRanks};
@@ -182,7 +182,7 @@
 // Sequence: a step begins while some ranks have switched and others not.
 // Cause: an order that was lost, late or given by a predecessor.
 TEST_CASE("no step begins with two maps, whatever becomes of the orders") {
-  const Chances cases[] = {
+  const FaultChances cases[] = {
       {"calm"},
       {"answers are lost", 0.3},
       {"orders are late", 0.0, 0.35},
@@ -194,15 +194,15 @@
       {"VMs freeze, owners change, orders are late", 0.1, 0.2, 0.005, 0.0,
        0.001},
   };
-  for (const Chances& chances : cases) {
+  for (const FaultChances& chances : cases) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       CAPTURE(chances.name);
       CAPTURE(seed);
       World world(chances, seed);
       world.Run(4000);
-      CHECK(world.group().split_steps() == 0);
+      CHECK(world.group().mixed_map_steps() == 0);
       CHECK(world.Settle());
-      CHECK(world.group().split_steps() == 0);
+      CHECK(world.group().mixed_map_steps() == 0);
     }
   }
 }
@@ -211,14 +211,14 @@
   World world({"calm"}, 1);
   world.Run(500);
   CHECK(world.changes() > 5);
-  CHECK(world.group().stalled() == 0);
+  CHECK(world.group().stalled_attempts() == 0);
   CHECK(world.group().map().value() > 1000);
 }
 
 // One owner and four ranks, of which some are silent.
-class QuietWorld {
+class SilentRankWorld {
  public:
-  QuietWorld() : owner_(Options(), MapVersion(1000), now_) {
+  SilentRankWorld() : owner_(Options(), MapVersion(1000), now_) {
     for (int i = 0; i < 100 && owner_.phase() != SwitchPhase::kIdle; ++i) {
       Turn();
       ReadMap();
@@ -245,7 +245,7 @@
       copy_orders_ += std::holds_alternative<PrepareMap>(order.order) ? 1 : 0;
       owner_.OnAnswer(order, AnswerTo(order), now_);
     }
-    for (const RankIndex rank : owner_.Questions(now_)) {
+    for (const RankIndex rank : owner_.RanksToPoll(now_)) {
       ++questions_[rank];
     }
   }
@@ -265,7 +265,7 @@
   }
 
   // A rank is replaced; the group forms anew.
-  void FormAnew() { group_.FormAnew(); }
+  void Reform() { group_.Reform(); }
 
   void Begin(Duration copies = {}) { owner_.Begin(MapOf(1), copies, now_); }
   // The engines come to the step of the change.
@@ -275,9 +275,9 @@
     }
   }
   void Silence(RankIndex rank) { silent_.insert(rank); }
-  // What the rank said at `heard_at` comes only now.
-  void DeliverLate(RankIndex rank, TimePoint heard_at) {
-    owner_.OnReport(rank, group_.Report(rank), heard_at, heard_at);
+  // What the rank said at `responded_at` comes only now.
+  void DeliverLate(RankIndex rank, TimePoint responded_at) {
+    owner_.OnReport(rank, group_.Report(rank), responded_at, responded_at);
   }
   TimePoint now() const { return now_; }
   void Wake() { silent_.clear(); }
@@ -285,7 +285,7 @@
   void SetCopying(std::optional<RankIndex> rank) { copying_ = rank; }
   void EndCopies() {
     copying_.reset();
-    group_.Obey(*begun_);
+    group_.Execute(*begun_);
   }
   bool has_held() const { return has_held_; }
   int copy_orders() const { return copy_orders_; }
@@ -310,7 +310,7 @@
       begun_ = order;
       return OrderAnswer::kBegun;
     }
-    return group_.Obey(order);
+    return group_.Execute(order);
   }
 
   TimePoint now_ = TimeAt(Seconds(1000));
@@ -333,7 +333,7 @@
 TEST_CASE("no step is held while a rank is silent since it prepared") {
   for (std::uint32_t silent = 0; silent < kRanks - 1; ++silent) {
     CAPTURE(silent);
-    QuietWorld world;
+    SilentRankWorld world;
     REQUIRE(world.phase() == SwitchPhase::kIdle);
     world.SetCopying(RankIndex(kRanks - 1));
     world.Begin();
@@ -360,7 +360,7 @@
 TEST_CASE("a word that was said before its rank froze does not count") {
   for (std::uint32_t frozen = 0; frozen < kRanks - 1; ++frozen) {
     CAPTURE(frozen);
-    QuietWorld world;
+    SilentRankWorld world;
     REQUIRE(world.phase() == SwitchPhase::kIdle);
     world.SetCopying(RankIndex(kRanks - 1));
     world.Begin();
@@ -383,11 +383,11 @@
 // Cause: reports from before the first news of the epoch did not count, though
 // nobody had given an order in it.
 TEST_CASE("a group that formed anew is looked after once all ranks report so") {
-  QuietWorld world;
+  SilentRankWorld world;
   world.SetReportLag(Milliseconds(300));
   world.Run(Seconds(1));
   REQUIRE(world.phase() == SwitchPhase::kIdle);
-  world.FormAnew();
+  world.Reform();
   world.Turn();
   world.Turn();
   CHECK(world.phase() == SwitchPhase::kObserving);
@@ -406,7 +406,7 @@
 TEST_CASE("a change is over once any rank is known to have begun its step") {
   for (std::uint32_t heard = 0; heard < kRanks; ++heard) {
     CAPTURE(heard);
-    QuietWorld world;
+    SilentRankWorld world;
     const MapVersion before = world.version();
     world.Begin();
     REQUIRE(world.RunUntil(SwitchPhase::kSettling));
@@ -431,7 +431,7 @@
 // until it answers that it is done. Cause: the answer to the order was the only
 // sign; a report is small and tells the same.
 TEST_CASE("ranks that copy are asked when they should be done, not ordered") {
-  QuietWorld world;
+  SilentRankWorld world;
   const RankIndex slow(kRanks - 1);
   world.SetCopying(slow);
   world.Begin(Milliseconds(100));
@@ -447,7 +447,7 @@
 }
 
 TEST_CASE("a rank that says nothing of its copies is given the order again") {
-  QuietWorld world;
+  SilentRankWorld world;
   world.SetCopying(RankIndex(1));
   world.Begin(Milliseconds(100));
   world.Run(Milliseconds(300));
