--- a/src/libs/groups/controller_event.h
+++ b/src/libs/groups/controller_event.h
@@ -11,9 +11,9 @@
 
 namespace bilberryspool::groups {
 
-// The replicated configuration has made this process the group's controller
-// until then. `token` is higher than that of any lease before. A longer lease
-// with the same token is a renewal; its `record` is ignored.
+// The replicated configuration has granted this process the group's controller
+// lease until `until`. `token` is higher than that of any earlier lease. A
+// longer lease with the same token is a renewal; its `record` is ignored.
 struct LeaseGranted {
   FencingToken token;
   TimePoint until;
@@ -24,7 +24,7 @@
 struct MapRecorded {
   MapVersion version;
 };
-// Another map is asked for, by the placement policy or an operator.
+// The placement policy or an operator requests another map.
 struct MapChosen {
   placement::ExpertMap map;
 };
@@ -44,9 +44,9 @@
   RankIndex rank;
   Order order;
 };
-// To be accepted by the replicated configuration only while `token` is the
+// The replicated configuration accepts it only while `token` is that of the
 // newest lease and `record.version` is higher than the recorded one. Repeated
-// until `MapRecorded` or the end of the lease.
+// until `MapRecorded` arrives or the lease ends.
 struct RecordMap {
   FencingToken token;
   MapRecord record;
@@ -55,7 +55,7 @@
   GroupState state = GroupState::kOut;
   std::string why;
 };
-// The map asked for can't be held by the ranks; nothing was changed.
+// The ranks can't hold the requested map; nothing was changed.
 struct MapRefused {
   std::string why;
 };
--- a/src/libs/groups/engine_order.h
+++ b/src/libs/groups/engine_order.h
@@ -1,7 +1,7 @@
-// What engines that run in lock-step by themselves report and obey.
+// Orders to, and reports from, engines that run in lock-step by themselves.
 //
-// Such a group starts its steps on its own; the system only says by which step
-// each rank switches to another map. Ranks don't compare their maps.
+// Such a group starts its steps on its own; the system only decides at which
+// step each rank switches to another map. Ranks don't compare their maps.
 
 #ifndef LIBS_GROUPS_ENGINE_ORDER_H_
 #define LIBS_GROUPS_ENGINE_ORDER_H_
@@ -19,24 +19,24 @@
 
 // Position in the sequence of steps that all ranks of a group run together.
 using StepNumber = StrongNumber<struct StepNumberTag>;
-// Counts how often a group has formed; whatever was ordered before is void.
+// Number of times that a group has formed. Orders of an earlier epoch are void.
 using GroupEpoch = StrongNumber<struct GroupEpochTag>;
 
-// Copy the experts that are new to the rank. May be repeated.
+// Copies the experts that the rank does not hold yet. Idempotent.
 struct PrepareMap {
   MapVersion version;
   std::shared_ptr<const placement::ExpertMap> map;
 };
-// Switch to a prepared map as that step begins. May be repeated.
+// Switches to a prepared map when `step` begins. Idempotent.
 struct ArmMap {
   MapVersion version;
   StepNumber step;
 };
-// Forget that.
+// Cancels the `ArmMap` of this version.
 struct DisarmMap {
   MapVersion version;
 };
-// The group does not begin that step before it is released at this rank. Does
+// Keeps the group from beginning `step` until it is released at this rank. Does
 // not expire.
 struct HoldStep {
   StepNumber step;
@@ -48,23 +48,23 @@
 using EngineOrder =
     std::variant<PrepareMap, ArmMap, DisarmMap, HoldStep, ReleaseStep>;
 
-// Whether both order the same of a rank. Maps are told by their versions.
+// Whether both orders are the same. Maps are compared by version.
 bool SameOrder(const EngineOrder& left, const EngineOrder& right);
 
-// An order to one rank. In another epoch it is refused.
+// An order to one rank. The rank refuses it in any other epoch.
 struct RankOrder {
   RankIndex rank;
   GroupEpoch epoch;
   EngineOrder order;
 };
 
-// What an order was answered.
+// An engine's answer to an order.
 enum class OrderAnswer {
-  kDone,        // the state holds
-  kBegun,       // it takes a while; asking again tells
-  kRefused,     // it does not fit the rank's state, and was not and will not be
-                // carried out
-  kUnanswered,  // it may be carried out, perhaps much later
+  kDone,   // the requested state is reached
+  kBegun,  // in progress; asking again shows the outcome
+  // Does not fit the rank's state; was not and will not be carried out.
+  kRefused,
+  kUnanswered,  // no answer; may still be carried out, possibly much later
 };
 
 struct ArmedMap {
@@ -74,22 +74,24 @@
   bool operator==(const ArmedMap&) const = default;
 };
 
-// One rank's state, as of a short while before it answered.
+// State of one rank, as of a short time before it answered.
 struct EngineReport {
   GroupEpoch epoch;
   bool is_open = false;  // the group has all its ranks
-  StepNumber step;       // the last one that began
-  MapVersion map;        // in use
+  StepNumber step;       // the last step that began
+  MapVersion map;        // the map in use
   std::optional<MapVersion> prepared;
   std::optional<ArmedMap> armed;
   std::optional<StepNumber> held;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
-  // Above 1: the engine is slower than it should be.
+  // Step time relative to a healthy engine: above 1, the engine is slower than
+  // it should be.
   double pace = 1.0;
 };
 
-// How often a rank's requests chose each expert, by layer, since it started.
+// Number of times that the requests of a rank selected each expert since the
+// rank started, by layer.
 struct ExpertPicks {
   StepNumber step;
   GroupEpoch epoch;
--- a/src/libs/groups/expert_counts.cc
+++ b/src/libs/groups/expert_counts.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Far above any real window; keeps the sum of times in range.
+// Far above any real window; keeps sums of windows in range.
 constexpr std::uint64_t kMaxWindowUs = 3600ULL * 1000 * 1000;
 
 }  // namespace
--- a/src/libs/groups/expert_counts.h
+++ b/src/libs/groups/expert_counts.h
@@ -1,4 +1,4 @@
-// How many tokens a rank's engine has routed to each expert of late.
+// Number of tokens that a rank's engine recently routed to each expert.
 
 #ifndef LIBS_GROUPS_EXPERT_COUNTS_H_
 #define LIBS_GROUPS_EXPERT_COUNTS_H_
@@ -13,14 +13,14 @@
 
 namespace bilberryspool::groups {
 
-// From a rank to its controller, for the placement policy. A lost report is a
-// gap and nothing else.
+// Sent by a rank to its controller for the placement policy. A lost report only
+// leaves a gap in the counts.
 struct ExpertCounts {
   GroupId group;
   RankIndex rank;
   Incarnation incarnation;
-  std::uint64_t number = 0;  // rises within one incarnation
-  Duration window{};         // the time that was counted, up to the sending
+  std::uint64_t number = 0;  // increases within one incarnation
+  Duration window{};         // period covered, ending when the report is sent
   std::uint32_t layers = 0;
   std::uint32_t experts = 0;
   std::vector<std::uint64_t> tokens;  // by layer, then expert
@@ -29,7 +29,7 @@
 };
 
 boost::json::value ToJson(const ExpertCounts& counts);
-// Nothing for bad input, such as tokens of another shape.
+// Returns nullopt for invalid input, such as a token list of the wrong size.
 std::optional<ExpertCounts> ExpertCountsFromJson(
     const boost::json::value& json);
 
--- a/src/libs/groups/fetch_budget.h
+++ b/src/libs/groups/fetch_budget.h
@@ -11,18 +11,18 @@
 
 struct FetchBudgetOptions {
   double bytes_per_second = 1e9;
-  double burst_bytes = 1e9;  // at least one expert
+  double burst_bytes = 1e9;  // at least the size of one expert
 };
 
-// Starts empty, so that a controller that takes over does not spend what the
-// one before it has spent already.
+// Starts empty so that a controller that takes over does not spend again what
+// its predecessor has already spent.
 class FetchBudget {
  public:
   FetchBudget(FetchBudgetOptions options, TimePoint now);
 
-  // Takes the bytes if they are there.
+  // Consumes the bytes if they are available; otherwise returns false.
   bool Take(double bytes, TimePoint now);
-  // When `bytes` will be there if nothing else is taken.
+  // Time at which `bytes` will be available if nothing else is consumed.
   TimePoint AvailableAt(double bytes, TimePoint now) const;
 
  private:
--- a/src/libs/groups/group_contacts.h
+++ b/src/libs/groups/group_contacts.h
@@ -1,4 +1,4 @@
-// Who controls a group and where its ranks are reached.
+// The controller of a group and the addresses of its ranks.
 
 #ifndef LIBS_GROUPS_GROUP_CONTACTS_H_
 #define LIBS_GROUPS_GROUP_CONTACTS_H_
@@ -12,20 +12,20 @@
 
 namespace bilberryspool::groups {
 
-// From the controller to every target that may hold a rank, again and again: a
-// rank that has just started knows neither its controller nor its peers. Those
-// under a higher token replace those under a lower one.
+// Sent repeatedly by the controller to every target that may hold a rank,
+// because a rank that has just started knows neither its controller nor its
+// peers. Contacts with a higher token replace those with a lower one.
 struct GroupContacts {
   GroupId group;
   FencingToken token;
-  std::string controller;                  // "ip:port", takes statuses
+  std::string controller;                  // "ip:port"; receives statuses
   std::map<RankIndex, std::string> ranks;  // "ip:port" of their agents
 
   bool operator==(const GroupContacts&) const = default;
 };
 
 boost::json::value ToJson(const GroupContacts& contacts);
-// Nothing for bad input.
+// Returns nullopt for invalid input.
 std::optional<GroupContacts> GroupContactsFromJson(
     const boost::json::value& json);
 
--- a/src/libs/groups/group_controller.cc
+++ b/src/libs/groups/group_controller.cc
@@ -9,7 +9,8 @@
 namespace bilberryspool::groups {
 namespace {
 
-// How often a settled controller looks for lost ranks.
+// Number of checks for lost ranks per `lost_after` while no change is in
+// progress.
 constexpr int kChecksPerLossTimeout = 4;
 
 std::vector<RankIndex> RanksOf(const std::vector<Member>& members) {
@@ -135,8 +136,8 @@
   }
 }
 
-// Statuses are ordered within an incarnation; a late one of an earlier
-// incarnation tells of a rank that is gone.
+// Statuses are ordered within an incarnation. A late status of an earlier
+// incarnation describes a process that no longer exists.
 void GroupController::On(const StatusReceived& event, TimePoint now, Actions&) {
   const RankStatus& status = event.status;
   const bool known_rank =
@@ -175,13 +176,15 @@
 void GroupController::On(const ControllerTick&, TimePoint, Actions&) {}
 
 void GroupController::Advance(TimePoint now, Actions& out) {
-  // A frozen process that wakes up reads the time before it acts, and finds
-  // its lease over. Without this it would send one more round of orders.
+  // A process that resumes after a freeze reads the time before it acts and
+  // finds its lease expired. Without this check it would send one more round of
+  // orders.
   if (!HoldsLease(now)) {
     lease_.reset();
     change_.reset();
     view_.reset();
-    // Not an action: what the group does is no longer this process's to say.
+    // Emits no action: without the lease, this process no longer reports the
+    // group's state.
     state_ = GroupState::kOut;
     why_ = "no lease";
     return;
@@ -206,15 +209,15 @@
 }
 
 bool GroupController::IsEligible(const Rank& rank, TimePoint now) const {
-  // A rank that comes back before any view without it needs no wait.
+  // A rank that returns before a view without it was installed needs no wait.
   const bool waited = !rank.was_lost || IsInView(rank) ||
                       now - rank.live_since >= options_.rejoin_after;
   return IsLive(rank, now) && waited && now >= rank.excluded_until &&
          rank.status.usable && rank.status.token == lease_->token;
 }
 
-// After a lease is granted, ranks get time to answer the first claim, so that
-// a healthy group is not cut down to the ranks that answered first.
+// After a lease is granted, ranks get time to answer the first claim, so that a
+// healthy group is not reduced to the ranks that answered first.
 bool GroupController::Settled(TimePoint now) const {
   if (now - lease_->since >= options_.lost_after) {
     return true;
@@ -265,8 +268,9 @@
       });
 }
 
-// Ranks that the controller hears may not hear each other. Nobody is lost
-// then, and without this the group would wait for its missing member for good.
+// Ranks that reach the controller may not reach each other. No rank is lost
+// then, and without the exclusion the group would wait for its missing member
+// forever.
 void GroupController::ExcludeAwaited(TimePoint now) {
   const bool stalled =
       view_ && !change_ && !AnyLost(view_->members, now) && AnyStalled(*view_);
@@ -283,7 +287,8 @@
   stalled_since_.reset();
   const RankIndex leader = view_->members.front().rank;
   std::vector<RankIndex> excluded = ranks_.at(leader).status.awaited;
-  // Where most are missing to the leader, the leader is the one cut off.
+  // If the leader waits for half of the members or more, the leader itself is
+  // cut off.
   if (excluded.empty() || excluded.size() * 2 >= view_->members.size()) {
     excluded = {leader};
   }
@@ -311,11 +316,12 @@
   return view.members == members && view.map_version == record_.version;
 }
 
-// Decides what view is wanted and begins a change where it differs.
+// Determines the desired view and begins a change if the current one differs.
 void GroupController::Reconcile(TimePoint now) {
   blocked_reason_.reset();
   std::vector<Member> members = EligibleMembers(now);
-  // Two views of one group must share a rank, or both could step at once.
+  // Any two views of a group must share a rank; otherwise both could run steps
+  // at the same time.
   if (members.size() * 2 <= options_.ranks) {
     blocked_reason_ = "no more than half of the ranks are there";
     change_.reset();
@@ -342,9 +348,9 @@
   BeginChange(std::move(members), *map, now);
 }
 
-// A later wish supersedes a change that is still being prepared. Once ranks
-// have been told to stop promising steps, the way forward is shorter than the
-// way back, unless a member is lost.
+// A later request supersedes a change that is still being prepared. Once ranks
+// have been told to stop promising steps, completing the change takes less time
+// than reverting it, unless a member is lost.
 bool GroupController::MayReplaceChange(TimePoint now) const {
   const bool preparing = change_->phase == ChangePhase::kRecording ||
                          change_->phase == ChangePhase::kPreparing;
--- a/src/libs/groups/group_controller.h
+++ b/src/libs/groups/group_controller.h
@@ -1,11 +1,11 @@
 // The controller of one group: brings all its ranks to one map.
 //
-// Single by a lease and a fencing token from the replicated configuration.
-// Guards against a group whose ranks hold different maps or member sets for
-// long: whatever is lost, doubled or late, it repeats the order of the present
-// phase until every member's status shows it, and begins anew with the ranks
-// that are left when a member is lost. docs/design/map-agreement.md has the
-// phases.
+// A lease and a fencing token from the replicated configuration ensure that
+// there is only one. Guards against a group whose ranks hold different maps or
+// member sets for long: messages may be lost, duplicated or late, so the
+// controller repeats the order of the current phase until the status of every
+// member confirms it. When a member is lost, it starts over with the remaining
+// ranks. docs/design/map-agreement.md describes the phases.
 
 #ifndef LIBS_GROUPS_GROUP_CONTROLLER_H_
 #define LIBS_GROUPS_GROUP_CONTROLLER_H_
@@ -29,15 +29,16 @@
   double expert_bytes = 1;
   FetchBudgetOptions store;
   Duration resend_after = Milliseconds(50);
-  // A rank not heard from for this long is lost; at least two status intervals.
+  // A rank without a status for this long is lost. At least two status
+  // intervals.
   Duration lost_after = Milliseconds(700);
-  // A lost rank counts again after being heard for this long, so that one that
-  // comes and goes does not keep the group changing.
+  // A lost rank becomes eligible again after it has sent statuses for this
+  // long, so that a flapping rank does not keep the group changing.
   Duration rejoin_after = Seconds(2);
-  // A view whose steps don't start for this long, while all its members are
-  // heard, is replaced by one without the members that its leader waits for.
+  // A view whose steps don't start for this long, although all its members are
+  // live, is replaced by one without the members that its leader waits for.
   Duration exclude_after = Seconds(2);
-  // For how long such a member stays excluded.
+  // How long such a member stays excluded.
   Duration exclusion_time = Seconds(20);
 };
 
@@ -57,7 +58,7 @@
   const std::optional<View>& view() const { return view_; }
   // Empty while no change is under way.
   std::optional<ChangePhase> phase() const;
-  // Experts that members of the change have yet to fetch.
+  // Number of experts that members of the change still have to fetch.
   std::size_t pending_fetches() const;
   const MapRecord& record() const { return record_; }
 
@@ -77,7 +78,7 @@
   struct Rank {
     RankStatus status;
     TimePoint last_status_at;
-    TimePoint live_since;  // without a gap of `lost_after`
+    TimePoint live_since;  // no gap of `lost_after` since then
     bool was_lost = false;
     TimePoint claim_next;
     TimePoint excluded_until;
@@ -89,10 +90,11 @@
     std::map<RankIndex, std::vector<placement::ExpertKey>> held;
     ChangePhase phase = ChangePhase::kRecording;
     TimePoint send_next;
-    std::optional<StepId> finish;  // set on the way to kInstalling
+    std::optional<StepId> finish;  // set when kInstalling is entered
   };
 
-  // What `record_.chosen` comes to for these members; kept, as it is costly.
+  // `record_.chosen` adapted to these members; cached because computing it is
+  // expensive.
   struct DesiredMapCache {
     std::vector<Member> members;
     placement::ExpertMap chosen;
@@ -144,7 +146,7 @@
 
   ControllerOptions options_;
   std::optional<Lease> lease_;
-  TimePoint last_event_at_;  // when the last event was
+  TimePoint last_event_at_;
   MapRecord record_;
   MapVersion recorded_;  // the version that the configuration has accepted
   std::map<RankIndex, Rank> ranks_;
@@ -152,7 +154,7 @@
   std::optional<Change> change_;
   std::optional<DesiredMapCache> desired_map_;
   std::optional<TimePoint> stalled_since_;
-  std::optional<std::string> blocked_reason_;  // why no view can be arranged
+  std::optional<std::string> blocked_reason_;  // why no view can be formed
   std::uint64_t last_sequence_ = 0;
   std::uint64_t last_grant_ = 0;
   std::optional<FetchBudget> budget_;
--- a/src/libs/groups/group_controller_orders.cc
+++ b/src/libs/groups/group_controller_orders.cc
@@ -1,4 +1,5 @@
-// What the controller sends: claims, the orders of each phase, fetch grants.
+// The messages that the controller sends: claims, the orders of each phase and
+// fetch grants.
 
 #include <algorithm>
 #include <utility>
@@ -85,8 +86,8 @@
   }
 }
 
-// Empty where a member of the view before is not in the new one: whether that
-// member has promised a step can't be known.
+// Returns nullopt if a member of the previous view is not in the new one,
+// because it is unknown whether that member has promised a step.
 std::optional<StepId> GroupController::StepToFinish() const {
   if (!view_) {
     return std::nullopt;
@@ -129,8 +130,7 @@
   }
   for (const Member& member : change_->view.members) {
     const Rank* rank = Find(member);
-    BILBERRYSPOOL_INVARIANT(rank != nullptr,
-                            "orders go to members that are there");
+    BILBERRYSPOOL_INVARIANT(rank != nullptr, "orders go only to known members");
     std::optional<Order> order = PhaseOrder(*rank);
     if (order) {
       out.emplace_back(SendOrder{member.rank, std::move(*order)});
@@ -178,8 +178,8 @@
   }
 }
 
-// Besides the rate, the bytes of unanswered grants are bounded: grants that
-// were held up on their way could otherwise all be used at one moment.
+// Bounds the bytes of unanswered grants in addition to the rate: grants that
+// were delayed in transit could otherwise all be used at the same moment.
 void GroupController::GrantNextFetch(Rank& rank, TimePoint now, Actions& out) {
   if (rank.status.fetching || rank.status.prepared == change_->view.id) {
     return;
--- a/src/libs/groups/group_message.h
+++ b/src/libs/groups/group_message.h
@@ -1,7 +1,8 @@
 // The messages between the group controller and the ranks, and among ranks.
 //
 // All are level-triggered: a sender repeats its latest message until a status
-// shows that it took effect, so lost, late and doubled messages are harmless.
+// shows that it took effect, so lost, late and duplicated messages are
+// harmless.
 
 #ifndef LIBS_GROUPS_GROUP_MESSAGE_H_
 #define LIBS_GROUPS_GROUP_MESSAGE_H_
@@ -16,9 +17,9 @@
 
 namespace bilberryspool::groups {
 
-// Common to all orders of a controller. An order holds only for the
-// incarnation that it names: what was sent to a rank before its restart can't
-// reach the restarted one.
+// Fields common to all orders of a controller. An order is valid only for the
+// incarnation that it names, so an order that was sent to a rank before its
+// restart has no effect on the restarted rank.
 struct OrderHeader {
   GroupId group;
   RankIndex rank;
@@ -26,27 +27,27 @@
   FencingToken token;
 };
 
-// Takes the rank over: from now on lower tokens are refused.
+// Takes over the rank: from now on it refuses lower tokens.
 struct ClaimOrder {
   OrderHeader header;
 };
 
-// Get ready for a view while the present one stays in use.
+// Prepares a view while the current one stays in use.
 struct PrepareOrder {
   OrderHeader header;
   View view;
   std::shared_ptr<const placement::ExpertMap> map;  // never null
 };
 
-// Permission to fetch one expert from the weight store, once.
+// Permission for one fetch of one expert from the weight store.
 struct FetchOrder {
   OrderHeader header;
-  std::uint64_t grant = 0;  // rising per controller lease
+  std::uint64_t grant = 0;  // increases within a controller lease
   placement::ExpertKey key;
 };
 
-// Promise no more steps of earlier views. Only for a rank that is prepared. A
-// step that is promised already may still be let go.
+// Stops the rank from promising steps of earlier views. Accepted only by a rank
+// that is prepared. A step that is already promised may still start.
 struct SealOrder {
   OrderHeader header;
   ViewId view;
@@ -56,17 +57,18 @@
 struct InstallOrder {
   OrderHeader header;
   ViewId view;
-  // The last step of the view before that all its members promised. A member
-  // that promised it runs it first, as its peers may be running it already.
-  // Empty where a member of the view before is lost: running steps are aborted.
+  // The last step of the previous view that all its members promised. A member
+  // that promised it runs it first, because its peers may already be running
+  // it. Empty if a member of the previous view is lost; running steps are then
+  // aborted.
   std::optional<StepId> finish;
 };
 
 using Order =
     std::variant<ClaimOrder, PrepareOrder, FetchOrder, SealOrder, InstallOrder>;
 
-// All that a controller may know of a rank; sent after each order and
-// regularly. `sequence` orders the statuses of one incarnation.
+// Everything that a controller knows about a rank. Sent after each order and
+// periodically. `sequence` orders the statuses of one incarnation.
 struct RankStatus {
   GroupId group;
   RankIndex rank;
@@ -76,20 +78,22 @@
   std::optional<ViewId> prepared;   // all weights of this view are resident
   std::optional<ViewId> sealed;     // no step below this view is promised
   std::optional<ViewId> installed;  // steps of this view may be promised
-  std::optional<StepId> promised;   // the latest promise, kept or not
+  std::optional<StepId> promised;   // the latest promise, fulfilled or not
   std::uint64_t last_grant = 0;     // highest fetch grant seen
   bool fetching = false;
-  bool usable = false;      // the engine has been reset and is not stuck
-  bool needs_view = false;  // a step was aborted; only a new view helps
+  bool usable = false;  // the engine has been reset and is not stuck
+  // A step was aborted; only a new view lets the rank continue.
+  bool needs_view = false;
   GroupState state = GroupState::kOut;
   StepId last_step;
-  // From a stalled step leader: the members that have not said "ready".
+  // Set by a stalled step leader: the members that have not reported ready.
   std::vector<RankIndex> awaited;
   // Empty once the view in preparation is prepared.
   std::vector<placement::ExpertKey> resident;
 };
 
-// "This member will run the step once all have said so." To the step leader.
+// Sent to the step leader: the member will run the step once all members are
+// ready.
 struct StepReady {
   GroupId group;
   Member from;
@@ -98,7 +102,7 @@
   MapVersion map_version;
 };
 
-// "All members have said that they are ready." From the step leader.
+// Sent by the step leader: all members are ready.
 struct StepGo {
   GroupId group;
   Member to;
--- a/src/libs/groups/group_types.h
+++ b/src/libs/groups/group_types.h
@@ -12,8 +12,8 @@
 
 namespace bilberryspool::groups {
 
-// Names a view. The token belongs to one lease of the controller, so two
-// controllers never name two views alike, and a later controller's is higher.
+// Identifies a view. The token belongs to one lease of the controller, so two
+// controllers never use the same id, and a later controller's ids are higher.
 struct ViewId {
   FencingToken token;
   std::uint64_t sequence = 0;  // counted by the controller, from 1
@@ -21,8 +21,8 @@
   auto operator<=>(const ViewId&) const = default;
 };
 
-// One rank of a view. A restarted rank has another incarnation and so is no
-// member, whatever its index.
+// One rank of a view. A restarted rank has another incarnation and is therefore
+// not a member, even though its index is the same.
 struct Member {
   RankIndex rank;
   Incarnation incarnation;
@@ -30,12 +30,12 @@
   auto operator<=>(const Member&) const = default;
 };
 
-// A member set and the one map that it uses. Views never change; another map
-// or another member set is another view.
+// A member set and the map that it uses. Views are immutable: another map or
+// another member set makes another view.
 struct View {
   ViewId id;
   MapVersion map_version;
-  std::vector<Member> members;  // in rising order of rank
+  std::vector<Member> members;  // in ascending order of rank
 
   bool operator==(const View&) const = default;
 };
@@ -48,20 +48,21 @@
   auto operator<=>(const StepId&) const = default;
 };
 
-// What routing needs to know of a group.
+// State of a group as routing sees it.
 enum class GroupState {
   kServing,   // steps run under the current view
   kChanging,  // steps run, another view is being prepared
-  kStalled,   // no step runs; a new view is on its way
-  kOut,       // no step runs and none can be arranged yet
+  kStalled,   // no step runs; a new view is being formed
+  kOut,       // no step runs and no view can be formed yet
 };
 
-// The map as the replicated configuration keeps it, so that the next
-// controller goes on from it.
+// The map as stored in the replicated configuration, so that the next
+// controller continues from it.
 struct MapRecord {
   MapVersion version;
-  placement::ExpertMap chosen;    // what operators or the policy asked for
-  placement::ExpertMap in_force;  // `chosen` as the live ranks can hold it
+  placement::ExpertMap chosen;  // requested by an operator or the policy
+  // `chosen` adapted to what the live ranks can hold
+  placement::ExpertMap in_force;
 };
 
 }  // namespace bilberryspool::groups
--- a/src/libs/groups/json_reader.cc
+++ b/src/libs/groups/json_reader.cc
@@ -9,7 +9,8 @@
 
 namespace json = boost::json;
 
-// A larger map or list is not one of ours, and would only take memory.
+// Limit on the experts of a map. Larger maps and lists are invalid input and
+// would only use memory.
 constexpr std::uint64_t kMaxExperts = 1U << 20U;
 
 std::optional<std::uint64_t> NumberOf(const json::value& value) {
@@ -177,7 +178,8 @@
           Incarnation(numbers[1])};
 }
 
-// Members must be there, once each and in order: steps rely on it.
+// The member list must not be empty, and each rank must be there once and in
+// ascending order, because steps rely on it.
 View JsonReader::ViewAt(std::string_view name) {
   View view;
   const json::value* found = Find(name);
--- a/src/libs/groups/json_reader.h
+++ b/src/libs/groups/json_reader.h
@@ -1,5 +1,5 @@
-// Reads the fields of a JSON object and remembers whether one was missing or
-// of the wrong kind, so that decoders need one check at their end.
+// Reads the fields of a JSON object and records whether any was missing or of
+// the wrong type, so that decoders check for errors once, at the end.
 
 #ifndef LIBS_GROUPS_JSON_READER_H_
 #define LIBS_GROUPS_JSON_READER_H_
@@ -19,7 +19,7 @@
  public:
   explicit JsonReader(const boost::json::value& json);
 
-  // False once a field was missing or bad.
+  // False once a field was missing or invalid.
   bool good() const { return good_; }
   bool Has(std::string_view name) const;
 
@@ -46,7 +46,8 @@
 
  private:
   const boost::json::value* Find(std::string_view name);
-  // The named array of non-negative numbers, of `size` where that is not 0.
+  // Reads the named array of non-negative numbers, which must have `size`
+  // elements unless `size` is 0.
   std::vector<std::uint64_t> Numbers(std::string_view name, std::size_t size);
 
   const boost::json::object* object_ = nullptr;
--- a/src/libs/groups/message_codec.h
+++ b/src/libs/groups/message_codec.h
@@ -1,7 +1,7 @@
-// JSON forms of the messages between controllers and ranks.
+// JSON encoding of the messages between controllers and ranks.
 //
-// Whatever comes in is checked: `FromJson` answers nothing for bad input and
-// never throws.
+// All input is validated: the `FromJson` functions return nullopt for invalid
+// input and never throw.
 
 #ifndef LIBS_GROUPS_MESSAGE_CODEC_H_
 #define LIBS_GROUPS_MESSAGE_CODEC_H_
--- a/src/libs/groups/rank_event.h
+++ b/src/libs/groups/rank_event.h
@@ -11,8 +11,9 @@
 
 namespace bilberryspool::groups {
 
-// The engine has dropped whatever an earlier agent ordered and runs no step.
-// `resident` is what the engine itself vouches for; empty if it can't.
+// The engine has dropped the orders of earlier agents and runs no step.
+// `resident` lists the experts that the engine itself reports as loaded; empty
+// if it can't tell.
 struct EngineReset {
   std::vector<placement::ExpertKey> resident;
 };
@@ -45,7 +46,8 @@
                                RankMessageReceived,
                                RankTick>;
 
-// Drop all earlier orders and abort a running step, then tell `EngineReset`.
+// Drops all earlier orders and aborts a running step. Completion is reported by
+// `EngineReset`.
 struct ResetEngine {};
 struct FetchWeights {
   placement::ExpertKey key;
@@ -53,7 +55,7 @@
 struct DropWeights {
   std::vector<placement::ExpertKey> keys;
 };
-// Run one step with this map.
+// Runs one step with this map.
 struct StartStep {
   StepId step;
   MapVersion map_version;
@@ -62,8 +64,8 @@
 struct AbortStep {
   StepId step;
 };
-// To the controller that holds the accepted token; to every entry before one
-// is known.
+// Sent to the controller that holds the accepted token, or to every entry while
+// none is known.
 struct SendStatus {
   RankStatus status;
 };
@@ -71,7 +73,7 @@
   RankIndex rank;
   RankMessage message;
 };
-// While a rank is stalled or out its agent answers callers at once.
+// While a rank is stalled or out, its agent answers callers immediately.
 struct RankStateChanged {
   GroupState state = GroupState::kOut;
   std::string why;
--- a/src/libs/groups/rank_machine.cc
+++ b/src/libs/groups/rank_machine.cc
@@ -11,8 +11,8 @@
 
 std::vector<RankAction> RankMachine::Start(TimePoint now) {
   Actions out;
-  // An order of the process before this one may still be on its way to the
-  // engine; the reset makes the engine refuse or undo it.
+  // An order of the previous process may still be in transit to the engine; the
+  // reset makes the engine refuse or undo it.
   out.emplace_back(ResetEngine{});
   last_started_ = now - options_.stall_after;
   SendStatusNow(now, out);
@@ -85,10 +85,10 @@
   }
 }
 
-// A stale controller, frozen and awake again, still believes in its lease and
-// sends orders; its lower token gives it away. An order to an earlier
-// incarnation was made for a rank that held weights and promises which this
-// one knows nothing of.
+// A stale controller that resumes after a freeze assumes that it still holds
+// its lease and sends orders; its lower token identifies them. An order to an
+// earlier incarnation was made for a rank with weights and promises that are
+// unknown to this one.
 bool RankMachine::Accepts(const OrderHeader& header) {
   const bool addressed = header.group == options_.group &&
                          header.rank == options_.rank &&
@@ -166,9 +166,9 @@
   PromiseNextStep(now, out);
 }
 
-// Peers may be running the last step that all have promised while this rank
-// has missed the go-ahead. Were it to skip that step, they would wait in it
-// until their timeout.
+// Peers may be running the last step that all members have promised while this
+// rank has missed the go message. If it skipped that step, they would wait in
+// it until their timeout.
 void RankMachine::FinishPreviousView(const InstallOrder& order,
                                      TimePoint now,
                                      Actions& out) {
@@ -192,7 +192,7 @@
                      [&](const auto& key) { return resident_.contains(key); });
 }
 
-// Keeps what the view in use and the one in preparation need.
+// Drops the experts that neither the installed view nor the pending one needs.
 void RankMachine::DropUnused(Actions& out) {
   DropWeights drop;
   for (const placement::ExpertKey& key : resident_) {
--- a/src/libs/groups/rank_machine.h
+++ b/src/libs/groups/rank_machine.h
@@ -1,11 +1,11 @@
 // The rank's side of the agreement on one expert map in every step.
 //
-// Runs in the agent at each rank and is the only giver of orders to its
+// Runs in the agent at each rank and is the only sender of orders to its
 // engine, so engines that ignore fencing tokens are safe too. Guards against a
-// rank that steps with another map than its peers: a step starts only after
-// all members of the rank's view have said that they are ready for it, and a
-// rank that has not heard so stops. docs/design/map-agreement.md has the
-// argument.
+// rank that runs a step with another map than its peers: a step starts only
+// after all members of the rank's view have reported that they are ready for
+// it, and a rank without this confirmation stops. docs/design/map-agreement.md
+// explains why this is sufficient.
 
 #ifndef LIBS_GROUPS_RANK_MACHINE_H_
 #define LIBS_GROUPS_RANK_MACHINE_H_
@@ -27,9 +27,9 @@
   Incarnation incarnation;
   Duration resend_after = Milliseconds(50);
   Duration status_interval = Milliseconds(200);
-  // Without a step for this long the rank is out of routing.
+  // A rank that has started no step for this long is taken out of routing.
   Duration stall_after = Milliseconds(500);
-  // A step that runs longer is aborted: a peer has died in it.
+  // A step that runs longer is aborted, because a peer has died in it.
   Duration step_timeout = Seconds(2);
 };
 
@@ -37,7 +37,7 @@
  public:
   explicit RankMachine(RankOptions options);
 
-  // To be called once, before any event.
+  // Must be called once, before any event.
   std::vector<RankAction> Start(TimePoint now);
   std::vector<RankAction> Handle(const RankEvent& event, TimePoint now);
   std::optional<TimePoint> next_deadline() const;
@@ -48,7 +48,7 @@
   // The last step started; number 0 before the first.
   StepId last_step() const { return last_step_; }
   FencingToken token() const { return token_; }
-  // The latest step that this rank has said to be ready for.
+  // The latest step for which this rank has reported that it is ready.
   const std::optional<StepId>& promised() const { return promised_; }
 
  private:
@@ -104,7 +104,7 @@
   std::optional<View> installed_;
   std::shared_ptr<const placement::ExpertMap> map_;
   std::vector<placement::ExpertKey>
-      required_experts_;  // what `map_` has at this rank
+      required_experts_;  // experts that `map_` places on this rank
 
   std::optional<StepId> promised_;
   std::optional<StepId> running_;
@@ -112,7 +112,8 @@
   bool needs_view_ = false;
   StepId last_step_;
 
-  // As step leader: the latest word of each rank, and the last step let go.
+  // As step leader: the latest ready message of each rank, and the last step
+  // for which a go message was sent.
   std::map<RankIndex, StepReady> ready_;
   std::uint64_t last_go_ = 0;  // step number in the installed view
 
--- a/src/libs/groups/rank_machine_steps.cc
+++ b/src/libs/groups/rank_machine_steps.cc
@@ -22,8 +22,8 @@
   }
   running_.reset();
   aborting_ = false;
-  // The peers may have finished this step, so the count of the view is of no
-  // use any more.
+  // The peers may have finished this step, so the step count of this view is no
+  // longer valid.
   needs_view_ = installed_ && installed_->id == event.step.view;
   SendStatusNow(now, out);
   PromiseNextStep(now, out);
@@ -91,7 +91,7 @@
   if (!IsLeader()) {
     return;
   }
-  // The go-ahead was lost on its way to this member.
+  // The go message to this member was lost.
   const bool repeated =
       message.step.view == installed_->id && message.step.number <= last_go_;
   if (repeated) {
@@ -158,9 +158,10 @@
   }
 }
 
-// The one place where a step is started. A rank that stepped with another map
-// than its peers would send tokens to ranks without the expert: answers would
-// be wrong without any error. So the agreement is checked here once more.
+// The only place where a step is started. A rank that ran a step with another
+// map than its peers would send tokens to ranks without the expert, and answers
+// would be wrong without any error. Therefore the agreement is checked once
+// more here.
 void RankMachine::StartPromisedStep(TimePoint now, Actions& out) {
   BILBERRYSPOOL_INVARIANT(AwaitsGo() && !running_ && !needs_view_,
                           "a step is started once, and only when promised");
--- a/src/libs/groups/rank_round.h
+++ b/src/libs/groups/rank_round.h
@@ -1,8 +1,9 @@
-// How the state and the counts of a group's ranks reach its leader.
+// Messages that carry the state and the expert counts of a group's ranks to its
+// leader.
 //
-// A sidecar reads its engine and tells a RankReading; a node that reads several
-// ranks answers a RoundRequest of the leader with a RoundResponse, and passes a
-// MulticastOrder on to them.
+// A sidecar reads its engine and sends a RankReading. A node that polls several
+// ranks answers the leader's RoundRequest with a RoundResponse, and forwards a
+// MulticastOrder to the ranks.
 
 #ifndef LIBS_GROUPS_RANK_ROUND_H_
 #define LIBS_GROUPS_RANK_ROUND_H_
@@ -20,15 +21,15 @@
 
 namespace bilberryspool::groups {
 
-// One engine, as the sidecar beside it read it.
+// State of one engine as read by its sidecar.
 struct RankReading {
   EngineReport report;
   placement::ReadingMark mark;
-  // Nothing where the reading that was asked for is not the last one.
+  // Empty if the reading that the request names is not the last one.
   std::optional<placement::CounterGrowth> growth;
 };
 
-// Where one rank is to be read.
+// Where one rank is polled.
 struct RankAddress {
   RankIndex rank;
   std::string engine;  // "ip:port"
@@ -36,38 +37,38 @@
 
 struct RoundRequest {
   GroupId group;
-  // Of the last answer that the asker got from this node.
+  // Mark of the last response that the requester received from this node.
   placement::ReadingMark mark;
   // See placement::PickWorkOptions.
   double read_work = 1.0;
-  // How many experts all layers have together.
+  // Number of experts of all layers together.
   std::uint32_t counters = 0;
   std::vector<RankAddress> ranks;
 };
 
-// What one rank said.
+// Result of polling one rank.
 struct RankPollResult {
   RankIndex rank;
-  // How long after the question came the rank was asked. The report describes
-  // it as it was then or later.
+  // Time from the arrival of the request until the rank was polled. The report
+  // describes the rank as of then or later.
   Duration poll_delay{};
   EngineReport report;
 };
 
 struct RoundResponse {
-  FailureDomain domain;  // of the node that answers
+  FailureDomain domain;  // of the responding node
   placement::ReadingMark mark;
-  // Ranks that did not answer in time have none.
+  // Leaves out ranks that did not answer in time.
   std::vector<RankPollResult> results;
-  // By layer, then expert, of all ranks that were read since the answer that
-  // the question names; empty where that is not the last one.
+  // By layer, then expert, of all ranks that were read since the response that
+  // the request names; empty if that is not the last one.
   std::vector<double> work;
 };
 
-// One order to several ranks, which is the same for each.
+// One order that is the same for several ranks.
 struct MulticastOrder {
   std::vector<RankAddress> ranks;
-  // How long each engine may take to answer.
+  // How long to wait for the answer of each engine.
   Duration timeout{};
   std::string method;
   std::string target;
@@ -75,7 +76,8 @@
   packing::PackedText body;
 };
 
-// What the engines answered, in the order of the ranks; 0: nothing.
+// HTTP statuses of the engines' answers, in the order of the ranks; 0 means no
+// answer.
 struct MulticastResult {
   std::vector<std::uint32_t> statuses;
 };
--- a/src/libs/groups/rollout.cc
+++ b/src/libs/groups/rollout.cc
@@ -33,8 +33,9 @@
 std::optional<TimePoint> Rollout::next_deadline() const {
   std::optional<TimePoint> deadline;
   for (const auto& [id, target] : targets_) {
-    // One that settles without serving waits for an event, not for a time:
-    // its time is over already and would wake the caller again and again.
+    // A settling target that does not serve waits for an event, not for a
+    // deadline: its deadline may have passed and would wake the caller again
+    // and again.
     const bool settling =
         target.stage == RolloutStage::kSettling && target.serving;
     const bool timed = settling || target.stage == RolloutStage::kPreparing ||
@@ -54,7 +55,7 @@
   return place == targets_.end() ? nullptr : &place->second;
 }
 
-// Reports that don't fit the stage are late or doubled and change nothing.
+// Reports that don't match the stage are late or duplicated and are ignored.
 void Rollout::ApplyEvent(const RolloutEvent& event, TimePoint now) {
   const auto change_stage = [&](const TargetId& id, RolloutStage from,
                                 RolloutStage to) {
@@ -121,7 +122,7 @@
     if (is_timed && age >= options_.timeout) {
       Fail(target, id.value() + ": no answer in time");
     }
-    // A target that does not serve has not settled, whatever the time.
+    // A target that does not serve has not settled, even after the settle time.
     if (target.stage == RolloutStage::kSettling && target.serving &&
         age >= options_.settle_time) {
       target.stage = RolloutStage::kDone;
--- a/src/libs/groups/rollout.h
+++ b/src/libs/groups/rollout.h
@@ -1,9 +1,9 @@
-// Brings a model version, adapter or role to the targets of a service.
+// Rolls out a model version, adapter or role to the targets of a service.
 //
-// Prepared, then switched, like a map: a target gets ready while it serves with
-// what it has. Guards against a change that takes a service down: targets are
-// switched few at a time and only while enough others serve, and the rollout
-// stops by itself when switched targets fail.
+// A target is prepared, then switched, like a map: it prepares while it keeps
+// serving with its current version. Guards against a change that takes a
+// service down: targets are switched a few at a time and only while enough
+// others serve, and the rollout stops automatically when switched targets fail.
 
 #ifndef LIBS_GROUPS_ROLLOUT_H_
 #define LIBS_GROUPS_ROLLOUT_H_
@@ -21,17 +21,18 @@
 namespace bilberryspool::groups {
 
 struct RolloutOptions {
-  std::uint32_t max_preparing = 2;  // at most, at a time
-  std::uint32_t max_switching = 1;  // at most, at a time, settling included
-  std::uint32_t min_serving = 1;    // besides the target to be switched
-  std::uint32_t max_failures = 1;   // so many stop the rollout
-  double max_error_share = 0.05;    // of a switched target's requests
+  std::uint32_t max_preparing = 2;  // concurrent preparations
+  // concurrent switches, including settling targets
+  std::uint32_t max_switching = 1;
+  std::uint32_t min_serving = 1;   // other than the target to be switched
+  std::uint32_t max_failures = 1;  // number of failures that stops the rollout
+  double max_error_share = 0.05;   // of the requests of a switched target
   Duration settle_time =
-      Seconds(30);  // a switched target is watched for this long
+      Seconds(30);                  // how long a switched target is monitored
   Duration timeout = Seconds(600);  // of one preparation or switch
 };
 
-// The target holds the new version beside the old one.
+// The target holds the new version in addition to the old one.
 struct TargetPrepared {
   TargetId target;
 };
@@ -43,7 +44,7 @@
   TargetId target;
   std::string why;
 };
-// Share of requests that failed lately at the target.
+// Share of requests that recently failed at the target.
 struct TargetErrors {
   TargetId target;
   double share = 0;
@@ -68,7 +69,7 @@
   TargetId target;
 };
 struct RolloutDone {};
-// Targets that were not switched keep what they have.
+// Targets that were not switched keep their current version.
 struct RolloutStopped {
   std::string why;
 };
@@ -88,14 +89,14 @@
 
 class Rollout {
  public:
-  // All targets are taken to serve until told otherwise.
+  // All targets are assumed to serve until a `TargetServing` says otherwise.
   Rollout(RolloutOptions options, const std::vector<TargetId>& targets);
 
   std::vector<RolloutAction> Handle(const RolloutEvent& event, TimePoint now);
   std::optional<TimePoint> next_deadline() const;
 
   bool running() const { return running_; }
-  // For a target of the rollout.
+  // `target` must belong to the rollout.
   RolloutStage stage_of(const TargetId& target) const {
     return targets_.at(target).stage;
   }
--- a/src/libs/groups/round_codec.cc
+++ b/src/libs/groups/round_codec.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-// Picks of one expert, or its work in kWorkUnits, in as few bytes as hold them.
+// Selection counts of experts, or their work in units of 1/kWorkUnits, in as
+// few bytes as can hold them.
 using Amounts = std::vector<std::uint16_t>;
 constexpr std::uint64_t kMaxAmount = std::numeric_limits<std::uint16_t>::max();
-// Fractions of a pick that are told apart: of few picks that are weighed low
-// the rounding would leave nothing.
+// Units per selection. With whole numbers, a few selections with a low weight
+// would be rounded to nothing.
 constexpr double kWorkUnits = 8.0;
-// More bytes are no message of ours; a whole answer of 12,000 ranks has less.
+// Longer input is rejected; a complete response for 12,000 ranks is shorter.
 constexpr std::size_t kMaxBytes = std::size_t{4} << 20U;
 
 struct WireArmed {
@@ -53,7 +54,7 @@
   }
 };
 
-// Numbers that share one scale: each stands for `unit` times its value.
+// Numbers with a common scale: each element stands for `unit` times its value.
 struct WireAmounts {
   std::uint64_t unit = 1;
   Amounts values;
@@ -173,7 +174,7 @@
   return ranks;
 }
 
-// `amounts` are whole numbers.
+// `amounts` must be whole numbers.
 template <typename Number>
 WireAmounts PackAmounts(const std::vector<Number>& amounts) {
   WireAmounts packed;
@@ -246,7 +247,7 @@
 
 template <typename Wire>
 std::optional<Wire> FromBytes(std::string_view bytes) {
-  // Links are authenticated, so lengths inside are those that Encode() wrote.
+  // Links are authenticated, so embedded lengths are those that Encode() wrote.
   if (bytes.size() > kMaxBytes) {
     return std::nullopt;
   }
--- a/src/libs/groups/round_codec.h
+++ b/src/libs/groups/round_codec.h
@@ -1,7 +1,7 @@
-// Bytes of what ranks and their readers tell, for links within the system.
+// Binary encoding of the polling messages for links within the system.
 //
-// Binary: as text the counts of thousands of experts take a small control node
-// more processor time to read than all else that it does.
+// Parsing the counts of thousands of experts from text would take a small
+// control node more processor time than all its other work.
 
 #ifndef LIBS_GROUPS_ROUND_CODEC_H_
 #define LIBS_GROUPS_ROUND_CODEC_H_
@@ -20,7 +20,8 @@
 std::string Encode(const MulticastOrder& order);
 std::string Encode(const MulticastResult& answer);
 
-// Nothing for bytes that no Encode() made, or that were cut.
+// The decoders return nullopt for bytes that were not produced by Encode() or
+// were truncated.
 std::optional<RankReading> DecodeReading(std::string_view bytes);
 std::optional<RoundRequest> DecodeRoundRequest(std::string_view bytes);
 std::optional<RoundResponse> DecodeRoundResponse(std::string_view bytes);
--- a/src/libs/groups/silent_ranks.cc
+++ b/src/libs/groups/silent_ranks.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-// One answer may get lost, and so may all of a moment.
+// A single answer may get lost, and so may all answers of one moment.
 constexpr std::uint32_t kMinUnanswered = 3;
 constexpr Duration kMinSilence = Milliseconds(500);
 // Ticks are due every 25 ms.
--- a/src/libs/groups/silent_ranks.h
+++ b/src/libs/groups/silent_ranks.h
@@ -1,15 +1,17 @@
-// Which ranks of a group don't answer: cut off, frozen or dead.
+// Detects the ranks of a group that don't respond because they are cut off,
+// frozen or dead.
 //
-// Requests are kept from such ranks, so a healthy one that is taken for silent
-// loses its work to the others. What can go wrong: the one who listens is late
-// itself, for a plan or for want of processor time; all that came meanwhile is
-// unread, and dozens of ranks seem silent at once. It shows as hundreds of
-// targets that turn slow and well again several times a second, which hundreds
-// of gateways are told each time. So that a rank was not heard says nothing. A
-// rank is missing only where somebody who was well himself has asked it several
-// times and got no answer.
+// Requests are kept away from such ranks, so a healthy rank that is mistaken
+// for a silent one loses its work to the others. This happens when the polling
+// process itself is late, because it computes a plan or lacks processor time:
+// all answers that arrive meanwhile are unread, and dozens of ranks seem silent
+// at once. Hundreds of targets then turn slow and recover several times a
+// second, and hundreds of gateways are notified each time. The time since the
+// last response of a rank is therefore no evidence. A rank is missing only if a
+// process that was not late itself has polled it several times without an
+// answer.
 //
-// Pure.
+// Pure state: does no I/O and reads no clock.
 
 #ifndef LIBS_GROUPS_SILENT_RANKS_H_
 #define LIBS_GROUPS_SILENT_RANKS_H_
@@ -28,26 +30,27 @@
 class SilentRanks {
  public:
   void OnResponse(RankIndex rank, TimePoint now);
-  // It was asked and has not answered.
+  // The rank was polled and has not answered.
   void OnTimeout(RankIndex rank, TimePoint now);
-  // To be called often; takes notice of its own lateness.
+  // Must be called often; detects that the caller itself is late.
   void Tick(TimePoint now);
 
-  // Whether the listener was late since then, or is now: what was asked
-  // meanwhile may have been answered.
+  // Whether the polling process was late since `since`, or is late now: polls
+  // from that time may have been answered.
   bool WasLateSince(TimePoint since, TimePoint now) const;
-  // Whether a rank was heard within `age`.
+  // Whether the rank has responded within the last `age`.
   bool HasResponded(RankIndex rank, Duration age, TimePoint now) const;
-  // None where that is most of those that were ever heard, for then it is the
-  // listener that is cut off.
+  // Ranks that don't answer. Empty if they are half or more of all known ranks,
+  // because then the polling process itself is cut off.
   std::set<RankIndex> Missing(TimePoint now) const;
-  // How many were ever heard.
+  // Number of ranks that have ever responded.
   std::size_t known_ranks() const { return ranks_.size(); }
 
  private:
   struct Rank {
     TimePoint last_response;
-    // Questions without an answer since, and when the first was given up.
+    // Polls without an answer since the last response, and when the first of
+    // them timed out.
     std::uint32_t unanswered = 0;
     TimePoint silent_since;
   };
--- a/src/libs/groups/slow_ranks.h
+++ b/src/libs/groups/slow_ranks.h
@@ -1,13 +1,13 @@
-// Which ranks of a lock-step group are better left without requests.
+// Selects the ranks of a lock-step group that should get no requests.
 //
-// What can go wrong: one engine turns several times slower. A step lasts as
+// Guards against one engine that turns several times slower. A step lasts as
 // long as the slowest rank's own part, and that part begins with a fixed time
-// however few requests the rank has: one request is enough to make steps of the
-// whole group last several times as long. It shows as pauses of all streams
-// above the longest that callers take for good. A rank without requests has no
-// part of its own; without it the group has one batch less and keeps its pace.
+// however few requests the rank has: one request is enough to make every step
+// of the whole group last several times as long. All streams then pause for
+// longer than callers accept. A rank without requests has no part of its own;
+// without it the group has one batch less and keeps its pace.
 //
-// Pure: what is known in, ranks out.
+// A pure function: does no I/O and keeps no state.
 
 #ifndef LIBS_GROUPS_SLOW_RANKS_H_
 #define LIBS_GROUPS_SLOW_RANKS_H_
@@ -21,23 +21,24 @@
 
 namespace bilberryspool::groups {
 
-// How long one token of all requests of a full batch takes, by the engine's
-// description.
+// Time that one token of all requests of a full batch takes, as described by
+// the engine.
 struct BatchTimes {
-  std::uint32_t slots = 0;
-  Duration step{};              // however many requests there are
-  Duration step_per_request{};  // on top, for each request
-  // The part of the latter that experts do: it is spread over all ranks that
-  // hold them, whoever's requests they are.
+  std::uint32_t slots = 0;      // requests in a full batch
+  Duration step{};              // independent of the number of requests
+  Duration step_per_request{};  // additional, for each request
+  // Share of `step_per_request` that is spent in experts. It is spread over all
+  // ranks that hold them, regardless of which rank has the request.
   double expert_share = 0.0;
 };
 
-// A rank below this is not taken for slow: reported paces vary by some percent,
-// and one that is left out costs its whole batch.
+// A rank with a lower pace is not considered slow: reported paces vary by some
+// percent, and leaving a rank out costs its whole batch.
 inline constexpr double kMinSlowPace = 1.4;
 
-// The ranks without which full batches of the others write most tokens per
-// second. `paces`: how many times as long as a healthy rank each takes.
+// Returns the ranks without which full batches of the others generate the most
+// tokens per second. `paces` has the step time of each rank relative to a
+// healthy one.
 std::set<RankIndex> FindSlowRanks(const std::map<RankIndex, double>& paces,
                                   const BatchTimes& times);
 
--- a/src/libs/groups/step_switch.cc
+++ b/src/libs/groups/step_switch.cc
@@ -33,7 +33,7 @@
     released_step_ = std::max(released_step_, step_);
   }
   for (auto& [index, rank] : ranks_) {
-    // What another owner may have ordered is not known here.
+    // Orders that another owner may have sent are unknown here.
     rank.may_be_armed = rank.may_be_armed || phase == SwitchPhase::kObserving;
     rank.is_done = false;
     rank.is_order_in_flight = false;
@@ -84,7 +84,7 @@
   }
   checked_at_ = as_of;
   if (step == seen_step_) {
-    // A step that is still running is at least as long as that.
+    // A step that is still running lasts at least this long.
     step_time_ = std::clamp(as_of - seen_at_, step_time_, kMaxStepTime);
     return;
   }
@@ -121,10 +121,10 @@
   OnStep(report.epoch, report.step, as_of);
 }
 
-// A group that formed anew has forgotten all orders and uses its first map, on
-// which steps last longest. No order was given in this epoch yet but perhaps by
-// a predecessor, so any report of it counts; to wait for reports from after the
-// news took 0.4 to 0.8 s of 72 ranks.
+// A group that formed again has dropped all orders and uses its first map, with
+// which steps last longest. Only a predecessor can have sent orders in this
+// epoch, so any report of it counts: waiting for reports from after the epoch
+// became known took 0.4 to 0.8 s with 72 ranks.
 void StepSwitch::CheckEpoch(TimePoint now) {
   GroupEpoch newest = epoch_;
   for (const auto& [index, rank] : ranks_) {
@@ -201,7 +201,7 @@
     armed = report.armed;
   }
   if (held.has_value() && all_armed && armed->step == *held) {
-    // A predecessor's change lacks nothing but the release.
+    // A predecessor's change only lacks the release.
     pending_version_ = armed->version;
     pending_map_ = nullptr;
     step_ = *held;
@@ -209,7 +209,7 @@
     Enter(SwitchPhase::kReleasing, now);
     return;
   }
-  // All else needs to know what the map in use holds.
+  // Everything else requires the content of the map in use.
   if (map_ == nullptr) {
     return;
   }
@@ -226,15 +226,15 @@
     return;
   }
   if (!same_map && !any_armed) {
-    // The map that was read is not the one in use any more.
+    // The map that was read is no longer the one in use.
     map_.reset();
     trusted_from_ = now;
   }
 }
 
-// Leaves every rank with a newer version prepared and none armed, but for those
-// that were never ordered to be armed for this change: nothing that is on its
-// way can arm them, and they may be silent.
+// Leaves every rank with a newer version prepared and none armed, except for
+// ranks that were never ordered to arm for this change: nothing in transit can
+// arm them, and they may be silent.
 void StepSwitch::BeginClearing(TimePoint now) {
   const bool is_own = phase_ == SwitchPhase::kArming;
   const MapVersion own = pending_version_;
@@ -248,7 +248,7 @@
     if (rank.report.has_value() && rank.report->armed.has_value()) {
       rank.to_disarm = rank.report->armed->version;
     } else if (is_own) {
-      // Its last report is from before the order.
+      // Its last report predates the order.
       rank.to_disarm = own;
     }
   }
@@ -271,8 +271,8 @@
 }
 
 void StepSwitch::ChooseStep(TimePoint now) {
-  // The step that was seen last began at `seen_at_` or before. Refused holds
-  // tell that the group was further than thought.
+  // The step that was seen last began at `seen_at_` or earlier. Refused holds
+  // show that the group was further ahead than estimated.
   const Duration wait(
       static_cast<Duration::rep>(options_.max_stall_step_fraction *
                                  static_cast<double>(step_time_.count())));
@@ -298,14 +298,15 @@
   return are_all_armed_ && seen_step_ >= step_;
 }
 
-// All ranks use the target from now on.
+// All ranks use the pending map from now on.
 void StepSwitch::EndChange(TimePoint now) {
   map_ = pending_map_;
   version_ = pending_version_;
   Enter(SwitchPhase::kIdle, now);
 }
 
-// Released: the ranks switch as the step begins, which an idle group puts off.
+// After the release the ranks switch when the step begins, which an idle group
+// delays.
 void StepSwitch::Settle(TimePoint now) {
   if (HasBegunAsArmed()) {
     EndChange(now);
@@ -318,7 +319,7 @@
   for (const auto& [index, rank] : ranks_) {
     const EngineReport& report = *rank.report;
     if (report.held.has_value()) {
-      // A hold that was carried out late.
+      // A hold order was carried out late.
       if (*report.held == step_) {
         holding_rank_ = index;
         Enter(SwitchPhase::kReleasing, now);
--- a/src/libs/groups/step_switch_orders.cc
+++ b/src/libs/groups/step_switch_orders.cc
@@ -1,4 +1,4 @@
-// StepSwitch: the orders and questions of each phase, and what answers mean.
+// StepSwitch: the orders and polls of each phase, and the handling of answers.
 
 #include <algorithm>
 #include <utility>
@@ -62,11 +62,11 @@
   return orders;
 }
 
-// Whether a report of the rank is what the phase waits for.
+// Whether the phase waits for a report of the rank.
 bool StepSwitch::ShouldPoll(RankIndex index,
                             const Rank& rank,
                             TimePoint now) const {
-  // A few, so that a silent one does not keep the change from ending.
+  // Several, so that a silent rank does not keep the change from ending.
   constexpr std::uint32_t kStepReporters = 3;
   switch (phase_) {
     case SwitchPhase::kPreparing:
@@ -87,7 +87,8 @@
   return false;
 }
 
-// Few at a time, so that a rank's word is followed by its order at once.
+// Limits the ranks that arm at a time, so that each rank's liveness reply is
+// followed by its order immediately.
 bool StepSwitch::MayTakeArmingSlot(const Rank& rank, TimePoint now) const {
   if (rank.arming_polled_at.has_value()) {
     return true;
@@ -102,8 +103,9 @@
 }
 
 bool StepSwitch::NeedsAllReports(TimePoint now) const {
-  // A step that was not released as it was held, or an idle group, which begins
-  // none. Steps under way last 50 to 300 ms.
+  // Applies to a step that was released without all ranks known to be armed,
+  // and to an idle group, which begins no step. Running steps last 50 to 300
+  // ms.
   constexpr Duration kReleaseSettleTime = Milliseconds(300);
   return phase_ == SwitchPhase::kObserving ||
          (phase_ == SwitchPhase::kSettling &&
@@ -137,7 +139,7 @@
   return asked;
 }
 
-// Answers of an earlier phase or of another change say nothing of this one.
+// Answers of an earlier phase or of another change don't apply to this one.
 bool StepSwitch::IsAwaited(const RankOrder& order) const {
   const auto found = ranks_.find(order.rank);
   if (found == ranks_.end() || order.epoch != epoch_ ||
@@ -193,7 +195,7 @@
       GiveUp("a rank refused to prepare", now);
       return;
     case SwitchPhase::kHolding:
-      // The group was faster than thought.
+      // The group was further ahead than estimated.
       if (++late_holds_ >= kMaxLateHolds) {
         GiveUp("the step to hold was always over", now);
         return;
@@ -207,7 +209,7 @@
       return;
     case SwitchPhase::kClearing:
       if (rank.to_disarm.has_value()) {
-        // It is not armed with that any more.
+        // The rank is no longer armed with that version.
         rank.to_disarm.reset();
       } else if (rank.report.has_value() && rank.report->armed.has_value()) {
         rank.to_disarm = rank.report->armed->version;
@@ -218,7 +220,7 @@
       }
       return;
     case SwitchPhase::kReleasing:
-      // Nothing is held there.
+      // The rank holds no step.
       rank.is_done = true;
       return;
     case SwitchPhase::kObserving:
