--- a/tests/auto/groups/fake_group.h
+++ b/tests/auto/groups/fake_group.h
@@ -1,4 +1,4 @@
-// The ranks of a self-stepping group as engines keep them.
+// Fake engines of a self-stepping group.
 
 #ifndef AUTO_GROUPS_FAKE_GROUP_H_
 #define AUTO_GROUPS_FAKE_GROUP_H_
@@ -13,8 +13,8 @@
 
 namespace bilberryspool::groups {
 
-// They start steps by themselves and don't compare maps; steps that began with
-// two maps are counted.
+// The engines start steps by themselves and don't compare maps; deviations from
+// the map of the first rank at the beginning of a step are counted.
 class FakeGroup {
  public:
   struct Engine {
@@ -112,7 +112,7 @@
     return report;
   }
 
-  // A rank ended: the group forms anew and has forgotten everything.
+  // A rank terminated: the group forms again and has lost all state.
   void Reform() {
     epoch_ = epoch_.Next();
     for (Engine& engine : engines_) {
--- a/tests/auto/groups/freeze_at_any_moment_test.cc
+++ b/tests/auto/groups/freeze_at_any_moment_test.cc
@@ -1,18 +1,14 @@
-// No freeze of a VM, at whatever moment of a change of map, may leave callers
-// of its group without an event for longer than half a second.
+// No freeze of a VM at any moment of a map change may leave callers of its
+// group without an event for longer than half a second.
 //
-// Symptom: as in freeze_meets_change_test, in the moments that are left: the
-// group is `arming` or `releasing` for the 4 s of the freeze.
-//
-// Sequence: a rank gives its word and is ordered; its VM freezes before the
-// order's answer leaves. Or the rank that holds the step freezes between hold
-// and release.
-//
-// Cause: engines offer no order that ends by itself, and no way to ask a rank
-// whose VM is silent. With the order taken the rank switches at the step,
-// without it it doesn't; both look the same, and each is wrong for one of the
-// two ways to go on. Only a step that lies further ahead than the freeze lasts
-// would do, and demand does not last as long.
+// Failure: a rank sends its liveness reply and is ordered to arm, and its VM
+// freezes before the answer to the order is sent; or the holding rank freezes
+// between hold and release. The group is then `arming` or `releasing` for the 4
+// s of the freeze. Engines offer no order that expires and no way to poll a
+// rank whose VM is silent. With the order taken, the rank switches at the step;
+// without it, it does not; both look the same, and each is wrong for one of the
+// two ways to proceed. Only a step that lies further ahead than the freeze
+// lasts would help, and demand does not last that long.
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/groups/freeze_meets_change_test.cc
+++ b/tests/auto/groups/freeze_meets_change_test.cc
@@ -1,25 +1,18 @@
-// A VM beside an engine freezes at any moment of a change of map.
+// A VM beside an engine freezes at any moment of a map change.
 //
-// Symptom: all streams of a group of 16 ranks stop for the 4 s for which one VM
-// is frozen; callers leave after 2 s without an event. Without a change the
-// same freeze costs one rank in 16.
+// Failure: the owner holds the step, a VM freezes, and the order to arm its
+// rank is not answered. Whether the engine took it is unknown until the VM
+// wakes, and neither a release nor clearing is safe until then. All streams of
+// a group of 16 ranks stop for the 4 s of the freeze, and callers leave after 2
+// s without an event; without a change, the same freeze costs one rank in 16.
+// The cause was that the reports of all other ranks and the exchange about the
+// hold lay between the last reply of a rank and its order: with the freeze
+// moved by a millisecond at a time, 11 of 28 runs stalled the group for 4.0 s,
+// one of them with the holding rank frozen.
 //
-// Sequence: the ranks have copied, and all are heard; the owner holds the step;
-// the VM of a rank freezes; the order to arm that rank is not answered; whether
-// the engine has taken it can't be known before the VM wakes, and neither a
-// release nor a clearing is safe until then.
-//
-// Cause: between the last word of a rank and the order to arm it lay the
-// reports of all others and the whole exchange about the hold, and the order
-// was given to ranks that had fallen silent meanwhile. In plays with the freeze
-// moved by a millisecond at a time, 11 of 28 held the group for 4.0 s: all from
-// 2.251 to 2.260 s, and one at 2.263 s, which froze the holder; the log had
-// `to=confirming` at 2.2471 s, `to=holding` at 2.2518, `to=arming` at 2.2546
-// and, undisturbed, `to=releasing` at 2.2619.
-//
-// What no owner can rule out: a VM that freezes after its last word before the
-// order and before its answer leaves. Two states of its engine look the same
-// from outside, and each is wrong for one of the two ways to go on.
+// A VM that freezes after its last liveness reply before the order and before
+// its answer is sent can't be ruled out: two states of its engine look the same
+// from outside, and each is wrong for one of the two ways to proceed.
 
 #include <doctest/doctest.h>
 
@@ -30,8 +23,8 @@
 namespace bilberryspool::groups {
 namespace {
 
-// Callers take a pause of 0.12 to 0.15 s for late and leave after 2 s; an
-// ordinary change that met something may cost a few pauses.
+// Callers consider a pause of 0.12 to 0.15 s late and leave after 2 s; an
+// ordinary change that meets a fault may cost a few pauses.
 constexpr Duration kMaxStall = Milliseconds(500);
 constexpr Duration kFreeze = Seconds(4);
 constexpr Duration kSweepStep = Microseconds(500);
@@ -73,7 +66,7 @@
                            {"one in the middle", 7},
                            {"the last rank", 15}};
 
-TEST_CASE("a change that meets no freeze holds nothing for long") {
+TEST_CASE("a change without a freeze stalls the group for less than a step") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CAPTURE(seed);
     FreezeWorld world(seed);
@@ -84,7 +77,8 @@
   }
 }
 
-TEST_CASE("a frozen VM holds its group only where its engine is in doubt") {
+TEST_CASE(
+    "a frozen VM stalls its group only while its engine state is unknown") {
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(row.name);
@@ -97,10 +91,11 @@
   }
 }
 
-// The doubt lasts from the last word's way here over the way of the order to
-// that of its answer, one and a half round trips, and as long as the owner
-// needs for the words and orders of the few others that are in doubt with it.
-TEST_CASE("a rank is in doubt for no more than its own exchange") {
+// The outcome is unknown while the last liveness reply, the order and its
+// answer are in transit, one and a half round trips, and while the owner
+// handles the replies and orders of the few other ranks that arm at the same
+// time.
+TEST_CASE("a rank's outcome is unknown for no more than its own exchange") {
   constexpr int kOthersAtOnce = 3;
   constexpr Duration kMaxUnknownTime =
       FreezeWorld::kRoundTrip * 3 / 2 +
@@ -115,8 +110,8 @@
   }
 }
 
-// Guards against a pause in all streams while a rank that was never ordered is
-// waited for.
+// Guards against a pause in all streams while the owner waits for a rank that
+// was never ordered to arm.
 TEST_CASE("a rank that is silent before its order costs less than a step") {
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -134,8 +129,8 @@
   }
 }
 
-// Guards against a step that begins with two maps where several VMs freeze.
-TEST_CASE("VMs that freeze together split no step, and the change ends") {
+// Guards against a step that begins with two maps when several VMs freeze.
+TEST_CASE("VMs that freeze together cause no step with two maps") {
   constexpr std::uint32_t kTogether[][3] = {{1, 7, 15}, {0, 4, 9}, {2, 3, 5}};
   for (const auto& ranks : kTogether) {
     for (Duration begin{}; begin < kSweepEnd; begin += kSweepStep) {
--- a/tests/auto/groups/freeze_world.cc
+++ b/tests/auto/groups/freeze_world.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t kFirstVersion = 1000;
-// What an order is waited for, as with real engines.
+// How long the answer to an order is awaited, as with real engines.
 constexpr Duration kOrderTimeout = Milliseconds(80);
 constexpr Duration kReportTimeout = Milliseconds(300);
 constexpr Duration kReportInterval = Milliseconds(250);
@@ -72,7 +72,7 @@
   return false;
 }
 
-// Exact where the exchange is; coarse while nothing but a thaw is waited for.
+// Exact during the exchange; coarse while only the end of a freeze is awaited.
 Duration FreezeWorld::TimeStep() const {
   constexpr Duration kExchange = Milliseconds(200);
   return now_ - change_at_ < kExchange ? Microseconds(200) : Milliseconds(4);
@@ -178,8 +178,8 @@
   }
 }
 
-// An owner can't tell a VM that froze after its last word from one that froze
-// after the order had come.
+// An owner can't distinguish a VM that froze after its last liveness reply from
+// one that froze after the order had arrived.
 void FreezeWorld::RecordSent(const RankOrder& order) {
   if (std::holds_alternative<ArmMap>(order.order)) {
     arms_.try_emplace(order.rank,
--- a/tests/auto/groups/freeze_world.h
+++ b/tests/auto/groups/freeze_world.h
@@ -1,9 +1,9 @@
-// One owner of a switch and a group of 16 ranks whose messages take time, with
-// VMs that freeze once, at one moment.
+// Simulates one owner of a step switch and a group of 16 ranks whose messages
+// have latency, with VMs that freeze once.
 //
-// A frozen VM sends nothing and takes nothing in; its engine goes on with the
-// group. What was sent there arrives as it wakes; what had left it before
-// arrives in time.
+// A frozen VM neither sends nor receives; its engine continues with the group.
+// Messages to it arrive when it wakes; messages that it had sent before arrive
+// in time.
 
 #ifndef AUTO_GROUPS_FREEZE_WORLD_H_
 #define AUTO_GROUPS_FREEZE_WORLD_H_
@@ -23,11 +23,11 @@
 class FreezeWorld {
  public:
   static constexpr std::uint32_t kRanks = 16;
-  // Between two VMs, one way: 0.5 ms between failure domains, and the turns of
-  // two busy processes.
+  // One-way latency between two VMs: 0.5 ms between failure domains, plus the
+  // processing delays of two busy processes.
   static constexpr Duration kMinLatency = Microseconds(600);
   static constexpr Duration kMaxLatency = Microseconds(1300);
-  // From the arrival of a message until its answer leaves.
+  // Time from the arrival of a message until its answer is sent.
   static constexpr Duration kProcessingTime = Microseconds(400);
   static constexpr Duration kRoundTrip = kMaxLatency * 2 + kProcessingTime;
   // The owner handles one message at a time, sent or received.
@@ -36,17 +36,19 @@
 
   explicit FreezeWorld(std::uint64_t seed, StepSwitchOptions options = {});
 
-  // From `begin` after the change was begun; may be called for several ranks.
+  // Freezes the VM of a rank from `begin` after the start of the change; may be
+  // called for several ranks.
   void Freeze(RankIndex rank, Duration begin, Duration length);
-  // Begins a change and runs that long.
+  // Begins a change and runs for `length`.
   void RunChange(Duration length);
 
   const FakeGroup& group() const { return group_; }
-  // How long the group stood still.
+  // Time for which the group was stalled by a held step.
   Duration held() const { return held_; }
   SwitchPhase phase() const { return owner_.phase(); }
-  // Whether the VM froze with an order to arm its rank, or a hold, not known to
-  // be carried out or undone: no owner can know what its engine will do.
+  // Whether a VM froze while it was unknown whether an order to arm its rank,
+  // or a hold, had been carried out or undone: no owner can know what its
+  // engine will do.
   bool froze_with_unknown_outcome() const;
 
  private:
@@ -54,7 +56,7 @@
     TimePoint begin;
     TimePoint end;
   };
-  // What is on its way to the rank that freezes.
+  // Period in which the outcome of an order to a rank is unknown.
   struct UnknownOutcomePeriod {
     TimePoint from;
     std::optional<TimePoint> until;
@@ -63,9 +65,9 @@
   void AdvanceTime();
   Duration TimeStep() const;
   void At(TimePoint when, std::function<void()> what);
-  // When the owner is done with a message that it takes up at `when`.
+  // When the owner has handled a message that it starts to handle at `when`.
   TimePoint OwnerDone(TimePoint when);
-  // Of a message to the owner.
+  // Schedules the handling of a message to the owner.
   void AtOwner(TimePoint arrives, std::function<void()> what);
   Duration RandomLatency() { return random_.Between(kMinLatency, kMaxLatency); }
   TimePoint AwakeAt(RankIndex rank, TimePoint when) const;
@@ -86,7 +88,7 @@
   StepSwitch owner_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::map<RankIndex, Frozen> frozen_;
-  // When the last report that has arrived had left each rank.
+  // When each rank sent the last of its reports that have arrived.
   std::map<RankIndex, TimePoint> report_sent_at_;
   std::map<RankIndex, UnknownOutcomePeriod> arms_;
   std::map<RankIndex, UnknownOutcomePeriod> holds_;
--- a/tests/auto/groups/group_scenario_test.cc
+++ b/tests/auto/groups/group_scenario_test.cc
@@ -39,12 +39,10 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: the group answers nobody for minutes after one rank has died.
-// Sequence: a rank is lost in a step; its peers wait in that step.
-// Cause: nobody takes the rank out of the member set, though others hold
-// copies of all its experts.
-TEST_CASE(
-    "a lost rank whose experts have copies is left out, then comes back") {
+// A rank is lost during a step, and its peers wait in that step. Guards against
+// a group that answers nobody for minutes because the rank stays in the member
+// set, although others hold copies of all its experts.
+TEST_CASE("a lost rank whose experts have copies is removed, then rejoins") {
   struct Row {
     const char* name;
     void (*lose)(GroupWorld&);
@@ -65,10 +63,11 @@
   }
 }
 
-// Symptom: callers of a group wait in silence.
-// Sequence: ranks are lost that hold the only copies, with no room elsewhere.
-// Cause: the group is kept in routing though no view can be arranged.
-TEST_CASE("a lost rank without copies elsewhere takes the group out") {
+// Ranks are lost that hold the only copies of experts, with no room elsewhere.
+// Guards against callers that wait without an answer because the group stays in
+// routing although no view can be formed.
+TEST_CASE(
+    "a lost rank without copies elsewhere takes the group out of routing") {
   WorldOptions options;
   options.slots = 1;
   GroupWorld world(options, 3);
@@ -84,10 +83,9 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: after a partition, answers mix tokens of two maps.
-// Sequence: a domain is cut off, the rest goes on with a new map; the ranks
-// that were cut off go on with the old one.
-// Cause: both sides believe to be the group.
+// A failure domain is cut off; the other ranks continue with a new map, and
+// those that were cut off with the old one. Guards against answers that mix
+// tokens of two maps because both sides consider themselves the group.
 TEST_CASE("a partition through the group leaves one side serving") {
   GroupWorld world(WorldOptions{}, 4);
   REQUIRE(world.RunUntilComplete(Seconds(10)));
@@ -103,7 +101,7 @@
   CHECK(world.violations().empty());
 }
 
-TEST_CASE("no more than half of the ranks never serve") {
+TEST_CASE("half of the ranks or fewer never serve") {
   WorldOptions options;
   options.ranks = 4;
   options.experts = 2;
@@ -117,10 +115,10 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: the map in use changes back, seconds after a change.
-// Sequence: the controller freezes; another gets the lease and changes the
-// map; the first wakes up and goes on with its own plan.
-// Cause: it doesn't look at the time before it acts, or ranks obey old tokens.
+// The controller freezes, another one gets the lease and changes the map, and
+// the first one resumes with its own plan. Guards against a map that changes
+// back after seconds because the resumed controller does not check the time
+// before it acts, or ranks obey old tokens.
 TEST_CASE("a controller that wakes up after its lease changes nothing") {
   GroupWorld world(WorldOptions{}, 6);
   REQUIRE(world.RunUntilComplete(Seconds(10)));
@@ -138,9 +136,9 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: a rank steps with weights that it doesn't have.
-// Sequence: a rank restarts; an order that was made for it before arrives.
-// Cause: the order is obeyed by a process that knows nothing of its past.
+// A rank restarts, and an order that was made for it before arrives. Guards
+// against a rank that runs steps with weights that it doesn't have because the
+// new process obeys an order for the previous one.
 TEST_CASE(
     "orders for an earlier incarnation or with an old token are refused") {
   GroupWorld world(WorldOptions{}, 7);
@@ -174,9 +172,9 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: a group hangs between two maps.
-// Sequence: a second map is asked for while the first is being prepared.
-// Cause: ranks wait for weights that the controller no longer grants.
+// A second map is requested while the first one is being prepared. Guards
+// against a group that hangs between two maps because ranks wait for weights
+// that the controller no longer grants.
 TEST_CASE("a later map supersedes one that is being prepared") {
   GroupWorld world(WorldOptions{}, 8);
   REQUIRE(world.RunUntilComplete(Seconds(10)));
@@ -191,9 +189,9 @@
   CHECK(world.violations().empty());
 }
 
-// Symptom: an agent stops in the middle of a change of map.
-// Sequence: its engine vouches for weights of a model with more layers.
-// Cause: a key from outside is looked up in the map without a check.
+// An engine reports weights of a model with more layers. Guards against an
+// agent that stops during a map change because a key from outside is looked up
+// in the map without a check.
 TEST_CASE("an engine may hold experts that the map doesn't know") {
   RankOptions options;
   options.incarnation = Incarnation(1);
@@ -227,10 +225,11 @@
   CHECK(world.controller(*world.holder()).state() == GroupState::kServing);
 }
 
-// Symptom: a group stalls for good though all its ranks are up.
-// Sequence: two ranks lose sight of each other; the controller sees both.
-// Cause: a rank counts as there as long as the controller hears it.
-TEST_CASE("ranks that can't hear each other are not kept together") {
+// Two ranks lose contact with each other while the controller reaches both.
+// Guards against a group that stalls forever, although all its ranks are up,
+// because a rank counts as live as long as the controller receives its
+// statuses.
+TEST_CASE("ranks that can't reach each other are not kept in one view") {
   GroupWorld world(WorldOptions{}, 10);
   REQUIRE(world.RunUntilComplete(Seconds(10)));
   world.CutRanks(0, 4);
--- a/tests/auto/groups/group_world.cc
+++ b/tests/auto/groups/group_world.cc
@@ -137,8 +137,8 @@
   At(now_ + kTick, [this] { Tick(); });
 }
 
-// The replicated configuration: it reaches the controllers outside of domains
-// that are cut off.
+// Acts as the replicated configuration, which reaches the controllers outside
+// of domains that are cut off.
 void GroupWorld::MaintainLease() {
   const auto reachable = [&](std::uint32_t i) {
     return !cut_[i] && controllers_[i].frozen_until <= now_;
--- a/tests/auto/groups/group_world.h
+++ b/tests/auto/groups/group_world.h
@@ -1,5 +1,5 @@
-// A group in one process: real controllers and rank machines; a fake network,
-// configuration and engines; and the invariants that are checked at each step.
+// Simulates a group in one process: real controllers and rank machines with a
+// fake network, configuration and engines. Checks the invariants at each step.
 
 #ifndef AUTO_GROUPS_GROUP_WORLD_H_
 #define AUTO_GROUPS_GROUP_WORLD_H_
@@ -40,7 +40,8 @@
   void RunFor(Duration span);
   // Runs until the group serves with all its ranks; false after `limit`.
   bool RunUntilComplete(Duration limit);
-  // Runs until the controller's view has so many members and steps run.
+  // Runs until the controller's view has `members` members and steps run; false
+  // after `limit`.
   bool RunUntilMembers(std::size_t members, Duration limit);
 
   void RestartRank(std::uint32_t rank);
@@ -49,11 +50,12 @@
   void FreezeController(std::uint32_t controller, Duration span);
   void CutDomain(std::uint32_t domain, bool cut);
   void CutRanks(std::uint32_t one, std::uint32_t other);
-  // Hands an order to a rank as if it had just come in.
+  // Delivers an order to a rank as if it had just arrived.
   void Inject(std::uint32_t rank, const Order& order);
   void ChooseRandomMap();
   void Choose(const placement::ExpertMap& map);
-  // No more lost, doubled or late messages and failed fetches.
+  // Stops the loss, duplication and delay of messages and the failure of
+  // fetches.
   void StopFaults();
 
   RankMachine& rank(std::uint32_t index) { return *ranks_[index].machine; }
--- a/tests/auto/groups/message_codec_test.cc
+++ b/tests/auto/groups/message_codec_test.cc
@@ -24,7 +24,7 @@
               placement::ExpertMap::RoundRobin(2, 3, 3, 2))};
 }
 
-TEST_CASE("orders survive their JSON form") {
+TEST_CASE("orders survive a JSON round trip") {
   const Order orders[] = {
       ClaimOrder{kHeader},
       Prepare(),
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("statuses, rank messages and records survive their JSON form") {
+TEST_CASE("statuses, rank messages and records survive a JSON round trip") {
   RankStatus status;
   status.group = GroupId("g");
   status.installed = kView;
@@ -65,7 +65,7 @@
   CHECK(record_back->in_force == record.in_force);
 }
 
-TEST_CASE("bad input is refused, never thrown") {
+TEST_CASE("invalid input is refused without an exception") {
   const json::value good = ToJson(Order(Prepare()));
   for (const auto& field : good.as_object()) {
     CAPTURE(std::string(field.key()));
@@ -93,9 +93,9 @@
   }
 }
 
-// Symptom: a rank steps as if it were the leader of a group of none.
-// Sequence: an order with an empty or unsorted member list is accepted.
-// Cause: the first member is taken as the step leader without a check.
+// An order with an empty or unsorted member list arrives. Guards against a rank
+// that runs steps as the leader of a group without members because the first
+// member is taken as the step leader without a check.
 TEST_CASE("views without members or with members out of order are refused") {
   for (const char* members : {"[]", "[2,1,0,1]", "[0,1,0,2]", "[0,1,2]"}) {
     CAPTURE(members);
--- a/tests/auto/groups/rollout_test.cc
+++ b/tests/auto/groups/rollout_test.cc
@@ -16,7 +16,8 @@
   std::size_t most_concurrent_switches = 0;
 };
 
-// Targets answer each order after a while; `fault` may spoil one of them.
+// Targets answer each order after a delay; `fault`, if any, is injected after a
+// minute.
 Outcome Run(RolloutOptions options,
             const std::optional<RolloutEvent>& fault,
             std::uint64_t seed) {
@@ -71,9 +72,9 @@
   }
 }
 
-// Symptom: a bad model version is on all targets before anyone looks.
-// Sequence: the first target fails with it; the rollout goes on.
-// Cause: nothing watches the targets that were switched.
+// The first target fails with a bad model version. Guards against a rollout
+// that continues to all targets because nothing monitors the targets that were
+// switched.
 TEST_CASE("a rollout stops by itself on errors") {
   struct Row {
     RolloutEvent fault;
--- a/tests/auto/groups/round_codec_test.cc
+++ b/tests/auto/groups/round_codec_test.cc
@@ -47,7 +47,7 @@
   return reading;
 }
 
-TEST_CASE("a reading comes back as it was") {
+TEST_CASE("a reading survives encoding and decoding") {
   for (const bool is_busy : {false, true}) {
     for (const bool has_growth : {false, true}) {
       CAPTURE(is_busy);
@@ -77,7 +77,7 @@
   CHECK(got->growth->picks[2] == 0);
 }
 
-TEST_CASE("a question and its answer come back as they were") {
+TEST_CASE("a round request and its response survive encoding and decoding") {
   const RoundRequest question{GroupId("g"),
                               placement::ReadingMark(9),
                               0.02,
@@ -108,12 +108,12 @@
   CheckSame(got->results[0].report, BusyReport());
   REQUIRE(got->work.size() == answer.work.size());
   for (std::size_t i = 0; i < answer.work.size(); ++i) {
-    // A sixteen-bit share of the largest.
+    // Values are stored as 16-bit fractions of the largest one.
     CHECK(std::abs(got->work[i] - answer.work[i]) <= 40'000.0 / 65'535.0);
   }
 }
 
-TEST_CASE("an order to several ranks and its answers come back as they were") {
+TEST_CASE("a multicast order and its result survive encoding and decoding") {
   const MulticastOrder order{{{RankIndex(4), "10.0.0.4:80"}},
                              Milliseconds(25),
                              "POST",
@@ -138,7 +138,7 @@
   CHECK_FALSE(DecodeMulticastResult("").has_value());
 }
 
-TEST_CASE("bytes that were cut, or are longer, are no message") {
+TEST_CASE("truncated or overlong bytes are rejected") {
   const std::string reading = Encode(Reading(true, true));
   for (std::size_t length = 0; length < reading.size(); ++length) {
     CAPTURE(length);
--- a/tests/auto/groups/silent_ranks_test.cc
+++ b/tests/auto/groups/silent_ranks_test.cc
@@ -11,7 +11,7 @@
 
 class World {
  public:
-  // All ranks are asked every 100 ms; the first `silent` don't answer.
+  // All ranks are polled every 100 ms; the first `silent` don't answer.
   void Run(Duration length, std::uint32_t silent) {
     const TimePoint end = now_ + length;
     for (; now_ < end; now_ += kTick) {
@@ -22,8 +22,8 @@
     }
   }
 
-  // The listener itself stands still. What it had asked of the first `asked`
-  // ranks times out.
+  // The polling process itself stalls. Its polls of the first `asked` ranks
+  // time out.
   void StallCaller(Duration length, std::uint32_t asked) {
     const TimePoint since = now_;
     now_ += length;
@@ -53,7 +53,7 @@
   TimePoint asked_at_;
 };
 
-TEST_CASE("its own lateness shows while it lasts and after") {
+TEST_CASE("a late caller is detected during its delay and after") {
   SilentRanks ranks;
   const TimePoint start = TimeAt(Seconds(5));
   ranks.Tick(start);
@@ -74,7 +74,7 @@
   const Row rows[] = {{"none", 0, 0},
                       {"one", 1, 1},
                       {"a domain", 38, 38},
-                      {"most: the listener is cut off", 100, 0}};
+                      {"most: the caller is cut off", 100, 0}};
   for (const Row& row : rows) {
     CAPTURE(row.name);
     World world;
@@ -83,7 +83,7 @@
     CHECK(world.missing() == 0);
     world.Run(Milliseconds(300), row.silent);
     CHECK(world.missing() == row.missing);
-    // Lateness of the listener tells nothing of those that are gone.
+    // A late polling process does not change which ranks are missing.
     world.StallCaller(Milliseconds(300), 0);
     CHECK(world.missing() == row.missing);
     world.Run(Milliseconds(100), row.silent);
@@ -93,36 +93,36 @@
   }
 }
 
-// Symptom: 40 targets of three domains turn slow at once and are well again 50
-// ms later; their streams have left, and those of the others are late for a
-// second. Sequence: the leader works out a plan and sends out the map, 0.3 s in
-// which it reads no answer; a tick later it judges by the age of what it read
-// before. Cause: its own lateness was taken for the ranks' silence.
-TEST_CASE("who was late itself doesn't take others for silent") {
+// The leader computes a plan and sends out the map, 0.3 s in which it reads no
+// answer; a tick later it judges ranks by the age of what it read before.
+// Guards against mistaking its own lateness for silent ranks: 40 targets of
+// three failure domains turned slow at once and recovered 50 ms later; their
+// streams had left, and those of the other targets were late for a second.
+TEST_CASE("a late caller does not mistake ranks for silent ones") {
   for (const Duration late :
        {Milliseconds(150), Milliseconds(400), Milliseconds(900), Seconds(3)}) {
     CAPTURE(late.count());
     World world;
     world.Run(Seconds(1), 0);
-    // Silent for a while already when the stall begins.
+    // Already silent for a while when the stall begins.
     world.Run(Milliseconds(200), 40);
     world.StallCaller(late, 40);
     world.StallCaller(late, 40);
     CHECK(world.missing() == 0);
     world.Run(kTick, 0);
     CHECK(world.missing() == 0);
-    // Given the time to answer, those that still do not are missing.
+    // Ranks that still don't answer although they had the time are missing.
     world.Run(Milliseconds(800), 40);
     CHECK(world.missing() == 40);
   }
 }
 
-// Symptom: 572 lines of targets that turn slow within one second, the number of
-// the missing between 24 and 95 and never the same; the leader answers hundreds
-// of gateways each time, which makes it late again. Sequence: it is short of
-// processor time; each of its ticks comes in time, but answers are read 0.7 s
-// after they came. Cause: ranks were judged by when they were heard.
-TEST_CASE("what was not asked in vain is not missing, however long ago") {
+// The leader lacks processor time: its ticks are on time, but answers are read
+// 0.7 s after they arrived. Guards against judging ranks by their last
+// response: 572 log lines reported slow targets within one second, the number
+// of missing ranks varied between 24 and 95, and notifying hundreds of gateways
+// each time made the leader late again.
+TEST_CASE("a rank without unanswered polls is not missing") {
   constexpr std::uint32_t kUnheard = 60;
   SilentRanks ranks;
   TimePoint now = TimeAt(Seconds(5));
--- a/tests/auto/groups/step_switch_test.cc
+++ b/tests/auto/groups/step_switch_test.cc
@@ -1,5 +1,5 @@
-// The switch of a self-stepping group from one map to another, against engines
-// that lose answers and carry orders out late, and against its own successor.
+// Tests the step switch of a self-stepping group with engines that lose answers
+// and carry out orders late, and with owners that replace each other.
 
 #include <doctest/doctest.h>
 
@@ -31,16 +31,16 @@
 
 struct FaultChances {
   const char* name;
-  double lost = 0.0;      // carried out at once, not answered
+  double lost = 0.0;      // carried out immediately, not answered
   double late = 0.0;      // not answered, carried out 2 to 12 s later
-  double takeover = 0.0;  // of another owner, at each turn
+  double takeover = 0.0;  // of another owner, in each iteration
   double reform = 0.0;
-  // Of each rank at each turn, that its VM freezes for up to 4 s: it reports
-  // nothing, and what it is ordered is carried out as it wakes.
+  // For each rank in each iteration: its VM freezes for up to 4 s. It reports
+  // nothing, and orders to it are carried out when it wakes.
   double freeze = 0.0;
 };
 
-// Drives owners of the switch against the group, 10 ms a turn.
+// Runs owners of the switch against the group, 10 ms per iteration.
 class World {
  public:
   World(const FaultChances& chances, std::uint64_t seed)
@@ -55,9 +55,10 @@
     }
   }
 
-  // With reliable engines, until the owner is idle on a map of its own.
+  // Runs with reliable engines; returns whether the owner then is idle on a map
+  // of its own.
   bool Settle() {
-    chances_ = {"calm"};
+    chances_ = {"no faults"};
     for (int i = 0; i < 6000; ++i) {
       now_ += Milliseconds(10);
       Turn(i);
@@ -112,7 +113,7 @@
     for (const RankOrder& order : owner_->Tick(now_)) {
       Send(order);
     }
-    // All that are awake report often enough; whom it asks counts as asked.
+    // Ranks that are awake report often enough; those returned count as polled.
     owner_->RanksToPoll(now_);
   }
 
@@ -135,7 +136,7 @@
 
   void Send(const RankOrder& order) {
     if (IsFrozen(order.rank)) {
-      // It may also have been carried out right before.
+      // The order may also have been carried out right before the freeze.
       if (random_.Chance(0.5)) {
         group_.Execute(order);
       } else {
@@ -178,17 +179,17 @@
   int changes_ = 0;
 };
 
-// Symptom: answers of all requests of a group are wrong, and nothing shows it.
-// Sequence: a step begins while some ranks have switched and others not.
-// Cause: an order that was lost, late or given by a predecessor.
-TEST_CASE("no step begins with two maps, whatever becomes of the orders") {
+// Guards against a step that begins while some ranks have switched and others
+// have not, because an order was lost, late or given by a predecessor. All
+// answers of the group are then wrong without any error.
+TEST_CASE("no step begins with two maps, whatever happens to the orders") {
   const FaultChances cases[] = {
-      {"calm"},
+      {"no faults"},
       {"answers are lost", 0.3},
       {"orders are late", 0.0, 0.35},
       {"owners change", 0.0, 0.0, 0.02},
       {"owners change and orders are late", 0.1, 0.3, 0.01},
-      {"the group forms anew", 0.1, 0.2, 0.005, 0.005},
+      {"the group forms again", 0.1, 0.2, 0.005, 0.005},
       {"VMs freeze", 0.0, 0.0, 0.0, 0.0, 0.002},
       {"VMs freeze and answers are lost", 0.2, 0.0, 0.0, 0.0, 0.002},
       {"VMs freeze, owners change, orders are late", 0.1, 0.2, 0.005, 0.0,
@@ -207,8 +208,8 @@
   }
 }
 
-TEST_CASE("a calm group is switched without a stall") {
-  World world({"calm"}, 1);
+TEST_CASE("a group without faults is switched without a stall") {
+  World world({"no faults"}, 1);
   world.Run(500);
   CHECK(world.changes() > 5);
   CHECK(world.group().stalled_attempts() == 0);
@@ -256,7 +257,7 @@
     }
   }
 
-  // Turns until the phase is reached, or give up.
+  // Runs until the phase is reached; returns false after 100 iterations.
   bool RunUntil(SwitchPhase phase) {
     for (int i = 0; i < 100 && owner_.phase() != phase; ++i) {
       Turn();
@@ -264,24 +265,24 @@
     return owner_.phase() == phase;
   }
 
-  // A rank is replaced; the group forms anew.
+  // Simulates the replacement of a rank; the group forms again.
   void Reform() { group_.Reform(); }
 
   void Begin(Duration copies = {}) { owner_.Begin(MapOf(1), copies, now_); }
-  // The engines come to the step of the change.
+  // Runs steps until the engines have reached the step of the change.
   void RunSteps() {
     for (int i = 0; i < 100; ++i) {
       group_.BeginStep();
     }
   }
   void Silence(RankIndex rank) { silent_.insert(rank); }
-  // What the rank said at `responded_at` comes only now.
+  // Delivers a report that the rank sent at `responded_at` only now.
   void DeliverLate(RankIndex rank, TimePoint responded_at) {
     owner_.OnReport(rank, group_.Report(rank), responded_at, responded_at);
   }
   TimePoint now() const { return now_; }
   void Wake() { silent_.clear(); }
-  // Copies there take until it is called again.
+  // Copies at the rank take until this is called again or EndCopies() is.
   void SetCopying(std::optional<RankIndex> rank) { copying_ = rank; }
   void EndCopies() {
     copying_.reset();
@@ -325,11 +326,10 @@
   bool has_held_ = false;
 };
 
-// Symptom: a group stands still for as long as the VM beside one rank is
-// frozen. Sequence: that rank confirms its copies at once; its VM freezes; the
-// last of the others confirms 350 ms later; the step is held, and the frozen
-// rank can't be armed. Cause: the hold relied on confirmations as old as the
-// longest copy.
+// A rank confirms its copies immediately and its VM freezes; the last of the
+// others confirms 350 ms later, the step is held, and the frozen rank can't be
+// armed. Guards against a group that is stalled for as long as the VM is frozen
+// because the hold relied on confirmations as old as the longest copy.
 TEST_CASE("no step is held while a rank is silent since it prepared") {
   for (std::uint32_t silent = 0; silent < kRanks - 1; ++silent) {
     CAPTURE(silent);
@@ -343,7 +343,7 @@
     world.SetCopying(std::nullopt);
     world.Run(Seconds(4));
     CHECK_FALSE(world.has_held());
-    // Later the group is switched as ever.
+    // Later the group can be switched as usual.
     world.Wake();
     world.Run(Seconds(1));
     REQUIRE(world.phase() == SwitchPhase::kIdle);
@@ -353,11 +353,11 @@
   }
 }
 
-// Symptom: the same. Sequence: the ranks of a failure domain are asked in one
-// round; one of them answers and freezes with its VM; the round's answer waits
-// 0.1 s for another and comes after the last copy is done. Cause: a word
-// counted by when it came, not by when it was said.
-TEST_CASE("a word that was said before its rank froze does not count") {
+// The ranks of a failure domain are polled in one round; one of them answers
+// and freezes with its VM; the response of the round waits 0.1 s for another
+// rank and arrives after the last copy is done. Guards against the same stall
+// because a reply counted by the time of its arrival instead of its sending.
+TEST_CASE("a reply sent before its rank froze does not count") {
   for (std::uint32_t frozen = 0; frozen < kRanks - 1; ++frozen) {
     CAPTURE(frozen);
     SilentRankWorld world;
@@ -377,12 +377,12 @@
   }
 }
 
-// Symptom: after a rank was lost the group runs at its first map for 0.4 to 0.8
-// s longer than it has to. Sequence: the group forms anew; each rank's report
-// of the new epoch describes it as of 0.3 s before, as those from afar do.
-// Cause: reports from before the first news of the epoch did not count, though
-// nobody had given an order in it.
-TEST_CASE("a group that formed anew is looked after once all ranks report so") {
+// The group forms again, and each rank's report of the new epoch describes it
+// as of 0.3 s before, as those of distant ranks do. Guards against a group that
+// runs with its first map for 0.4 to 0.8 s longer than necessary because
+// reports from before the epoch became known did not count, although nobody had
+// sent an order in it.
+TEST_CASE("a group that formed again is ready once all ranks report it") {
   SilentRankWorld world;
   world.SetReportLag(Milliseconds(300));
   world.Run(Seconds(1));
@@ -398,12 +398,11 @@
   CHECK(world.RunUntil(SwitchPhase::kSettling));
 }
 
-// Symptom: with 72 ranks the next change of map begins 0.24 to 0.45 s late, and
-// every step of that time lasts three times as long as it should. Sequence: the
-// step has begun with the new map; the owner waits until each rank has said so.
-// Cause: reports of all were asked for where one tells as much, since all ranks
-// begin a step together.
-TEST_CASE("a change is over once any rank is known to have begun its step") {
+// The step has begun with the new map, and the owner waits until each rank has
+// reported that. Guards against a next change that begins 0.24 to 0.45 s late
+// with 72 ranks, while every step lasts three times as long as it should: one
+// report is enough, because all ranks begin a step together.
+TEST_CASE("a change ends once any rank is known to have begun its step") {
   for (std::uint32_t heard = 0; heard < kRanks; ++heard) {
     CAPTURE(heard);
     SilentRankWorld world;
@@ -415,7 +414,7 @@
         world.Silence(RankIndex(i));
       }
     }
-    // Nobody has begun it.
+    // No rank has begun the step.
     world.Run(Milliseconds(200));
     CHECK(world.phase() == SwitchPhase::kSettling);
     CHECK(world.version() == before);
@@ -426,11 +425,11 @@
   }
 }
 
-// Symptom: a change that copies for 0.1 s prepares for 0.2 s. Sequence: the
-// order to copy, with the whole map, is given to each rank again and again
-// until it answers that it is done. Cause: the answer to the order was the only
-// sign; a report is small and tells the same.
-TEST_CASE("ranks that copy are asked when they should be done, not ordered") {
+// The order to copy, with the whole map, is sent to each rank again and again
+// until it answers that it is done. Guards against a preparation of 0.2 s for
+// copies of 0.1 s because the answer to the order was the only sign of
+// completion; a report is small and shows the same.
+TEST_CASE("copying ranks are polled when they should be done, not ordered") {
   SilentRankWorld world;
   const RankIndex slow(kRanks - 1);
   world.SetCopying(slow);
@@ -446,7 +445,7 @@
   CHECK(world.copy_orders() == kRanks);
 }
 
-TEST_CASE("a rank that says nothing of its copies is given the order again") {
+TEST_CASE("a rank that does not report its copies is sent the order again") {
   SilentRankWorld world;
   world.SetCopying(RankIndex(1));
   world.Begin(Milliseconds(100));
