--- a/src/libs/groups/step_switch.cc
+++ b/src/libs/groups/step_switch.cc
@@ -17,9 +17,9 @@
                        MapVersion first_version,
                        TimePoint now)
     : options_(options),
-      entered_(now),
-      taken_over_(now + options.takeover_delay),
-      trusted_from_(taken_over_),
+      phase_entered_at_(now),
+      takeover_settled_at_(now + options.takeover_delay),
+      trusted_from_(takeover_settled_at_),
       next_version_(first_version) {
   for (std::uint32_t i = 0; i < options_.ranks; ++i) {
     ranks_[RankIndex(i)];
@@ -28,9 +28,9 @@
 
 void StepSwitch::Enter(SwitchPhase phase, TimePoint now) {
   phase_ = phase;
-  entered_ = now;
+  phase_entered_at_ = now;
   if (phase == SwitchPhase::kReleasing) {
-    released_step_ = std::max(released_step_, step_);
+    released_step_ = std::max(released_step_, switch_step_);
   }
   for (auto& [index, rank] : ranks_) {
     // Orders that another owner may have sent are unknown here.
@@ -142,7 +142,7 @@
   seen_step_ = StepNumber(0);
   released_step_ = StepNumber(0);
   checked_at_ = TimePoint{};
-  trusted_from_ = taken_over_;
+  trusted_from_ = takeover_settled_at_;
   Enter(SwitchPhase::kObserving, now);
 }
 
@@ -204,7 +204,7 @@
     // A predecessor's change only lacks the release.
     pending_version_ = armed->version;
     pending_map_ = nullptr;
-    step_ = *held;
+    switch_step_ = *held;
     are_all_armed_ = false;
     Enter(SwitchPhase::kReleasing, now);
     return;
@@ -214,7 +214,7 @@
     return;
   }
   if (held.has_value()) {
-    step_ = *held;
+    switch_step_ = *held;
     BeginClearing(now);
     return;
   }
@@ -283,8 +283,9 @@
   const double ahead = ToSeconds(since) / ToSeconds(step_time_);
   const double steps =
       std::ceil(std::max(ahead, 1.0)) * static_cast<double>(1U << late_holds_);
-  step_ = StepNumber(seen_step_.value() + static_cast<std::uint64_t>(steps));
-  step_ = std::max(step_, released_step_.Next());
+  switch_step_ =
+      StepNumber(seen_step_.value() + static_cast<std::uint64_t>(steps));
+  switch_step_ = std::max(switch_step_, released_step_.Next());
 }
 
 void StepSwitch::RecordArmingTime(Duration took) {
@@ -295,7 +296,7 @@
 }
 
 bool StepSwitch::HasBegunAsArmed() const {
-  return are_all_armed_ && seen_step_ >= step_;
+  return are_all_armed_ && seen_step_ >= switch_step_;
 }
 
 // All ranks use the pending map from now on.
@@ -312,7 +313,7 @@
     EndChange(now);
     return;
   }
-  if (!AllReportedSince(entered_)) {
+  if (!AllReportedSince(phase_entered_at_)) {
     return;
   }
   bool is_over = true;
@@ -320,7 +321,7 @@
     const EngineReport& report = *rank.report;
     if (report.held.has_value()) {
       // A hold order was carried out late.
-      if (*report.held == step_) {
+      if (*report.held == switch_step_) {
         holding_rank_ = index;
         Enter(SwitchPhase::kReleasing, now);
       } else {
@@ -353,7 +354,8 @@
       const bool is_unexpected =
           std::any_of(ranks_.begin(), ranks_.end(), [this](const auto& item) {
             const auto& report = item.second.report;
-            return report.has_value() && item.second.as_of >= entered_ &&
+            return report.has_value() &&
+                   item.second.as_of >= phase_entered_at_ &&
                    (report->held.has_value() || report->armed.has_value());
           });
       if (is_unexpected || !IsGroupComplete(now)) {
@@ -364,20 +366,20 @@
     case SwitchPhase::kPreparing:
       if (AllDone()) {
         Enter(SwitchPhase::kConfirming, now);
-      } else if (now - entered_ > options_.prepare_timeout) {
+      } else if (now - phase_entered_at_ > options_.prepare_timeout) {
         GiveUp("not all ranks prepared in time", now);
       } else if (IsCopyingRankSilent(now)) {
         GiveUp("a rank is silent while it copies", now);
       }
       return;
     case SwitchPhase::kConfirming:
-      if (AllRespondedSince(entered_)) {
+      if (AllRespondedSince(phase_entered_at_)) {
         requires_liveness_reply_ =
-            now - entered_ <= options_.max_liveness_round;
+            now - phase_entered_at_ <= options_.max_liveness_round;
         ChooseStep(now);
         holding_rank_ = ranks_.begin()->first;
         Enter(SwitchPhase::kHolding, now);
-      } else if (now - entered_ > options_.confirm_timeout) {
+      } else if (now - phase_entered_at_ > options_.confirm_timeout) {
         GiveUp("a rank is silent before the hold", now);
       }
       return;
@@ -388,7 +390,7 @@
       return;
     case SwitchPhase::kArming:
       if (AllDone()) {
-        RecordArmingTime(now - entered_);
+        RecordArmingTime(now - phase_entered_at_);
         are_all_armed_ = true;
         Enter(SwitchPhase::kReleasing, now);
       } else if (IsUnarmedRankSilent(now)) {
--- a/src/libs/groups/step_switch.h
+++ b/src/libs/groups/step_switch.h
@@ -218,7 +218,7 @@
   bool ShouldPoll(RankIndex index, const Rank& rank, TimePoint now) const;
   // Whether the rank has responded since the phase was entered.
   bool HasLivenessReply(const Rank& rank) const {
-    return rank.responded_at > entered_;
+    return rank.responded_at > phase_entered_at_;
   }
   // Whether the rank may be ordered to arm now.
   bool IsArmable(const Rank& rank) const {
@@ -238,9 +238,9 @@
   StepSwitchOptions options_;
   std::map<RankIndex, Rank> ranks_;
   SwitchPhase phase_ = SwitchPhase::kObserving;
-  TimePoint entered_;
+  TimePoint phase_entered_at_;
   // From this time on the last orders of a predecessor show in reports.
-  TimePoint taken_over_;
+  TimePoint takeover_settled_at_;
   // Only reports that describe a rank as of this time or later are evaluated.
   TimePoint trusted_from_;
   GroupEpoch epoch_;
@@ -249,15 +249,15 @@
   MapPointer map_;
   MapVersion pending_version_;
   MapPointer pending_map_;
-  StepNumber step_;  // step at which the pending map takes effect
+  StepNumber switch_step_;  // step at which the pending map takes effect
   // No step up to this one is held again: a release of it may still be carried
   // out late and would let a step begin for which ranks are being armed.
   StepNumber released_step_;
-  RankIndex holding_rank_{0};      // rank at which `step_` is held
+  RankIndex holding_rank_{0};      // rank at which `switch_step_` is held
   Duration expected_copy_time_{};  // of a rank, in the current change
   std::uint32_t late_holds_ = 0;
   // All ranks have confirmed that they are armed with the pending map for
-  // `step_`.
+  // `switch_step_`.
   bool are_all_armed_ = false;
   // Whether ranks are armed on their own liveness reply in this change.
   bool requires_liveness_reply_ = true;
--- a/src/libs/groups/step_switch_orders.cc
+++ b/src/libs/groups/step_switch_orders.cc
@@ -29,16 +29,16 @@
       }
       return PrepareMap{pending_version_, pending_map_};
     case SwitchPhase::kArming:
-      return IsArmable(rank)
-                 ? std::optional<EngineOrder>(ArmMap{pending_version_, step_})
-                 : std::nullopt;
+      return IsArmable(rank) ? std::optional<EngineOrder>(
+                                   ArmMap{pending_version_, switch_step_})
+                             : std::nullopt;
     case SwitchPhase::kHolding:
       return index == holding_rank_
-                 ? std::optional<EngineOrder>(HoldStep{step_})
+                 ? std::optional<EngineOrder>(HoldStep{switch_step_})
                  : std::nullopt;
     case SwitchPhase::kReleasing:
       return index == holding_rank_
-                 ? std::optional<EngineOrder>(ReleaseStep{step_})
+                 ? std::optional<EngineOrder>(ReleaseStep{switch_step_})
                  : std::nullopt;
   }
   return std::nullopt;
@@ -109,7 +109,7 @@
   constexpr Duration kReleaseSettleTime = Milliseconds(300);
   return phase_ == SwitchPhase::kObserving ||
          (phase_ == SwitchPhase::kSettling &&
-          (!are_all_armed_ || now - entered_ > kReleaseSettleTime));
+          (!are_all_armed_ || now - phase_entered_at_ > kReleaseSettleTime));
 }
 
 Duration StepSwitch::PollInterval() const {
--- a/tests/auto/groups/silent_ranks_test.cc
+++ b/tests/auto/groups/silent_ranks_test.cc
@@ -15,8 +15,8 @@
   void Run(Duration length, std::uint32_t silent) {
     const TimePoint end = now_ + length;
     for (; now_ < end; now_ += kTick) {
-      if (now_ >= asked_at_ + kRound) {
-        Ask(silent);
+      if (now_ >= polled_at_ + kRound) {
+        Poll(silent);
       }
       ranks_.Tick(now_);
     }
@@ -37,8 +37,8 @@
   std::size_t missing() const { return ranks_.Missing(now_).size(); }
 
  private:
-  void Ask(std::uint32_t silent) {
-    asked_at_ = now_;
+  void Poll(std::uint32_t silent) {
+    polled_at_ = now_;
     for (std::uint32_t i = 0; i < kRanks; ++i) {
       if (i < silent) {
         ranks_.OnTimeout(RankIndex(i), now_);
@@ -50,7 +50,7 @@
 
   SilentRanks ranks_;
   TimePoint now_ = TimeAt(Seconds(5));
-  TimePoint asked_at_;
+  TimePoint polled_at_;
 };
 
 TEST_CASE("a late caller is detected during its delay and after") {
@@ -123,14 +123,14 @@
 // of missing ranks varied between 24 and 95, and notifying hundreds of gateways
 // each time made the leader late again.
 TEST_CASE("a rank without unanswered polls is not missing") {
-  constexpr std::uint32_t kUnheard = 60;
+  constexpr std::uint32_t kSilentRanks = 60;
   SilentRanks ranks;
   TimePoint now = TimeAt(Seconds(5));
   for (std::uint32_t i = 0; i < kRanks; ++i) {
     ranks.OnResponse(RankIndex(i), now);
   }
   for (int tick = 0; tick < 80; ++tick, now += kTick) {
-    for (std::uint32_t i = kUnheard; i < kRanks; ++i) {
+    for (std::uint32_t i = kSilentRanks; i < kRanks; ++i) {
       ranks.OnResponse(RankIndex(i), now);
     }
     ranks.Tick(now);
--- a/tests/auto/groups/step_switch_test.cc
+++ b/tests/auto/groups/step_switch_test.cc
@@ -48,10 +48,10 @@
     TakeOver();
   }
 
-  void Run(int turns) {
-    for (int i = 0; i < turns; ++i) {
+  void Run(int iterations) {
+    for (int i = 0; i < iterations; ++i) {
       now_ += Milliseconds(10);
-      Turn(i);
+      RunIteration(i);
     }
   }
 
@@ -61,7 +61,7 @@
     chances_ = {"no faults"};
     for (int i = 0; i < 6000; ++i) {
       now_ += Milliseconds(10);
-      Turn(i);
+      RunIteration(i);
     }
     return owner_->phase() == SwitchPhase::kIdle &&
            group_.stalled_attempts() == 0 && changes_ > 0;
@@ -83,7 +83,7 @@
     owner_.emplace(options, MapVersion(term_ * 1000), now_);
   }
 
-  void Turn(int number) {
+  void RunIteration(int number) {
     if (random_.Chance(chances_.takeover)) {
       TakeOver();
     }
@@ -221,7 +221,7 @@
  public:
   SilentRankWorld() : owner_(Options(), MapVersion(1000), now_) {
     for (int i = 0; i < 100 && owner_.phase() != SwitchPhase::kIdle; ++i) {
-      Turn();
+      RunIteration();
       ReadMap();
     }
   }
@@ -233,7 +233,7 @@
   }
   void SetReportLag(Duration lag) { report_lag_ = lag; }
 
-  void Turn() {
+  void RunIteration() {
     now_ += Milliseconds(10);
     for (std::uint32_t i = 0; i < kRanks; ++i) {
       if (!silent_.contains(RankIndex(i))) {
@@ -247,20 +247,20 @@
       owner_.OnAnswer(order, AnswerTo(order), now_);
     }
     for (const RankIndex rank : owner_.RanksToPoll(now_)) {
-      ++questions_[rank];
+      ++poll_counts_[rank];
     }
   }
 
   void Run(Duration length) {
     for (const TimePoint end = now_ + length; now_ < end;) {
-      Turn();
+      RunIteration();
     }
   }
 
   // Runs until the phase is reached; returns false after 100 iterations.
   bool RunUntil(SwitchPhase phase) {
     for (int i = 0; i < 100 && owner_.phase() != phase; ++i) {
-      Turn();
+      RunIteration();
     }
     return owner_.phase() == phase;
   }
@@ -290,7 +290,7 @@
   }
   bool has_held() const { return has_held_; }
   int copy_orders() const { return copy_orders_; }
-  int questions(RankIndex rank) { return questions_[rank]; }
+  int poll_count(RankIndex rank) { return poll_counts_[rank]; }
   MapVersion version() const { return owner_.version(); }
   SwitchPhase phase() const { return owner_.phase(); }
 
@@ -321,7 +321,7 @@
   std::optional<RankIndex> copying_;
   std::optional<RankOrder> begun_;
   Duration report_lag_{};
-  std::map<RankIndex, int> questions_;
+  std::map<RankIndex, int> poll_counts_;
   int copy_orders_ = 0;
   bool has_held_ = false;
 };
@@ -370,7 +370,7 @@
     world.Run(Milliseconds(50));
     world.SetCopying(std::nullopt);
     for (int i = 0; i < 100; ++i) {
-      world.Turn();
+      world.RunIteration();
       world.DeliverLate(RankIndex(frozen), frozen_at);
     }
     CHECK_FALSE(world.has_held());
@@ -388,11 +388,11 @@
   world.Run(Seconds(1));
   REQUIRE(world.phase() == SwitchPhase::kIdle);
   world.Reform();
-  world.Turn();
-  world.Turn();
+  world.RunIteration();
+  world.RunIteration();
   CHECK(world.phase() == SwitchPhase::kObserving);
   world.ReadMap();
-  world.Turn();
+  world.RunIteration();
   CHECK(world.phase() == SwitchPhase::kIdle);
   world.Begin();
   CHECK(world.RunUntil(SwitchPhase::kSettling));
@@ -403,14 +403,14 @@
 // with 72 ranks, while every step lasts three times as long as it should: one
 // report is enough, because all ranks begin a step together.
 TEST_CASE("a change ends once any rank is known to have begun its step") {
-  for (std::uint32_t heard = 0; heard < kRanks; ++heard) {
-    CAPTURE(heard);
+  for (std::uint32_t responding = 0; responding < kRanks; ++responding) {
+    CAPTURE(responding);
     SilentRankWorld world;
     const MapVersion before = world.version();
     world.Begin();
     REQUIRE(world.RunUntil(SwitchPhase::kSettling));
     for (std::uint32_t i = 0; i < kRanks; ++i) {
-      if (i != heard) {
+      if (i != responding) {
         world.Silence(RankIndex(i));
       }
     }
@@ -436,9 +436,9 @@
   world.Begin(Milliseconds(100));
   world.Run(Milliseconds(90));
   CHECK(world.copy_orders() == kRanks);
-  CHECK(world.questions(slow) == 0);
+  CHECK(world.poll_count(slow) == 0);
   world.Run(Milliseconds(30));
-  CHECK(world.questions(slow) > 0);
+  CHECK(world.poll_count(slow) > 0);
   CHECK(world.phase() == SwitchPhase::kPreparing);
   world.EndCopies();
   REQUIRE(world.RunUntil(SwitchPhase::kSettling));
