--- a/src/libs/groups/group_types.h
+++ b/src/libs/groups/group_types.h
@@ -61,7 +61,7 @@
 struct MapRecord {
   MapVersion version;
   placement::ExpertMap chosen;  // requested by an operator or the policy
-  // `chosen` adapted to what the live ranks can hold
+  // `chosen` adapted to what the live ranks can hold.
   placement::ExpertMap in_force;
 };
 
--- a/src/libs/groups/rank_machine.h
+++ b/src/libs/groups/rank_machine.h
@@ -103,8 +103,8 @@
   std::optional<ViewId> sealed_;
   std::optional<View> installed_;
   std::shared_ptr<const placement::ExpertMap> map_;
-  std::vector<placement::ExpertKey>
-      required_experts_;  // experts that `map_` places on this rank
+  // Experts that `map_` places on this rank.
+  std::vector<placement::ExpertKey> required_experts_;
 
   std::optional<StepId> promised_;
   std::optional<StepId> running_;
--- a/src/libs/groups/rollout.h
+++ b/src/libs/groups/rollout.h
@@ -21,14 +21,13 @@
 namespace bilberryspool::groups {
 
 struct RolloutOptions {
-  std::uint32_t max_preparing = 2;  // concurrent preparations
-  // concurrent switches, including settling targets
-  std::uint32_t max_switching = 1;
-  std::uint32_t min_serving = 1;   // other than the target to be switched
-  std::uint32_t max_failures = 1;  // number of failures that stops the rollout
-  double max_error_share = 0.05;   // of the requests of a switched target
-  Duration settle_time =
-      Seconds(30);                  // how long a switched target is monitored
+  std::uint32_t max_preparing = 2;  // at a time
+  std::uint32_t max_switching = 1;  // at a time, including settling targets
+  std::uint32_t min_serving = 1;    // other than the target to be switched
+  std::uint32_t max_failures = 1;   // this number stops the rollout
+  double max_error_share = 0.05;    // of the requests of a switched target
+  // How long a switched target is monitored.
+  Duration settle_time = Seconds(30);
   Duration timeout = Seconds(600);  // of one preparation or switch
 };
 
--- a/tests/auto/groups/freeze_at_any_moment_test.cc
+++ b/tests/auto/groups/freeze_at_any_moment_test.cc
@@ -1,14 +1,13 @@
 // No freeze of a VM at any moment of a map change may leave callers of its
 // group without an event for longer than half a second.
 //
-// Failure: a rank sends its liveness reply and is ordered to arm, and its VM
-// freezes before the answer to the order is sent; or the holding rank freezes
-// between hold and release. The group is then `arming` or `releasing` for the 4
-// s of the freeze. Engines offer no order that expires and no way to poll a
-// rank whose VM is silent. With the order taken, the rank switches at the step;
-// without it, it does not; both look the same, and each is wrong for one of the
-// two ways to proceed. Only a step that lies further ahead than the freeze
-// lasts would help, and demand does not last that long.
+// Failure: a VM freezes between its rank's liveness reply and the answer to the
+// order to arm, or the holding rank freezes between hold and release; the group
+// is `arming` or `releasing` for the 4 s of the freeze. Engines offer no order
+// that expires, and a rank whose VM is silent can't be polled: whether it took
+// the order is unknown, and each case is wrong for one of the two ways to
+// proceed. Only a step further ahead than the freeze lasts would help, and
+// demand does not last that long.
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/groups/freeze_meets_change_test.cc
+++ b/tests/auto/groups/freeze_meets_change_test.cc
@@ -1,18 +1,15 @@
-// A VM beside an engine freezes at any moment of a map change.
+// A VM beside an engine freezes during a map change. Until it wakes, it is
+// unknown whether the engine took the order to arm, and neither a release nor
+// clearing is safe: all streams of a group of 16 ranks stop for the 4 s of the
+// freeze, and callers leave after 2 s without an event. Without a change, the
+// same freeze costs one rank in 16.
 //
-// Failure: the owner holds the step, a VM freezes, and the order to arm its
-// rank is not answered. Whether the engine took it is unknown until the VM
-// wakes, and neither a release nor clearing is safe until then. All streams of
-// a group of 16 ranks stop for the 4 s of the freeze, and callers leave after 2
-// s without an event; without a change, the same freeze costs one rank in 16.
-// The cause was that the reports of all other ranks and the exchange about the
-// hold lay between the last reply of a rank and its order: with the freeze
-// moved by a millisecond at a time, 11 of 28 runs stalled the group for 4.0 s,
-// one of them with the holding rank frozen.
-//
-// A VM that freezes after its last liveness reply before the order and before
-// its answer is sent can't be ruled out: two states of its engine look the same
-// from outside, and each is wrong for one of the two ways to proceed.
+// Guards against an order to a rank that fell silent since its last reply: with
+// the reports of all others and the exchange about the hold in between, 11 of
+// 28 freezes, moved by a millisecond at a time, stalled the group for 4.0 s. A
+// freeze between the last liveness reply and the sending of the answer can't be
+// ruled out: two states of the engine look the same from outside, and each is
+// wrong for one of the two ways to proceed.
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/groups/step_switch_test.cc
+++ b/tests/auto/groups/step_switch_test.cc
@@ -58,7 +58,7 @@
   // Runs with reliable engines; returns whether the owner then is idle on a map
   // of its own.
   bool Settle() {
-    chances_ = {"no faults"};
+    chances_ = {"calm"};
     for (int i = 0; i < 6000; ++i) {
       now_ += Milliseconds(10);
       RunIteration(i);
@@ -184,7 +184,7 @@
 // answers of the group are then wrong without any error.
 TEST_CASE("no step begins with two maps, whatever happens to the orders") {
   const FaultChances cases[] = {
-      {"no faults"},
+      {"calm"},
       {"answers are lost", 0.3},
       {"orders are late", 0.0, 0.35},
       {"owners change", 0.0, 0.0, 0.02},
@@ -209,7 +209,7 @@
 }
 
 TEST_CASE("a group without faults is switched without a stall") {
-  World world({"no faults"}, 1);
+  World world({"calm"}, 1);
   world.Run(500);
   CHECK(world.changes() > 5);
   CHECK(world.group().stalled_attempts() == 0);
