--- a/src/libs/groups/group_controller.cc
+++ b/src/libs/groups/group_controller.cc
@@ -9,8 +9,9 @@
 namespace bilberryspool::groups {
 namespace {
 
-// How often a settled controller looks for lost ranks.
-constexpr int kLooksPerLoss = 4;
+// Number of checks for lost ranks per `lost_after` while no change is in
+// progress.
+constexpr int kChecksPerLossTimeout = 4;
 
 std::vector<RankIndex> RanksOf(const std::vector<Member>& members) {
   std::vector<RankIndex> ranks;
@@ -49,7 +50,7 @@
     const ControllerEvent& event,
     TimePoint now) {
   Actions out;
-  handled_ = now;
+  last_event_at_ = now;
   std::visit([&](const auto& each) { On(each, now, out); }, event);
   Advance(now, out);
   return out;
@@ -59,10 +60,10 @@
   if (!lease_) {
     return std::nullopt;
   }
-  const bool settled = view_ && !change_ && !obstacle_;
-  const Duration pace =
-      settled ? options_.lost_after / kLooksPerLoss : options_.resend_after;
-  return std::min(lease_->until, handled_ + pace);
+  const bool settled = view_ && !change_ && !blocked_reason_;
+  const Duration pace = settled ? options_.lost_after / kChecksPerLossTimeout
+                                : options_.resend_after;
+  return std::min(lease_->until, last_event_at_ + pace);
 }
 
 std::optional<ChangePhase> GroupController::phase() const {
@@ -86,7 +87,7 @@
   recorded_ = event.record.version;
   view_.reset();
   change_.reset();
-  obstacle_.reset();
+  blocked_reason_.reset();
   stalled_since_.reset();
   last_sequence_ = 0;
   last_grant_ = 0;
@@ -111,7 +112,7 @@
 }
 
 void GroupController::On(const MapChosen& event, TimePoint now, Actions& out) {
-  if (!Holds(now)) {
+  if (!HoldsLease(now)) {
     out.emplace_back(MapRefused{"this process does not hold the lease"});
     return;
   }
@@ -135,8 +136,8 @@
   }
 }
 
-// Statuses are ordered within an incarnation; a late one of an earlier
-// incarnation tells of a rank that is gone.
+// Statuses are ordered within an incarnation. A late status of an earlier
+// incarnation describes a process that no longer exists.
 void GroupController::On(const StatusReceived& event, TimePoint now, Actions&) {
   const RankStatus& status = event.status;
   const bool known_rank =
@@ -153,8 +154,8 @@
   if (outdated) {
     return;
   }
-  if (is_new || restarted || now - rank.heard >= options_.lost_after) {
-    rank.heard_since = now;
+  if (is_new || restarted || now - rank.last_status_at >= options_.lost_after) {
+    rank.live_since = now;
     rank.was_lost = !is_new;
     rank.claim_next = now;
   }
@@ -162,7 +163,7 @@
     rank.grant.reset();
   }
   rank.status = status;
-  rank.heard = now;
+  rank.last_status_at = now;
   const bool grant_done =
       rank.grant && !status.fetching &&
       status.token == (lease_ ? lease_->token : status.token) &&
@@ -175,13 +176,15 @@
 void GroupController::On(const ControllerTick&, TimePoint, Actions&) {}
 
 void GroupController::Advance(TimePoint now, Actions& out) {
-  // A frozen process that wakes up reads the time before it acts, and finds
-  // its lease over. Without this it would send one more round of orders.
-  if (!Holds(now)) {
+  // A process that resumes after a freeze reads the time before it acts and
+  // finds its lease expired. Without this check it would send one more round of
+  // orders.
+  if (!HoldsLease(now)) {
     lease_.reset();
     change_.reset();
     view_.reset();
-    // Not an action: what the group does is no longer this process's to say.
+    // Emits no action: without the lease, this process no longer reports the
+    // group's state.
     state_ = GroupState::kOut;
     why_ = "no lease";
     return;
@@ -189,14 +192,14 @@
   ClaimRanks(now, out);
   if (Settled(now)) {
     ExcludeAwaited(now);
-    Reconsider(now);
-    Drive(now, out);
+    Reconcile(now);
+    DriveChange(now, out);
   }
   UpdateState(now, out);
 }
 
-bool GroupController::IsHeard(const Rank& rank, TimePoint now) const {
-  return now - rank.heard < options_.lost_after;
+bool GroupController::IsLive(const Rank& rank, TimePoint now) const {
+  return now - rank.last_status_at < options_.lost_after;
 }
 
 bool GroupController::IsInView(const Rank& rank) const {
@@ -205,27 +208,27 @@
                                      view_->members.end(), member);
 }
 
-bool GroupController::Counts(const Rank& rank, TimePoint now) const {
-  // A rank that comes back before any view without it needs no wait.
+bool GroupController::IsEligible(const Rank& rank, TimePoint now) const {
+  // A rank that returns before a view without it was installed needs no wait.
   const bool waited = !rank.was_lost || IsInView(rank) ||
-                      now - rank.heard_since >= options_.rejoin_after;
-  return IsHeard(rank, now) && waited && now >= rank.excluded_until &&
+                      now - rank.live_since >= options_.rejoin_after;
+  return IsLive(rank, now) && waited && now >= rank.excluded_until &&
          rank.status.usable && rank.status.token == lease_->token;
 }
 
-// After a lease is granted, ranks get time to answer the first claim, so that
-// a healthy group is not cut down to the ranks that answered first.
+// After a lease is granted, ranks get time to answer the first claim, so that a
+// healthy group is not reduced to the ranks that answered first.
 bool GroupController::Settled(TimePoint now) const {
   if (now - lease_->since >= options_.lost_after) {
     return true;
   }
-  return CountedMembers(now).size() == options_.ranks;
+  return EligibleMembers(now).size() == options_.ranks;
 }
 
-std::vector<Member> GroupController::CountedMembers(TimePoint now) const {
+std::vector<Member> GroupController::EligibleMembers(TimePoint now) const {
   std::vector<Member> members;
   for (const auto& [index, rank] : ranks_) {
-    if (Counts(rank, now)) {
+    if (IsEligible(rank, now)) {
       members.push_back({index, rank.status.incarnation});
     }
   }
@@ -243,7 +246,7 @@
                               TimePoint now) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& member) {
     const Rank* rank = Find(member);
-    return rank == nullptr || !IsHeard(*rank, now) || !rank->status.usable;
+    return rank == nullptr || !IsLive(*rank, now) || !rank->status.usable;
   });
 }
 
@@ -265,8 +268,9 @@
       });
 }
 
-// Ranks that the controller hears may not hear each other. Nobody is lost
-// then, and without this the group would wait for its missing member for good.
+// Ranks that reach the controller may not reach each other. No rank is lost
+// then, and without the exclusion the group would wait for its missing member
+// forever.
 void GroupController::ExcludeAwaited(TimePoint now) {
   const bool stalled =
       view_ && !change_ && !AnyLost(view_->members, now) && AnyStalled(*view_);
@@ -283,68 +287,70 @@
   stalled_since_.reset();
   const RankIndex leader = view_->members.front().rank;
   std::vector<RankIndex> excluded = ranks_.at(leader).status.awaited;
-  // Where most are missing to the leader, the leader is the one cut off.
+  // If the leader waits for half of the members or more, the leader itself is
+  // cut off.
   if (excluded.empty() || excluded.size() * 2 >= view_->members.size()) {
     excluded = {leader};
   }
   for (const RankIndex rank : excluded) {
-    ranks_[rank].excluded_until = now + options_.excluded_for;
+    ranks_[rank].excluded_until = now + options_.exclusion_time;
   }
 }
 
-const std::optional<placement::ExpertMap>& GroupController::WantedMap(
+const std::optional<placement::ExpertMap>& GroupController::DesiredMap(
     const std::vector<Member>& members) {
-  const bool known = wanted_ && wanted_->members == members &&
-                     wanted_->chosen == record_.chosen;
+  const bool known = desired_map_ && desired_map_->members == members &&
+                     desired_map_->chosen == record_.chosen;
   if (!known) {
     const std::vector<RankIndex> ranks = RanksOf(members);
-    wanted_ =
-        Wanted{members, record_.chosen,
-               placement::RepairOrphans(record_.chosen.RestrictedTo(ranks),
-                                        ranks, options_.slots)};
+    desired_map_ = DesiredMapCache{
+        members, record_.chosen,
+        placement::RepairOrphans(record_.chosen.RestrictedTo(ranks), ranks,
+                                 options_.slots)};
   }
-  return wanted_->map;
+  return desired_map_->map;
 }
 
-bool GroupController::IsWanted(const View& view,
-                               const std::vector<Member>& members) const {
+bool GroupController::IsDesired(const View& view,
+                                const std::vector<Member>& members) const {
   return view.members == members && view.map_version == record_.version;
 }
 
-// Decides what view is wanted and begins a change where it differs.
-void GroupController::Reconsider(TimePoint now) {
-  obstacle_.reset();
-  std::vector<Member> members = CountedMembers(now);
-  // Two views of one group must share a rank, or both could step at once.
+// Determines the desired view and begins a change if the current one differs.
+void GroupController::Reconcile(TimePoint now) {
+  blocked_reason_.reset();
+  std::vector<Member> members = EligibleMembers(now);
+  // Any two views of a group must share a rank; otherwise both could run steps
+  // at the same time.
   if (members.size() * 2 <= options_.ranks) {
-    obstacle_ = "no more than half of the ranks are there";
+    blocked_reason_ = "no more than half of the ranks are there";
     change_.reset();
     return;
   }
-  const std::optional<placement::ExpertMap>& map = WantedMap(members);
+  const std::optional<placement::ExpertMap>& map = DesiredMap(members);
   if (!map) {
-    obstacle_ = "the ranks that are left can't hold every expert";
+    blocked_reason_ = "the ranks that are left can't hold every expert";
     change_.reset();
     return;
   }
   const bool same_map = *map == record_.in_force;
   if (change_) {
-    const bool wanted = same_map && IsWanted(change_->view, members);
-    if (wanted || !MayReplaceChange(now)) {
+    const bool is_desired = same_map && IsDesired(change_->view, members);
+    if (is_desired || !MayReplaceChange(now)) {
       return;
     }
   } else if (view_) {
-    const bool wanted = same_map && IsWanted(*view_, members);
-    if (wanted && !NeedsView(*view_)) {
+    const bool is_desired = same_map && IsDesired(*view_, members);
+    if (is_desired && !NeedsView(*view_)) {
       return;
     }
   }
   BeginChange(std::move(members), *map, now);
 }
 
-// A later wish supersedes a change that is still being prepared. Once ranks
-// have been told to stop promising steps, the way forward is shorter than the
-// way back, unless a member is lost.
+// A later request supersedes a change that is still being prepared. Once ranks
+// have been told to stop promising steps, completing the change takes less time
+// than reverting it, unless a member is lost.
 bool GroupController::MayReplaceChange(TimePoint now) const {
   const bool preparing = change_->phase == ChangePhase::kRecording ||
                          change_->phase == ChangePhase::kPreparing;
@@ -375,8 +381,8 @@
 void GroupController::UpdateState(TimePoint now, Actions& out) {
   const bool steps_run =
       view_ && !AnyLost(view_->members, now) && !AnyStalled(*view_);
-  if (obstacle_) {
-    ChangeState(GroupState::kOut, *obstacle_, out);
+  if (blocked_reason_) {
+    ChangeState(GroupState::kOut, *blocked_reason_, out);
   } else if (steps_run && !change_) {
     ChangeState(GroupState::kServing, "steps run", out);
   } else if (steps_run) {
--- a/src/libs/groups/rank_machine.h
+++ b/src/libs/groups/rank_machine.h
@@ -1,11 +1,11 @@
 // The rank's side of the agreement on one expert map in every step.
 //
-// Runs in the agent at each rank and is the only giver of orders to its
+// Runs in the agent at each rank and is the only sender of orders to its
 // engine, so engines that ignore fencing tokens are safe too. Guards against a
-// rank that steps with another map than its peers: a step starts only after
-// all members of the rank's view have said that they are ready for it, and a
-// rank that has not heard so stops. docs/design/map-agreement.md has the
-// argument.
+// rank that runs a step with another map than its peers: a step starts only
+// after all members of the rank's view have reported that they are ready for
+// it, and a rank without this confirmation stops. docs/design/map-agreement.md
+// explains why this is sufficient.
 
 #ifndef LIBS_GROUPS_RANK_MACHINE_H_
 #define LIBS_GROUPS_RANK_MACHINE_H_
@@ -27,9 +27,9 @@
   Incarnation incarnation;
   Duration resend_after = Milliseconds(50);
   Duration status_interval = Milliseconds(200);
-  // Without a step for this long the rank is out of routing.
+  // A rank that has started no step for this long is taken out of routing.
   Duration stall_after = Milliseconds(500);
-  // A step that runs longer is aborted: a peer has died in it.
+  // A step that runs longer is aborted, because a peer has died in it.
   Duration step_timeout = Seconds(2);
 };
 
@@ -37,7 +37,7 @@
  public:
   explicit RankMachine(RankOptions options);
 
-  // To be called once, before any event.
+  // Must be called once, before any event.
   std::vector<RankAction> Start(TimePoint now);
   std::vector<RankAction> Handle(const RankEvent& event, TimePoint now);
   std::optional<TimePoint> next_deadline() const;
@@ -48,7 +48,7 @@
   // The last step started; number 0 before the first.
   StepId last_step() const { return last_step_; }
   FencingToken token() const { return token_; }
-  // The latest step that this rank has said to be ready for.
+  // The latest step for which this rank has reported that it is ready.
   const std::optional<StepId>& promised() const { return promised_; }
 
  private:
@@ -63,11 +63,11 @@
   void On(const RankMessageReceived& event, TimePoint now, Actions& out);
   void On(const RankTick& event, TimePoint now, Actions& out);
 
-  void Obey(const ClaimOrder& order, TimePoint now, Actions& out);
-  void Obey(const PrepareOrder& order, TimePoint now, Actions& out);
-  void Obey(const FetchOrder& order, TimePoint now, Actions& out);
-  void Obey(const SealOrder& order, TimePoint now, Actions& out);
-  void Obey(const InstallOrder& order, TimePoint now, Actions& out);
+  void Execute(const ClaimOrder& order, TimePoint now, Actions& out);
+  void Execute(const PrepareOrder& order, TimePoint now, Actions& out);
+  void Execute(const FetchOrder& order, TimePoint now, Actions& out);
+  void Execute(const SealOrder& order, TimePoint now, Actions& out);
+  void Execute(const InstallOrder& order, TimePoint now, Actions& out);
 
   void OnReady(const StepReady& message, TimePoint now, Actions& out);
   void OnGo(const StepGo& message, TimePoint now, Actions& out);
@@ -81,10 +81,12 @@
   Member self() const { return {options_.rank, options_.incarnation}; }
   void PromiseNextStep(TimePoint now, Actions& out);
   void SendReady(TimePoint now, Actions& out);
-  void MaybeLetGo(TimePoint now, Actions& out);
+  void MaybeSendGo(TimePoint now, Actions& out);
   void SendGo(Member to, Actions& out) const;
   void StartPromisedStep(TimePoint now, Actions& out);
-  void FinishViewBefore(const InstallOrder& order, TimePoint now, Actions& out);
+  void FinishPreviousView(const InstallOrder& order,
+                          TimePoint now,
+                          Actions& out);
   void AbortRunningStep(Actions& out);
   void UpdateState(TimePoint now, Actions& out);
   void DropUnused(Actions& out);
@@ -97,11 +99,12 @@
   std::optional<placement::ExpertKey> fetching_;
   std::uint64_t last_grant_ = 0;
 
-  std::optional<PrepareOrder> target_;
+  std::optional<PrepareOrder> pending_view_;
   std::optional<ViewId> sealed_;
   std::optional<View> installed_;
   std::shared_ptr<const placement::ExpertMap> map_;
-  std::vector<placement::ExpertKey> held_;  // what `map_` has at this rank
+  // Experts that `map_` places on this rank.
+  std::vector<placement::ExpertKey> required_experts_;
 
   std::optional<StepId> promised_;
   std::optional<StepId> running_;
@@ -109,9 +112,10 @@
   bool needs_view_ = false;
   StepId last_step_;
 
-  // As step leader: the latest word of each rank, and the last step let go.
+  // As step leader: the latest ready message of each rank, and the last step
+  // for which a go message was sent.
   std::map<RankIndex, StepReady> ready_;
-  std::uint64_t let_go_ = 0;  // step number in the installed view
+  std::uint64_t last_go_ = 0;  // step number in the installed view
 
   GroupState state_ = GroupState::kOut;
   std::uint64_t status_sequence_ = 0;
--- a/src/libs/groups/rank_machine_steps.cc
+++ b/src/libs/groups/rank_machine_steps.cc
@@ -22,8 +22,8 @@
   }
   running_.reset();
   aborting_ = false;
-  // The peers may have finished this step, so the count of the view is of no
-  // use any more.
+  // The peers may have finished this step, so the step count of this view is no
+  // longer valid.
   needs_view_ = installed_ && installed_->id == event.step.view;
   SendStatusNow(now, out);
   PromiseNextStep(now, out);
@@ -91,18 +91,18 @@
   if (!IsLeader()) {
     return;
   }
-  // The go-ahead was lost on its way to this member.
+  // The go message to this member was lost.
   const bool repeated =
-      message.step.view == installed_->id && message.step.number <= let_go_;
+      message.step.view == installed_->id && message.step.number <= last_go_;
   if (repeated) {
     SendGo(message.from, out);
     return;
   }
-  MaybeLetGo(now, out);
+  MaybeSendGo(now, out);
 }
 
 std::vector<RankIndex> RankMachine::AwaitedRanks() const {
-  const StepId step{installed_->id, let_go_ + 1};
+  const StepId step{installed_->id, last_go_ + 1};
   std::vector<RankIndex> awaited;
   for (const Member& member : installed_->members) {
     const auto latest = ready_.find(member.rank);
@@ -117,7 +117,7 @@
   return awaited;
 }
 
-void RankMachine::MaybeLetGo(TimePoint now, Actions& out) {
+void RankMachine::MaybeSendGo(TimePoint now, Actions& out) {
 #if defined(BILBERRYSPOOL_MUTATION_STEP_WITHOUT_ALL)
   const bool all =
       AwaitsGo() && ready_.size() + 1 >= installed_->members.size();
@@ -127,7 +127,7 @@
   if (!all) {
     return;
   }
-  ++let_go_;
+  ++last_go_;
   for (const Member& member : installed_->members) {
     if (member != self()) {
       SendGo(member, out);
@@ -140,7 +140,7 @@
   StepGo go;
   go.group = options_.group;
   go.to = to;
-  go.step = {installed_->id, let_go_};
+  go.step = {installed_->id, last_go_};
   go.map_version = installed_->map_version;
   go.ready_members = static_cast<std::uint32_t>(installed_->members.size());
   out.emplace_back(SendToRank{to.rank, go});
@@ -158,23 +158,24 @@
   }
 }
 
-// The one place where a step is started. A rank that stepped with another map
-// than its peers would send tokens to ranks without the expert: answers would
-// be wrong without any error. So the agreement is checked here once more.
+// The only place where a step is started. A rank that ran a step with another
+// map than its peers would send tokens to ranks without the expert, and answers
+// would be wrong without any error. Therefore the agreement is checked once
+// more here.
 void RankMachine::StartPromisedStep(TimePoint now, Actions& out) {
   BILBERRYSPOOL_INVARIANT(AwaitsGo() && !running_ && !needs_view_,
                           "a step is started once, and only when promised");
   MapVersion version = installed_->map_version;
 #if defined(BILBERRYSPOOL_MUTATION_SWITCH_EARLY)
   if (IsPrepared()) {
-    version = target_->view.map_version;
+    version = pending_view_->view.map_version;
   }
 #endif
   BILBERRYSPOOL_INVARIANT(
       promised_->view == installed_->id && version == installed_->map_version,
       "a step uses the map of the view in which it was promised");
   BILBERRYSPOOL_INVARIANT(
-      std::all_of(held_.begin(), held_.end(),
+      std::all_of(required_experts_.begin(), required_experts_.end(),
                   [&](const auto& key) { return resident_.contains(key); }),
       "the experts of the map are resident when a step starts");
   BILBERRYSPOOL_INVARIANT(last_step_ < *promised_,
--- a/src/libs/groups/step_switch.cc
+++ b/src/libs/groups/step_switch.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Duration kShortestStep = Milliseconds(1);
-constexpr Duration kLongestStep = Milliseconds(1000);
+constexpr Duration kMinStepTime = Milliseconds(1);
+constexpr Duration kMaxStepTime = Milliseconds(1000);
 
 }  // namespace
 
@@ -17,9 +17,9 @@
                        MapVersion first_version,
                        TimePoint now)
     : options_(options),
-      entered_(now),
-      taken_over_(now + options.takeover_delay),
-      trusted_from_(taken_over_),
+      phase_entered_at_(now),
+      takeover_settled_at_(now + options.takeover_delay),
+      trusted_from_(takeover_settled_at_),
       next_version_(first_version) {
   for (std::uint32_t i = 0; i < options_.ranks; ++i) {
     ranks_[RankIndex(i)];
@@ -28,26 +28,26 @@
 
 void StepSwitch::Enter(SwitchPhase phase, TimePoint now) {
   phase_ = phase;
-  entered_ = now;
+  phase_entered_at_ = now;
   if (phase == SwitchPhase::kReleasing) {
-    released_step_ = std::max(released_step_, step_);
+    released_step_ = std::max(released_step_, switch_step_);
   }
   for (auto& [index, rank] : ranks_) {
-    // What another owner may have ordered is not known here.
+    // Orders that another owner may have sent are unknown here.
     rank.may_be_armed = rank.may_be_armed || phase == SwitchPhase::kObserving;
     rank.is_done = false;
-    rank.is_pending = false;
+    rank.is_order_in_flight = false;
     rank.is_copying = false;
     rank.send_next = now;
-    rank.ask_next = now;
-    rank.turn_at.reset();
+    rank.next_poll = now;
+    rank.arming_polled_at.reset();
     rank.to_disarm.reset();
   }
 }
 
 void StepSwitch::GiveUp(std::string why, TimePoint now) {
   why_ = std::move(why);
-  target_.reset();
+  pending_map_.reset();
   trusted_from_ = now;
   Enter(SwitchPhase::kObserving, now);
 }
@@ -63,17 +63,17 @@
   });
 }
 
-bool StepSwitch::AllHeardSince(TimePoint since) const {
+bool StepSwitch::AllRespondedSince(TimePoint since) const {
   return std::all_of(ranks_.begin(), ranks_.end(), [since](const auto& item) {
-    return item.second.heard_at > since;
+    return item.second.responded_at > since;
   });
 }
 
-bool StepSwitch::IsWhole(TimePoint now) const {
-  constexpr Duration kForgotten = Seconds(4);
+bool StepSwitch::IsGroupComplete(TimePoint now) const {
+  constexpr Duration kMaxReportAge = Seconds(4);
   return std::all_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return rank.report.has_value() && now - rank.as_of < kForgotten &&
+    return rank.report.has_value() && now - rank.as_of < kMaxReportAge &&
            rank.report->is_open && rank.report->epoch == epoch_;
   });
 }
@@ -84,8 +84,8 @@
   }
   checked_at_ = as_of;
   if (step == seen_step_) {
-    // A step that is still running is at least as long as that.
-    step_time_ = std::clamp(as_of - seen_at_, step_time_, kLongestStep);
+    // A step that is still running lasts at least this long.
+    step_time_ = std::clamp(as_of - seen_at_, step_time_, kMaxStepTime);
     return;
   }
   const auto steps =
@@ -93,7 +93,7 @@
   if (seen_step_.value() > 0 && as_of > seen_at_) {
     const Duration pace = (as_of - seen_at_) / steps;
     step_time_ =
-        std::clamp((step_time_ + pace) / 2, kShortestStep, kLongestStep);
+        std::clamp((step_time_ + pace) / 2, kMinStepTime, kMaxStepTime);
   }
   seen_step_ = step;
   seen_at_ = as_of;
@@ -102,28 +102,29 @@
 void StepSwitch::OnReport(RankIndex index,
                           const EngineReport& report,
                           TimePoint as_of,
-                          TimePoint heard_at) {
+                          TimePoint responded_at) {
   const auto found = ranks_.find(index);
   if (found == ranks_.end()) {
     return;
   }
-  found->second.heard_at = std::max(found->second.heard_at, heard_at);
+  found->second.responded_at =
+      std::max(found->second.responded_at, responded_at);
   if (as_of < found->second.as_of) {
     return;
   }
   found->second.report = report;
   found->second.as_of = as_of;
   if (phase_ == SwitchPhase::kPreparing && report.epoch == epoch_ &&
-      report.prepared == target_version_) {
+      report.prepared == pending_version_) {
     found->second.is_done = true;
   }
   OnStep(report.epoch, report.step, as_of);
 }
 
-// A group that formed anew has forgotten all orders and uses its first map, on
-// which steps last longest. No order was given in this epoch yet but perhaps by
-// a predecessor, so any report of it counts; to wait for reports from after the
-// news took 0.4 to 0.8 s of 72 ranks.
+// A group that formed again has dropped all orders and uses its first map, with
+// which steps last longest. Only a predecessor can have sent orders in this
+// epoch, so any report of it counts: waiting for reports from after the epoch
+// became known took 0.4 to 0.8 s with 72 ranks.
 void StepSwitch::CheckEpoch(TimePoint now) {
   GroupEpoch newest = epoch_;
   for (const auto& [index, rank] : ranks_) {
@@ -137,11 +138,11 @@
   epoch_ = newest;
   map_.reset();
   version_ = MapVersion(0);
-  target_.reset();
+  pending_map_.reset();
   seen_step_ = StepNumber(0);
   released_step_ = StepNumber(0);
   checked_at_ = TimePoint{};
-  trusted_from_ = taken_over_;
+  trusted_from_ = takeover_settled_at_;
   Enter(SwitchPhase::kObserving, now);
 }
 
@@ -165,12 +166,12 @@
     return;
   }
   why_.clear();
-  target_ = std::move(map);
-  target_version_ = next_version_;
+  pending_map_ = std::move(map);
+  pending_version_ = next_version_;
   next_version_ = next_version_.Next();
   late_holds_ = 0;
   are_all_armed_ = false;
-  copies_ = copies;
+  expected_copy_time_ = copies;
   for (auto& [index, rank] : ranks_) {
     rank.may_be_armed = false;
   }
@@ -178,7 +179,7 @@
 }
 
 void StepSwitch::Observe(TimePoint now) {
-  if (!IsWhole(now) || !AllReportedSince(trusted_from_)) {
+  if (!IsGroupComplete(now) || !AllReportedSince(trusted_from_)) {
     return;
   }
   std::optional<ArmedMap> armed;
@@ -192,7 +193,7 @@
     next_version_ = std::max(next_version_, highest.Next());
     if (report.held.has_value()) {
       held = report.held;
-      holder_ = index;
+      holding_rank_ = index;
     }
     any_armed = any_armed || report.armed.has_value();
     all_armed = all_armed && report.armed.has_value() &&
@@ -200,20 +201,20 @@
     armed = report.armed;
   }
   if (held.has_value() && all_armed && armed->step == *held) {
-    // A predecessor's change lacks nothing but the release.
-    target_version_ = armed->version;
-    target_ = nullptr;
-    step_ = *held;
+    // A predecessor's change only lacks the release.
+    pending_version_ = armed->version;
+    pending_map_ = nullptr;
+    switch_step_ = *held;
     are_all_armed_ = false;
     Enter(SwitchPhase::kReleasing, now);
     return;
   }
-  // All else needs to know what the map in use holds.
+  // Everything else requires the content of the map in use.
   if (map_ == nullptr) {
     return;
   }
   if (held.has_value()) {
-    step_ = *held;
+    switch_step_ = *held;
     BeginClearing(now);
     return;
   }
@@ -225,20 +226,20 @@
     return;
   }
   if (!same_map && !any_armed) {
-    // The map that was read is not the one in use any more.
+    // The map that was read is no longer the one in use.
     map_.reset();
     trusted_from_ = now;
   }
 }
 
-// Leaves every rank with a newer version prepared and none armed, but for those
-// that were never ordered to be armed for this change: nothing that is on its
-// way can arm them, and they may be silent.
+// Leaves every rank with a newer version prepared and none armed, except for
+// ranks that were never ordered to arm for this change: nothing in transit can
+// arm them, and they may be silent.
 void StepSwitch::BeginClearing(TimePoint now) {
   const bool is_own = phase_ == SwitchPhase::kArming;
-  const MapVersion own = target_version_;
-  target_ = map_;
-  target_version_ = next_version_;
+  const MapVersion own = pending_version_;
+  pending_map_ = map_;
+  pending_version_ = next_version_;
   next_version_ = next_version_.Next();
   are_all_armed_ = false;
   Enter(SwitchPhase::kClearing, now);
@@ -247,76 +248,81 @@
     if (rank.report.has_value() && rank.report->armed.has_value()) {
       rank.to_disarm = rank.report->armed->version;
     } else if (is_own) {
-      // Its last report is from before the order.
+      // Its last report predates the order.
       rank.to_disarm = own;
     }
   }
 }
 
-bool StepSwitch::IsSomeoneUnarmedSilent(TimePoint now) const {
+bool StepSwitch::IsUnarmedRankSilent(TimePoint now) const {
   return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return !rank.may_be_armed && rank.turn_at.has_value() &&
-           now - *rank.turn_at > options_.word_timeout;
+    return !rank.may_be_armed && rank.arming_polled_at.has_value() &&
+           now - *rank.arming_polled_at > options_.liveness_timeout;
   });
 }
 
-bool StepSwitch::IsCopyingSilent(TimePoint now) const {
+bool StepSwitch::IsCopyingRankSilent(TimePoint now) const {
   return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto& item) {
     const Rank& rank = item.second;
-    return !rank.is_done && now - rank.heard_at > options_.copy_silence;
+    return !rank.is_done &&
+           now - rank.responded_at > options_.copy_silence_timeout;
   });
 }
 
 void StepSwitch::ChooseStep(TimePoint now) {
-  // The step that was seen last began at `seen_at_` or before. Refused holds
-  // tell that the group was further than thought.
-  const Duration wait(static_cast<Duration::rep>(
-      options_.wait_for_switch * static_cast<double>(step_time_.count())));
+  // The step that was seen last began at `seen_at_` or earlier. Refused holds
+  // show that the group was further ahead than estimated.
+  const Duration wait(
+      static_cast<Duration::rep>(options_.max_stall_step_fraction *
+                                 static_cast<double>(step_time_.count())));
   const Duration lead =
-      std::min(options_.lead + expected_arming_, options_.longest_lead);
+      std::min(options_.lead + expected_arming_, options_.max_lead);
   const Duration since =
       now - seen_at_ + std::max(lead - wait, Duration::zero());
   const double ahead = ToSeconds(since) / ToSeconds(step_time_);
   const double steps =
       std::ceil(std::max(ahead, 1.0)) * static_cast<double>(1U << late_holds_);
-  step_ = StepNumber(seen_step_.value() + static_cast<std::uint64_t>(steps));
-  step_ = std::max(step_, released_step_.Next());
+  switch_step_ =
+      StepNumber(seen_step_.value() + static_cast<std::uint64_t>(steps));
+  switch_step_ = std::max(switch_step_, released_step_.Next());
 }
 
-void StepSwitch::NoteArming(Duration took) {
+void StepSwitch::RecordArmingTime(Duration took) {
   const Duration remembered(static_cast<Duration::rep>(
-      options_.arming_memory * static_cast<double>(expected_arming_.count())));
+      options_.arming_time_decay *
+      static_cast<double>(expected_arming_.count())));
   expected_arming_ = std::max(took, remembered);
 }
 
 bool StepSwitch::HasBegunAsArmed() const {
-  return are_all_armed_ && seen_step_ >= step_;
+  return are_all_armed_ && seen_step_ >= switch_step_;
 }
 
-// All ranks use the target from now on.
+// All ranks use the pending map from now on.
 void StepSwitch::EndChange(TimePoint now) {
-  map_ = target_;
-  version_ = target_version_;
+  map_ = pending_map_;
+  version_ = pending_version_;
   Enter(SwitchPhase::kIdle, now);
 }
 
-// Released: the ranks switch as the step begins, which an idle group puts off.
+// After the release the ranks switch when the step begins, which an idle group
+// delays.
 void StepSwitch::Settle(TimePoint now) {
   if (HasBegunAsArmed()) {
     EndChange(now);
     return;
   }
-  if (!AllReportedSince(entered_)) {
+  if (!AllReportedSince(phase_entered_at_)) {
     return;
   }
   bool is_over = true;
   for (const auto& [index, rank] : ranks_) {
     const EngineReport& report = *rank.report;
     if (report.held.has_value()) {
-      // A hold that was carried out late.
-      if (*report.held == step_) {
-        holder_ = index;
+      // A hold order was carried out late.
+      if (*report.held == switch_step_) {
+        holding_rank_ = index;
         Enter(SwitchPhase::kReleasing, now);
       } else {
         GiveUp("a step is held that was not asked for", now);
@@ -329,7 +335,7 @@
     return;
   }
   const MapVersion in_use = ranks_.begin()->second.report->map;
-  if (in_use == target_version_ && target_ != nullptr) {
+  if (in_use == pending_version_ && pending_map_ != nullptr) {
     EndChange(now);
     return;
   }
@@ -345,13 +351,14 @@
       Observe(now);
       return;
     case SwitchPhase::kIdle: {
-      const bool is_foreign =
+      const bool is_unexpected =
           std::any_of(ranks_.begin(), ranks_.end(), [this](const auto& item) {
             const auto& report = item.second.report;
-            return report.has_value() && item.second.as_of >= entered_ &&
+            return report.has_value() &&
+                   item.second.as_of >= phase_entered_at_ &&
                    (report->held.has_value() || report->armed.has_value());
           });
-      if (is_foreign || !IsWhole(now)) {
+      if (is_unexpected || !IsGroupComplete(now)) {
         GiveUp("the ranks are not as they were left", now);
       }
       return;
@@ -359,33 +366,34 @@
     case SwitchPhase::kPreparing:
       if (AllDone()) {
         Enter(SwitchPhase::kConfirming, now);
-      } else if (now - entered_ > options_.prepare_timeout) {
+      } else if (now - phase_entered_at_ > options_.prepare_timeout) {
         GiveUp("not all ranks prepared in time", now);
-      } else if (IsCopyingSilent(now)) {
+      } else if (IsCopyingRankSilent(now)) {
         GiveUp("a rank is silent while it copies", now);
       }
       return;
     case SwitchPhase::kConfirming:
-      if (AllHeardSince(entered_)) {
-        arms_on_word_ = now - entered_ <= options_.longest_word_round;
+      if (AllRespondedSince(phase_entered_at_)) {
+        requires_liveness_reply_ =
+            now - phase_entered_at_ <= options_.max_liveness_round;
         ChooseStep(now);
-        holder_ = ranks_.begin()->first;
+        holding_rank_ = ranks_.begin()->first;
         Enter(SwitchPhase::kHolding, now);
-      } else if (now - entered_ > options_.confirm_timeout) {
+      } else if (now - phase_entered_at_ > options_.confirm_timeout) {
         GiveUp("a rank is silent before the hold", now);
       }
       return;
     case SwitchPhase::kHolding:
-      if (ranks_.at(holder_).is_done) {
+      if (ranks_.at(holding_rank_).is_done) {
         Enter(SwitchPhase::kArming, now);
       }
       return;
     case SwitchPhase::kArming:
       if (AllDone()) {
-        NoteArming(now - entered_);
+        RecordArmingTime(now - phase_entered_at_);
         are_all_armed_ = true;
         Enter(SwitchPhase::kReleasing, now);
-      } else if (IsSomeoneUnarmedSilent(now)) {
+      } else if (IsUnarmedRankSilent(now)) {
         why_ = "a rank is silent before it is armed";
         BeginClearing(now);
       }
@@ -397,7 +405,7 @@
       }
       return;
     case SwitchPhase::kReleasing:
-      if (ranks_.at(holder_).is_done) {
+      if (ranks_.at(holding_rank_).is_done) {
         Enter(SwitchPhase::kSettling, now);
       }
       return;
--- a/tests/auto/groups/freeze_at_any_moment_test.cc
+++ b/tests/auto/groups/freeze_at_any_moment_test.cc
@@ -1,18 +1,13 @@
-// No freeze of a VM, at whatever moment of a change of map, may leave callers
-// of its group without an event for longer than half a second.
+// No freeze of a VM at any moment of a map change may leave callers of its
+// group without an event for longer than half a second.
 //
-// Symptom: as in freeze_meets_change_test, in the moments that are left: the
-// group is `arming` or `releasing` for the 4 s of the freeze.
-//
-// Sequence: a rank gives its word and is ordered; its VM freezes before the
-// order's answer leaves. Or the rank that holds the step freezes between hold
-// and release.
-//
-// Cause: engines offer no order that ends by itself, and no way to ask a rank
-// whose VM is silent. With the order taken the rank switches at the step,
-// without it it doesn't; both look the same, and each is wrong for one of the
-// two ways to go on. Only a step that lies further ahead than the freeze lasts
-// would do, and demand does not last as long.
+// Failure: a VM freezes between its rank's liveness reply and the answer to the
+// order to arm, or the holding rank freezes between hold and release; the group
+// is `arming` or `releasing` for the 4 s of the freeze. Engines offer no order
+// that expires, and a rank whose VM is silent can't be polled: whether it took
+// the order is unknown, and each case is wrong for one of the two ways to
+// proceed. Only a step further ahead than the freeze lasts would help, and
+// demand does not last that long.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +18,7 @@
 namespace bilberryspool::groups {
 namespace {
 
-constexpr Duration kLongestHold = Milliseconds(500);
+constexpr Duration kMaxStall = Milliseconds(500);
 constexpr Duration kFreeze = Seconds(4);
 constexpr Duration kSweepStep = Microseconds(500);
 constexpr Duration kSweepEnd = Milliseconds(60);
@@ -44,7 +39,7 @@
         FreezeWorld world(seed);
         world.Freeze(RankIndex(row.rank), begin, kFreeze);
         world.RunChange(kFreeze + Seconds(2));
-        held += world.held() > kLongestHold ? 1 : 0;
+        held += world.held() > kMaxStall ? 1 : 0;
       }
       CHECK(held == 0);
     }
--- a/tests/auto/groups/freeze_meets_change_test.cc
+++ b/tests/auto/groups/freeze_meets_change_test.cc
@@ -1,25 +1,15 @@
-// A VM beside an engine freezes at any moment of a change of map.
-//
-// Symptom: all streams of a group of 16 ranks stop for the 4 s for which one VM
-// is frozen; callers leave after 2 s without an event. Without a change the
+// A VM beside an engine freezes during a map change. Until it wakes, it is
+// unknown whether the engine took the order to arm, and neither a release nor
+// clearing is safe: all streams of a group of 16 ranks stop for the 4 s of the
+// freeze, and callers leave after 2 s without an event. Without a change, the
 // same freeze costs one rank in 16.
 //
-// Sequence: the ranks have copied, and all are heard; the owner holds the step;
-// the VM of a rank freezes; the order to arm that rank is not answered; whether
-// the engine has taken it can't be known before the VM wakes, and neither a
-// release nor a clearing is safe until then.
-//
-// Cause: between the last word of a rank and the order to arm it lay the
-// reports of all others and the whole exchange about the hold, and the order
-// was given to ranks that had fallen silent meanwhile. In plays with the freeze
-// moved by a millisecond at a time, 11 of 28 held the group for 4.0 s: all from
-// 2.251 to 2.260 s, and one at 2.263 s, which froze the holder; the log had
-// `to=confirming` at 2.2471 s, `to=holding` at 2.2518, `to=arming` at 2.2546
-// and, undisturbed, `to=releasing` at 2.2619.
-//
-// What no owner can rule out: a VM that freezes after its last word before the
-// order and before its answer leaves. Two states of its engine look the same
-// from outside, and each is wrong for one of the two ways to go on.
+// Guards against an order to a rank that fell silent since its last reply: with
+// the reports of all others and the exchange about the hold in between, 11 of
+// 28 freezes, moved by a millisecond at a time, stalled the group for 4.0 s. A
+// freeze between the last liveness reply and the sending of the answer can't be
+// ruled out: two states of the engine look the same from outside, and each is
+// wrong for one of the two ways to proceed.
 
 #include <doctest/doctest.h>
 
@@ -30,9 +20,9 @@
 namespace bilberryspool::groups {
 namespace {
 
-// Callers take a pause of 0.12 to 0.15 s for late and leave after 2 s; an
-// ordinary change that met something may cost a few pauses.
-constexpr Duration kLongestHold = Milliseconds(500);
+// Callers consider a pause of 0.12 to 0.15 s late and leave after 2 s; an
+// ordinary change that meets a fault may cost a few pauses.
+constexpr Duration kMaxStall = Milliseconds(500);
 constexpr Duration kFreeze = Seconds(4);
 constexpr Duration kSweepStep = Microseconds(500);
 constexpr Duration kSweepEnd = Milliseconds(60);
@@ -41,8 +31,8 @@
 struct Sweep {
   int plays = 0;
   int held = 0;
-  int held_without_doubt = 0;
-  int split_steps = 0;
+  int held_with_known_outcome = 0;
+  int mixed_map_steps = 0;
   int not_idle = 0;
 };
 
@@ -53,13 +43,13 @@
     world.Freeze(rank, begin, kFreeze);
     world.RunChange(kFreeze + Seconds(2));
     ++sweep.plays;
-    sweep.split_steps += world.group().split_steps();
+    sweep.mixed_map_steps += world.group().mixed_map_steps();
     sweep.not_idle += world.phase() == SwitchPhase::kIdle ? 0 : 1;
-    if (world.held() <= kLongestHold) {
+    if (world.held() <= kMaxStall) {
       continue;
     }
     ++sweep.held;
-    sweep.held_without_doubt += world.was_struck_in_doubt() ? 0 : 1;
+    sweep.held_with_known_outcome += world.froze_with_unknown_outcome() ? 0 : 1;
   }
   return sweep;
 }
@@ -73,50 +63,52 @@
                            {"one in the middle", 7},
                            {"the last rank", 15}};
 
-TEST_CASE("a change that meets no freeze holds nothing for long") {
+TEST_CASE("a change without a freeze stalls the group for less than a step") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CAPTURE(seed);
     FreezeWorld world(seed);
     world.RunChange(Seconds(1));
     CHECK(world.phase() == SwitchPhase::kIdle);
     CHECK(world.held() < FreezeWorld::kStep);
-    CHECK(world.group().split_steps() == 0);
+    CHECK(world.group().mixed_map_steps() == 0);
   }
 }
 
-TEST_CASE("a frozen VM holds its group only where its engine is in doubt") {
+TEST_CASE(
+    "a frozen VM stalls its group only while its engine state is unknown") {
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(row.name);
       CAPTURE(seed);
       const Sweep sweep = MoveFreeze(RankIndex(row.rank), seed);
-      CHECK(sweep.split_steps == 0);
+      CHECK(sweep.mixed_map_steps == 0);
       CHECK(sweep.not_idle == 0);
-      CHECK(sweep.held_without_doubt == 0);
+      CHECK(sweep.held_with_known_outcome == 0);
     }
   }
 }
 
-// The doubt lasts from the last word's way here over the way of the order to
-// that of its answer, one and a half round trips, and as long as the owner
-// needs for the words and orders of the few others that are in doubt with it.
-TEST_CASE("a rank is in doubt for no more than its own exchange") {
+// The outcome is unknown while the last liveness reply, the order and its
+// answer are in transit, one and a half round trips, and while the owner
+// handles the replies and orders of the few other ranks that arm at the same
+// time.
+TEST_CASE("a rank's outcome is unknown for no more than its own exchange") {
   constexpr int kOthersAtOnce = 3;
-  constexpr Duration kLongestDoubt =
+  constexpr Duration kMaxUnknownTime =
       FreezeWorld::kRoundTrip * 3 / 2 +
-      FreezeWorld::kOwnerTurn * 2 * (kOthersAtOnce + 1);
+      FreezeWorld::kOwnerProcessingTime * 2 * (kOthersAtOnce + 1);
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(row.name);
       CAPTURE(seed);
       const Sweep sweep = MoveFreeze(RankIndex(row.rank), seed);
-      CHECK(sweep.held * kSweepStep <= kLongestDoubt + kSweepStep);
+      CHECK(sweep.held * kSweepStep <= kMaxUnknownTime + kSweepStep);
     }
   }
 }
 
-// Guards against a pause in all streams while a rank that was never ordered is
-// waited for.
+// Guards against a pause in all streams while the owner waits for a rank that
+// was never ordered to arm.
 TEST_CASE("a rank that is silent before its order costs less than a step") {
   for (const Row& row : kOthers) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -126,7 +118,7 @@
         FreezeWorld world(seed);
         world.Freeze(RankIndex(row.rank), begin, kFreeze);
         world.RunChange(Seconds(1));
-        if (!world.was_struck_in_doubt()) {
+        if (!world.froze_with_unknown_outcome()) {
           CHECK(world.held() < FreezeWorld::kStep);
         }
       }
@@ -134,8 +126,8 @@
   }
 }
 
-// Guards against a step that begins with two maps where several VMs freeze.
-TEST_CASE("VMs that freeze together split no step, and the change ends") {
+// Guards against a step that begins with two maps when several VMs freeze.
+TEST_CASE("VMs that freeze together cause no step with two maps") {
   constexpr std::uint32_t kTogether[][3] = {{1, 7, 15}, {0, 4, 9}, {2, 3, 5}};
   for (const auto& ranks : kTogether) {
     for (Duration begin{}; begin < kSweepEnd; begin += kSweepStep) {
@@ -145,7 +137,7 @@
       }
       world.RunChange(kFreeze + Seconds(2));
       CAPTURE(begin.count());
-      CHECK(world.group().split_steps() == 0);
+      CHECK(world.group().mixed_map_steps() == 0);
       CHECK(world.phase() == SwitchPhase::kIdle);
     }
   }
--- a/tests/auto/groups/freeze_world.h
+++ b/tests/auto/groups/freeze_world.h
@@ -1,9 +1,9 @@
-// One owner of a switch and a group of 16 ranks whose messages take time, with
-// VMs that freeze once, at one moment.
+// Simulates one owner of a step switch and a group of 16 ranks whose messages
+// have latency, with VMs that freeze once.
 //
-// A frozen VM sends nothing and takes nothing in; its engine goes on with the
-// group. What was sent there arrives as it wakes; what had left it before
-// arrives in time.
+// A frozen VM neither sends nor receives; its engine continues with the group.
+// Messages to it arrive when it wakes; messages that it had sent before arrive
+// in time.
 
 #ifndef AUTO_GROUPS_FREEZE_WORLD_H_
 #define AUTO_GROUPS_FREEZE_WORLD_H_
@@ -23,73 +23,75 @@
 class FreezeWorld {
  public:
   static constexpr std::uint32_t kRanks = 16;
-  // Between two VMs, one way: 0.5 ms between failure domains, and the turns of
-  // two busy processes.
-  static constexpr Duration kShortestWay = Microseconds(600);
-  static constexpr Duration kLongestWay = Microseconds(1300);
-  // From the arrival of a message until its answer leaves.
-  static constexpr Duration kTurn = Microseconds(400);
-  static constexpr Duration kRoundTrip = kLongestWay * 2 + kTurn;
+  // One-way latency between two VMs: 0.5 ms between failure domains, plus the
+  // processing delays of two busy processes.
+  static constexpr Duration kMinLatency = Microseconds(600);
+  static constexpr Duration kMaxLatency = Microseconds(1300);
+  // Time from the arrival of a message until its answer is sent.
+  static constexpr Duration kProcessingTime = Microseconds(400);
+  static constexpr Duration kRoundTrip = kMaxLatency * 2 + kProcessingTime;
   // The owner handles one message at a time, sent or received.
-  static constexpr Duration kOwnerTurn = Microseconds(200);
+  static constexpr Duration kOwnerProcessingTime = Microseconds(200);
   static constexpr Duration kStep = Milliseconds(40);
 
   explicit FreezeWorld(std::uint64_t seed, StepSwitchOptions options = {});
 
-  // From `begin` after the change was begun; may be called for several ranks.
+  // Freezes the VM of a rank from `begin` after the start of the change; may be
+  // called for several ranks.
   void Freeze(RankIndex rank, Duration begin, Duration length);
-  // Begins a change and runs that long.
+  // Begins a change and runs for `length`.
   void RunChange(Duration length);
 
   const FakeGroup& group() const { return group_; }
-  // How long the group stood still.
+  // Time for which the group was stalled by a held step.
   Duration held() const { return held_; }
   SwitchPhase phase() const { return owner_.phase(); }
-  // Whether the VM froze with an order to arm its rank, or a hold, not known to
-  // be carried out or undone: no owner can know what its engine will do.
-  bool was_struck_in_doubt() const;
+  // Whether a VM froze while it was unknown whether an order to arm its rank,
+  // or a hold, had been carried out or undone: no owner can know what its
+  // engine will do.
+  bool froze_with_unknown_outcome() const;
 
  private:
   struct Frozen {
     TimePoint begin;
     TimePoint end;
   };
-  // What is on its way to the rank that freezes.
-  struct Doubt {
+  // Period in which the outcome of an order to a rank is unknown.
+  struct UnknownOutcomePeriod {
     TimePoint from;
     std::optional<TimePoint> until;
   };
 
-  void Turn();
-  Duration TurnLength() const;
+  void AdvanceTime();
+  Duration TimeStep() const;
   void At(TimePoint when, std::function<void()> what);
-  // When the owner is done with a message that it takes up at `when`.
+  // When the owner has handled a message that it starts to handle at `when`.
   TimePoint OwnerDone(TimePoint when);
-  // Of a message to the owner.
+  // Schedules the handling of a message to the owner.
   void AtOwner(TimePoint arrives, std::function<void()> what);
-  Duration Way() { return random_.Between(kShortestWay, kLongestWay); }
-  TimePoint Awake(RankIndex rank, TimePoint when) const;
+  Duration RandomLatency() { return random_.Between(kMinLatency, kMaxLatency); }
+  TimePoint AwakeAt(RankIndex rank, TimePoint when) const;
   void Send(const RankOrder& order);
-  void Ask(RankIndex rank);
-  void AskAll();
+  void Poll(RankIndex rank);
+  void PollAll();
   void BeginSteps();
-  void NoteSent(const RankOrder& order);
-  void NoteAnswerLeft(const RankOrder& order, TimePoint when);
+  void RecordSent(const RankOrder& order);
+  void RecordAnswerSent(const RankOrder& order, TimePoint when);
 
   Random random_;
   TimePoint now_ = TimeAt(Seconds(1000));
   TimePoint change_at_;
   TimePoint step_due_;
-  TimePoint ask_due_;
+  TimePoint poll_due_;
   TimePoint owner_free_at_;
   FakeGroup group_{kRanks};
   StepSwitch owner_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::map<RankIndex, Frozen> frozen_;
-  // When the last report that has arrived had left each rank.
-  std::map<RankIndex, TimePoint> word_left_at_;
-  std::map<RankIndex, Doubt> arms_;
-  std::map<RankIndex, Doubt> holds_;
+  // When each rank sent the last of its reports that have arrived.
+  std::map<RankIndex, TimePoint> report_sent_at_;
+  std::map<RankIndex, UnknownOutcomePeriod> arms_;
+  std::map<RankIndex, UnknownOutcomePeriod> holds_;
   Duration held_{};
 };
 
