--- a/src/libs/quarantine/quarantine_book.cc
+++ b/src/libs/quarantine/quarantine_book.cc
@@ -7,113 +7,119 @@
 namespace {
 
 // More ends of one request add nothing to what is decided.
-constexpr std::size_t kMostEndsKept = 16;
-constexpr std::uint32_t kMostDoublings = 16;
+constexpr std::size_t kMaxTerminationsKept = 16;
+constexpr std::uint32_t kMaxDoublings = 16;
 
 }  // namespace
 
-std::map<RequestFingerprint, Verdict> StrictlyHeld(
+std::map<RequestFingerprint, Verdict> UrgentVerdicts(
     const std::vector<QuarantineRecord>& records) {
   std::map<RequestFingerprint, Verdict> held;
   for (const QuarantineRecord& record : records) {
-    if (record.ends > 1 || record.verdict == Verdict::kRefused) {
+    if (record.terminations > 1 || record.verdict == Verdict::kRefused) {
       held.emplace(record.request, record.verdict);
     }
   }
   return held;
 }
 
-bool QuarantineBook::OnEnd(const EndObserved& end, TimePoint now) {
+bool QuarantineRegistry::OnTermination(const TerminationObserved& end,
+                                       TimePoint now) {
   const TimePoint at = now - end.age;
   if (entries_.count(end.request) == 0) {
     MakeRoom();
   }
   Entry& entry = entries_[end.request];
   const bool is_cleared = at < entry.cleared_until;
-  if (is_cleared || entry.ends.size() >= kMostEndsKept) {
+  if (is_cleared || entry.terminations.size() >= kMaxTerminationsKept) {
     return false;
   }
-  NoteAt(end, at);
-  ReviewHesitating(now);
+  RecordTerminatedRun(end, at);
+  ReviewUndecidedRefusals(now);
   const Verdict before = VerdictOf(entry, now);
-  const std::uint32_t counted = CountEnds(entry);
-  const auto [known, is_new] = entry.ends.try_emplace(end.run);
+  const std::uint32_t counted = CountTerminations(entry);
+  const auto [known, is_new] = entry.terminations.try_emplace(end.run);
   if (is_new) {
     known->second.at = at;
   }
-  const bool is_proof = end.had_leave && !known->second.had_leave;
-  known->second.had_leave = known->second.had_leave || end.had_leave;
-  if (CountEnds(entry) == counted && !is_proof) {
+  const bool is_new_sole_run =
+      end.was_permitted && !known->second.was_permitted;
+  known->second.was_permitted =
+      known->second.was_permitted || end.was_permitted;
+  if (CountTerminations(entry) == counted && !is_new_sole_run) {
     // Kept, more ends of one cause would take the room of others.
     if (is_new) {
-      entry.ends.erase(known);
+      entry.terminations.erase(known);
     }
     return false;
   }
   if (counted == 0) {
-    entry.first_end = at;
+    entry.first_termination = at;
   }
   entry.service = end.service;
-  entry.last_end = std::max(entry.last_end, at);
-  if (IsProven(end.request, entry) && now >= entry.refused_until) {
-    Refuse(entry, now + options_.hesitation);
-    hesitating_.push_back(end.request);
+  entry.last_termination = std::max(entry.last_termination, at);
+  if (IsRefusalJustified(end.request, entry) && now >= entry.refused_until) {
+    Refuse(entry, now + options_.decision_delay);
+    undecided_refusals_.push_back(end.request);
   }
-  ReviewOthersAt(end.run, end.request);
+  ReviewOtherRequestsAt(end.run, end.request);
   ++revision_;
   return VerdictOf(entry, now) != before;
 }
 
-bool QuarantineBook::OnCompleted(const CompletionObserved& completion,
-                                 TimePoint now) {
+bool QuarantineRegistry::OnCompleted(const CompletionObserved& completion,
+                                     TimePoint now) {
   const auto found = entries_.find(completion.request);
   return found != entries_.end() &&
-         Clear(found->second, now - completion.age + options_.alibi, now);
+         Clear(found->second,
+               now - completion.age + options_.completion_grace_period, now);
 }
 
-bool QuarantineBook::OnReleased(const ReleaseOrdered& release, TimePoint now) {
+bool QuarantineRegistry::OnReleased(const ReleaseOrdered& release,
+                                    TimePoint now) {
   const auto found = entries_.find(release.request);
   return found != entries_.end() &&
          Clear(found->second, now - release.age, now);
 }
 
-bool QuarantineBook::Clear(Entry& entry, TimePoint until, TimePoint now) {
+bool QuarantineRegistry::Clear(Entry& entry, TimePoint until, TimePoint now) {
   const Verdict before = VerdictOf(entry, now);
   entry.cleared_until = std::max(entry.cleared_until, until);
-  std::erase_if(entry.ends, [&](const auto& item) {
+  std::erase_if(entry.terminations, [&](const auto& item) {
     return item.second.at < entry.cleared_until;
   });
-  if (entry.last_end < entry.cleared_until) {
-    entry.adopted_ends = 0;
+  if (entry.last_termination < entry.cleared_until) {
+    entry.adopted_terminations = 0;
     entry.refused_until = TimePoint{};
     entry.quarantines = 0;
-    entry.asker.clear();
+    entry.requester.clear();
   }
   const bool is_changed = VerdictOf(entry, now) != before;
   revision_ += is_changed ? 1 : 0;
   return is_changed;
 }
 
-void QuarantineBook::OnTrialOver(const TrialOver& over) {
+void QuarantineRegistry::OnTrialOver(const TrialOver& over) {
   const auto found = entries_.find(over.request);
-  if (found != entries_.end() && found->second.asker == over.asker) {
-    found->second.asker.clear();
+  if (found != entries_.end() && found->second.requester == over.requester) {
+    found->second.requester.clear();
   }
 }
 
-void QuarantineBook::Adopt(const QuarantineRecord& record, TimePoint now) {
+void QuarantineRegistry::Adopt(const QuarantineRecord& record, TimePoint now) {
   if (entries_.count(record.request) == 0) {
     MakeRoom();
   }
   Entry& entry = entries_[record.request];
   const TimePoint first = now - record.since;
-  if (first < entry.cleared_until || record.ends <= CountEnds(entry)) {
+  if (first < entry.cleared_until ||
+      record.terminations <= CountTerminations(entry)) {
     return;
   }
   entry.service = record.service;
-  entry.first_end = first;
-  entry.last_end = std::max(entry.last_end, first);
-  entry.adopted_ends = record.ends;
+  entry.first_termination = first;
+  entry.last_termination = std::max(entry.last_termination, first);
+  entry.adopted_terminations = record.terminations;
   entry.refused_until = std::max(entry.refused_until, now + record.remaining);
   if (record.verdict == Verdict::kRefused) {
     entry.quarantines = std::max(entry.quarantines, 1U);
@@ -121,39 +127,39 @@
   ++revision_;
 }
 
-std::vector<RequestFingerprint> QuarantineBook::Tick(TimePoint now) {
+std::vector<RequestFingerprint> QuarantineRegistry::Tick(TimePoint now) {
   std::vector<RequestFingerprint> refused;
   for (auto& [request, entry] : entries_) {
-    if (!entry.is_refusal_told && entry.quarantines > 0 &&
+    if (!entry.is_refusal_reported && entry.quarantines > 0 &&
         VerdictOf(entry, now) == Verdict::kRefused) {
-      entry.is_refusal_told = true;
+      entry.is_refusal_reported = true;
       refused.push_back(request);
       ++revision_;
     }
   }
-  const std::size_t forgotten = std::erase_if(entries_, [&](const auto& item) {
+  const std::size_t erased = std::erase_if(entries_, [&](const auto& item) {
     const Entry& entry = item.second;
     const bool is_refused = now < entry.refused_until;
-    const TimePoint last =
-        std::max({entry.last_end, entry.refused_until, entry.cleared_until});
-    return !is_refused && now - last > options_.memory;
+    const TimePoint last = std::max(
+        {entry.last_termination, entry.refused_until, entry.cleared_until});
+    return !is_refused && now - last > options_.retention;
   });
-  if (forgotten > 0) {
+  if (erased > 0) {
     ++revision_;
   }
   return refused;
 }
 
-Verdict QuarantineBook::VerdictOf(const RequestFingerprint& request,
-                                  TimePoint now) const {
+Verdict QuarantineRegistry::VerdictOf(const RequestFingerprint& request,
+                                      TimePoint now) const {
   const auto found = entries_.find(request);
   return found == entries_.end() ? Verdict::kFree
                                  : VerdictOf(found->second, now);
 }
 
-bool QuarantineBook::TryTrial(const RequestFingerprint& request,
-                              const std::string& asker,
-                              TimePoint now) {
+bool QuarantineRegistry::TryTrial(const RequestFingerprint& request,
+                                  const std::string& requester,
+                                  TimePoint now) {
   const auto found = entries_.find(request);
   if (found == entries_.end()) {
     return true;
@@ -162,12 +168,12 @@
   if (VerdictOf(entry, now) == Verdict::kFree) {
     return true;
   }
-  const bool is_taken = !entry.asker.empty() && now < entry.trial_until;
+  const bool is_taken = !entry.requester.empty() && now < entry.trial_until;
   if (now < entry.refused_until || is_taken) {
     return false;
   }
-  entry.asker = asker;
-  entry.trial_until = now + options_.longest_trial;
+  entry.requester = requester;
+  entry.trial_until = now + options_.max_trial;
   if (entry.quarantines > 0) {
     Refuse(entry, now);
     ++revision_;
@@ -175,7 +181,7 @@
   return true;
 }
 
-std::optional<QuarantineRecord> QuarantineBook::RecordOf(
+std::optional<QuarantineRecord> QuarantineRegistry::RecordOf(
     const RequestFingerprint& request,
     TimePoint now) const {
   const auto found = entries_.find(request);
@@ -185,101 +191,107 @@
   return ToRecord(request, found->second, now);
 }
 
-std::vector<QuarantineRecord> QuarantineBook::Told(TimePoint now) const {
-  std::vector<QuarantineRecord> told;
+std::vector<QuarantineRecord> QuarantineRegistry::RecordsToReport(
+    TimePoint now) const {
+  std::vector<QuarantineRecord> reported;
   for (const auto& [request, entry] : entries_) {
     if (VerdictOf(entry, now) != Verdict::kFree) {
-      told.push_back(ToRecord(request, entry, now));
+      reported.push_back(ToRecord(request, entry, now));
     }
   }
-  std::sort(told.begin(), told.end(), [](const auto& one, const auto& other) {
-    if (one.verdict != other.verdict) {
-      return one.verdict > other.verdict;
-    }
-    if (one.ends != other.ends) {
-      return one.ends > other.ends;
-    }
-    return one.since < other.since;
-  });
+  std::sort(reported.begin(), reported.end(),
+            [](const auto& one, const auto& other) {
+              if (one.verdict != other.verdict) {
+                return one.verdict > other.verdict;
+              }
+              if (one.terminations != other.terminations) {
+                return one.terminations > other.terminations;
+              }
+              return one.since < other.since;
+            });
   const auto refused = static_cast<std::size_t>(std::count_if(
-      told.begin(), told.end(), [](const QuarantineRecord& record) {
+      reported.begin(), reported.end(), [](const QuarantineRecord& record) {
         return record.verdict == Verdict::kRefused;
       }));
-  const std::size_t most =
-      std::min(options_.max_told, refused + options_.max_told_under_suspicion);
-  told.resize(std::min(told.size(), most));
-  return told;
+  const std::size_t most = std::min(
+      options_.max_reported, refused + options_.max_reported_not_refused);
+  reported.resize(std::min(reported.size(), most));
+  return reported;
 }
 
-std::vector<EndObserved> QuarantineBook::Ends(TimePoint now) const {
-  std::vector<EndObserved> ends;
+std::vector<TerminationObserved> QuarantineRegistry::Terminations(
+    TimePoint now) const {
+  std::vector<TerminationObserved> terminations;
   for (const auto& [request, entry] : entries_) {
-    for (const auto& [run, one] : entry.ends) {
-      ends.push_back(
-          {request, entry.service, run, one.had_leave, now - one.at});
+    for (const auto& [run, one] : entry.terminations) {
+      terminations.push_back(
+          {request, entry.service, run, one.was_permitted, now - one.at});
     }
   }
-  return ends;
+  return terminations;
 }
 
-std::optional<TimePoint> QuarantineBook::LastEndOf(
+std::optional<TimePoint> QuarantineRegistry::LastTerminationOf(
     const RequestFingerprint& request) const {
   const auto found = entries_.find(request);
-  if (found == entries_.end() || found->second.ends.empty()) {
+  if (found == entries_.end() || found->second.terminations.empty()) {
     return std::nullopt;
   }
-  return found->second.last_end;
+  return found->second.last_termination;
 }
 
 // An only run counts for itself, others by cause.
-std::uint32_t QuarantineBook::CountEnds(const Entry& entry) const {
+std::uint32_t QuarantineRegistry::CountTerminations(const Entry& entry) const {
   std::uint32_t count = 0;
   std::vector<TimePoint> moments;
-  for (const auto& [run, end] : entry.ends) {
-    if (end.had_leave) {
+  for (const auto& [run, end] : entry.terminations) {
+    if (end.was_permitted) {
       ++count;
       continue;
     }
     moments.push_back(end.at);
   }
   std::sort(moments.begin(), moments.end());
-  std::uint32_t of_one_cause = 0;
-  TimePoint cause_began;
+  std::uint32_t number_in_window = 0;
+  TimePoint window_start;
   for (const TimePoint at : moments) {
-    if (of_one_cause == 0 || at - cause_began > options_.one_cause) {
-      cause_began = at;
-      of_one_cause = 0;
+    if (number_in_window == 0 ||
+        at - window_start > options_.common_cause_window) {
+      window_start = at;
+      number_in_window = 0;
     }
-    ++of_one_cause;
-    count += of_one_cause <= options_.most_of_one_cause ? 1 : 0;
+    ++number_in_window;
+    count += number_in_window <= options_.max_counted_per_cause ? 1 : 0;
   }
-  return std::max(count, entry.adopted_ends);
+  return std::max(count, entry.adopted_terminations);
 }
 
 // Targets under a popular request may end again and again for other reasons;
 // only runs that end their targets tell of the request.
-bool QuarantineBook::IsProven(const RequestFingerprint& request,
-                              const Entry& entry) const {
-  const std::uint32_t ends = CountEnds(entry);
-  std::uint32_t proofs = 0;
-  std::uint32_t crowded = 0;
-  for (const auto& [run, end] : entry.ends) {
-    if (!end.had_leave || IsDoubtful(run, request, ends)) {
+bool QuarantineRegistry::IsRefusalJustified(const RequestFingerprint& request,
+                                            const Entry& entry) const {
+  const std::uint32_t terminations = CountTerminations(entry);
+  std::uint32_t sole_run_terminations = 0;
+  std::uint32_t with_many_concurrent = 0;
+  for (const auto& [run, end] : entry.terminations) {
+    if (!end.was_permitted || HasLikelierCause(run, request, terminations)) {
       continue;
     }
-    ++proofs;
-    crowded += IsCrowded(run, request) ? 1 : 0;
-  }
-  return ends >= options_.ends_to_refuse &&
-         (proofs - crowded >= options_.proofs_to_refuse ||
-          proofs >= options_.proofs_to_refuse_in_crowd);
+    ++sole_run_terminations;
+    with_many_concurrent += HadManyConcurrentTerminations(run, request) ? 1 : 0;
+  }
+  return terminations >= options_.terminations_to_refuse &&
+         (sole_run_terminations - with_many_concurrent >=
+              options_.sole_run_terminations_to_refuse ||
+          sole_run_terminations >=
+              options_.sole_run_terminations_to_refuse_if_many);
 }
 
-bool QuarantineBook::IsDoubtful(const TargetRun& run,
-                                const RequestFingerprint& request,
-                                std::uint32_t ends) const {
-  const auto there = at_run_.find(run);
-  if (there == at_run_.end()) {
+bool QuarantineRegistry::HasLikelierCause(const TargetRun& run,
+                                          const RequestFingerprint& request,
+                                          std::uint32_t terminations) const {
+  const auto there = terminated_targets_.find(run);
+  if (there == terminated_targets_.end()) {
     return false;
   }
   const std::set<RequestFingerprint>& requests = there->second.requests;
@@ -287,112 +299,119 @@
                      [&](const RequestFingerprint& other) {
                        const auto found = entries_.find(other);
                        return other != request && found != entries_.end() &&
-                              CountEnds(found->second) >= ends;
+                              CountTerminations(found->second) >= terminations;
                      });
 }
 
-bool QuarantineBook::IsCrowded(const TargetRun& run,
-                               const RequestFingerprint& request) const {
-  const auto ended = at_run_.find(run);
-  if (ended == at_run_.end()) {
+bool QuarantineRegistry::HadManyConcurrentTerminations(
+    const TargetRun& run,
+    const RequestFingerprint& request) const {
+  const auto ended = terminated_targets_.find(run);
+  if (ended == terminated_targets_.end()) {
     return false;
   }
   const TimePoint at = ended->second.at;
   const auto others =
-      std::count_if(at_run_.begin(), at_run_.end(), [&](const auto& item) {
-        const EndedTarget& other = item.second;
-        const bool is_about_then = other.at > at - options_.one_cause &&
-                                   other.at < at + options_.one_cause;
-        return is_about_then && !other.had_only_run &&
-               other.requests.count(request) == 0;
-      });
-  return static_cast<std::uint32_t>(others) >= options_.crowd;
+      std::count_if(terminated_targets_.begin(), terminated_targets_.end(),
+                    [&](const auto& item) {
+                      const TerminatedTarget& other = item.second;
+                      const bool is_concurrent =
+                          other.at > at - options_.common_cause_window &&
+                          other.at < at + options_.common_cause_window;
+                      return is_concurrent && !other.had_sole_run &&
+                             other.requests.count(request) == 0;
+                    });
+  return static_cast<std::uint32_t>(others) >=
+         options_.many_concurrent_terminations;
 }
 
-void QuarantineBook::NoteAt(const EndObserved& end, TimePoint at) {
-  const auto [there, is_new] = at_run_.try_emplace(end.run);
-  EndedTarget& target = there->second;
+void QuarantineRegistry::RecordTerminatedRun(const TerminationObserved& end,
+                                             TimePoint at) {
+  const auto [there, is_new] = terminated_targets_.try_emplace(end.run);
+  TerminatedTarget& target = there->second;
   target.requests.insert(end.request);
-  target.had_only_run = target.had_only_run || end.had_leave;
+  target.had_sole_run = target.had_sole_run || end.was_permitted;
   if (!is_new) {
     return;
   }
   target.at = at;
-  runs_.push_back(end.run);
-  if (runs_.size() > options_.max_runs) {
-    at_run_.erase(runs_.front());
-    runs_.pop_front();
+  terminated_runs_by_age_.push_back(end.run);
+  if (terminated_runs_by_age_.size() > options_.max_terminated_runs) {
+    terminated_targets_.erase(terminated_runs_by_age_.front());
+    terminated_runs_by_age_.pop_front();
   }
 }
 
-void QuarantineBook::ReviewOthersAt(const TargetRun& run,
-                                    const RequestFingerprint& request) {
-  for (const RequestFingerprint& other : at_run_[run].requests) {
+void QuarantineRegistry::ReviewOtherRequestsAt(
+    const TargetRun& run,
+    const RequestFingerprint& request) {
+  for (const RequestFingerprint& other : terminated_targets_[run].requests) {
     const auto found = entries_.find(other);
     if (other == request || found == entries_.end()) {
       continue;
     }
     Entry& entry = found->second;
     const bool is_first_refusal = entry.quarantines == 1;
-    if (is_first_refusal && entry.adopted_ends == 0 &&
-        !IsProven(other, entry)) {
-      TakeBack(entry);
+    if (is_first_refusal && entry.adopted_terminations == 0 &&
+        !IsRefusalJustified(other, entry)) {
+      WithdrawRefusal(entry);
     }
   }
 }
 
-void QuarantineBook::ReviewHesitating(TimePoint now) {
-  std::erase_if(hesitating_, [&](const RequestFingerprint& request) {
+void QuarantineRegistry::ReviewUndecidedRefusals(TimePoint now) {
+  std::erase_if(undecided_refusals_, [&](const RequestFingerprint& request) {
     const auto found = entries_.find(request);
     if (found == entries_.end() || now >= found->second.refused_from) {
       return true;
     }
     Entry& entry = found->second;
-    const bool is_founded = entry.quarantines != 1 || entry.adopted_ends > 0 ||
-                            IsProven(request, entry);
-    if (!is_founded) {
-      TakeBack(entry);
+    const bool is_still_justified = entry.quarantines != 1 ||
+                                    entry.adopted_terminations > 0 ||
+                                    IsRefusalJustified(request, entry);
+    if (!is_still_justified) {
+      WithdrawRefusal(entry);
     }
-    return !is_founded;
+    return !is_still_justified;
   });
 }
 
-void QuarantineBook::TakeBack(Entry& entry) {
+void QuarantineRegistry::WithdrawRefusal(Entry& entry) {
   entry.refused_until = TimePoint{};
   entry.quarantines = 0;
 }
 
-Verdict QuarantineBook::VerdictOf(const Entry& entry, TimePoint now) const {
+Verdict QuarantineRegistry::VerdictOf(const Entry& entry, TimePoint now) const {
   if (now >= entry.refused_from && now < entry.refused_until) {
     return Verdict::kRefused;
   }
-  return CountEnds(entry) > 0 ? Verdict::kOneAtATime : Verdict::kFree;
+  return CountTerminations(entry) > 0 ? Verdict::kOneAtATime : Verdict::kFree;
 }
 
-QuarantineRecord QuarantineBook::ToRecord(const RequestFingerprint& request,
-                                          const Entry& entry,
-                                          TimePoint now) const {
+QuarantineRecord QuarantineRegistry::ToRecord(const RequestFingerprint& request,
+                                              const Entry& entry,
+                                              TimePoint now) const {
   QuarantineRecord record;
   record.request = request;
   record.service = entry.service;
   record.verdict = VerdictOf(entry, now);
-  record.ends = CountEnds(entry);
-  record.since = std::max(now - entry.first_end, Duration::zero());
+  record.terminations = CountTerminations(entry);
+  record.since = std::max(now - entry.first_termination, Duration::zero());
   record.remaining = std::max(entry.refused_until - now, Duration::zero());
   return record;
 }
 
-void QuarantineBook::Refuse(Entry& entry, TimePoint from) {
-  const std::uint32_t doublings = std::min(entry.quarantines, kMostDoublings);
+void QuarantineRegistry::Refuse(Entry& entry, TimePoint from) {
+  const std::uint32_t doublings = std::min(entry.quarantines, kMaxDoublings);
   entry.refused_from = from;
   entry.refused_until =
       from + std::min(options_.first_quarantine * (1U << doublings),
-                      options_.longest_quarantine);
-  entry.is_refusal_told = false;
+                      options_.max_quarantine);
+  entry.is_refusal_reported = false;
   ++entry.quarantines;
 }
 
-void QuarantineBook::MakeRoom() {
+void QuarantineRegistry::MakeRoom() {
   if (entries_.size() < options_.max_entries) {
     return;
   }
@@ -402,7 +421,7 @@
         const Entry& b = other.second;
         return a.refused_until != b.refused_until
                    ? a.refused_until < b.refused_until
-                   : a.last_end < b.last_end;
+                   : a.last_termination < b.last_termination;
       });
   entries_.erase(least);
   ++revision_;
--- a/src/libs/quarantine/quarantine_book.h
+++ b/src/libs/quarantine/quarantine_book.h
@@ -35,53 +35,54 @@
 namespace bilberryspool::quarantine {
 
 struct QuarantineOptions {
-  // Ends after which a request is refused.
-  std::uint32_t ends_to_refuse = 3;
+  // Terminations after which a request is refused.
+  std::uint32_t terminations_to_refuse = 3;
   // So many of them by a run that had leave: where targets end by the second,
   // one such run may end with its target by chance.
-  std::uint32_t proofs_to_refuse = 2;
+  std::uint32_t sole_run_terminations_to_refuse = 2;
   // Targets that end within this time may do so for one cause, such as a rack
   // without power, which says less of each request that was there.
-  Duration one_cause = Seconds(1);
-  std::uint32_t most_of_one_cause = 2;
+  Duration common_cause_window = Seconds(1);
+  std::uint32_t max_counted_per_cause = 2;
   // While so many other targets end for no known cause, an only run ends with
   // its target by chance. Then more of them are needed.
-  std::uint32_t crowd = 3;
-  std::uint32_t proofs_to_refuse_in_crowd = 3;
+  std::uint32_t many_concurrent_terminations = 3;
+  std::uint32_t sole_run_terminations_to_refuse_if_many = 3;
   // A completion clears of ends up to so much later.
-  Duration alibi = Seconds(20);
+  Duration completion_grace_period = Seconds(20);
   // What else was at the same targets is reported within this time.
-  Duration hesitation = Milliseconds(100);
+  Duration decision_delay = Milliseconds(100);
   // The first refusal and the longest; each is twice as long as the last.
   Duration first_quarantine = Seconds(120);
-  Duration longest_quarantine = Seconds(3600);
+  Duration max_quarantine = Seconds(3600);
   // A run that was allowed counts as under way for so long at most.
-  Duration longest_trial = Seconds(10);
+  Duration max_trial = Seconds(10);
   // Without a further end a request is forgotten after this time.
-  Duration memory = Seconds(600);
+  Duration retention = Seconds(600);
   // Bounds memory; those that are not refused go first, oldest end first.
   std::size_t max_entries = 4096;
-  // Ends of targets for which it is known what was there.
-  std::size_t max_runs = 1024;
+  // Terminations of targets for which it is known what was there.
+  std::size_t max_terminated_runs = 1024;
   // Most that are told to gateways; those that are refused come first.
-  std::size_t max_told = 256;
+  std::size_t max_reported = 256;
   // Of those that are not refused. Where a rack of targets ends, hundreds of
   // requests are under suspicion that hardly any gateway will see again.
-  std::size_t max_told_under_suspicion = 32;
+  std::size_t max_reported_not_refused = 32;
 };
 
 // Of what is told, the part that gateways must not learn late: requests with
 // more than one end, and those that are refused.
-std::map<RequestFingerprint, Verdict> StrictlyHeld(
+std::map<RequestFingerprint, Verdict> UrgentVerdicts(
     const std::vector<QuarantineRecord>& records);
 
-class QuarantineBook {
+class QuarantineRegistry {
  public:
-  explicit QuarantineBook(QuarantineOptions options) : options_(options) {}
+  explicit QuarantineRegistry(QuarantineOptions options) : options_(options) {}
 
-  // A target ended while it ran the request. Told by several gateways, or
-  // twice by one, it counts once. Returns whether that changed the verdict.
-  bool OnEnd(const EndObserved& end, TimePoint now);
+  // A target ended while it ran the request. RecordsToReport by several
+  // gateways, or twice by one, it counts once. Returns whether that changed the
+  // verdict.
+  bool OnTermination(const TerminationObserved& end, TimePoint now);
   // The request has had a whole answer from a target that went on.
   bool OnCompleted(const CompletionObserved& completion, TimePoint now);
   void OnTrialOver(const TrialOver& over);
@@ -98,64 +99,68 @@
   // other is allowed; a request that was refused is so again unless it
   // completes.
   bool TryTrial(const RequestFingerprint& request,
-                const std::string& asker,
+                const std::string& requester,
                 TimePoint now);
 
   std::optional<QuarantineRecord> RecordOf(const RequestFingerprint& request,
                                            TimePoint now) const;
   // What gateways have to know, strictest first.
-  std::vector<QuarantineRecord> Told(TimePoint now) const;
-  // Grows with each change of Told().
+  std::vector<QuarantineRecord> RecordsToReport(TimePoint now) const;
+  // Grows with each change of RecordsToReport().
   std::uint64_t revision() const { return revision_; }
   std::size_t size() const { return entries_.size(); }
   // All ends that count, as they were observed.
-  std::vector<EndObserved> Ends(TimePoint now) const;
+  std::vector<TerminationObserved> Terminations(TimePoint now) const;
   // When the request last had an end; nothing where it had none.
-  std::optional<TimePoint> LastEndOf(const RequestFingerprint& request) const;
+  std::optional<TimePoint> LastTerminationOf(
+      const RequestFingerprint& request) const;
 
  private:
   struct Entry {
     ServiceId service;
     struct End {
       TimePoint at;
-      bool had_leave = false;
+      bool was_permitted = false;
     };
-    std::map<TargetRun, End> ends;
+    std::map<TargetRun, End> terminations;
     // What another node counted.
-    std::uint32_t adopted_ends = 0;
-    TimePoint first_end;
-    TimePoint last_end;
-    // Ends before this don't count.
+    std::uint32_t adopted_terminations = 0;
+    TimePoint first_termination;
+    TimePoint last_termination;
+    // Terminations before this don't count.
     TimePoint cleared_until;
     TimePoint refused_from;
     TimePoint refused_until;
     // The refusal has begun, and is told.
-    bool is_refusal_told = false;
+    bool is_refusal_reported = false;
     std::uint32_t quarantines = 0;
     // The run that is allowed.
-    std::string asker;
+    std::string requester;
     TimePoint trial_until;
   };
   using Entries =
       std::unordered_map<RequestFingerprint, Entry, RequestFingerprintHash>;
 
-  std::uint32_t CountEnds(const Entry& entry) const;
-  bool IsProven(const RequestFingerprint& request, const Entry& entry) const;
+  std::uint32_t CountTerminations(const Entry& entry) const;
+  bool IsRefusalJustified(const RequestFingerprint& request,
+                          const Entry& entry) const;
   // Whether another request that was there has as many ends.
-  bool IsDoubtful(const TargetRun& run,
-                  const RequestFingerprint& request,
-                  std::uint32_t ends) const;
+  bool HasLikelierCause(const TargetRun& run,
+                        const RequestFingerprint& request,
+                        std::uint32_t terminations) const;
   // Whether many other targets ended about then, at which the request was not
   // and no other one ran alone.
-  bool IsCrowded(const TargetRun& run, const RequestFingerprint& request) const;
-  void NoteAt(const EndObserved& end, TimePoint at);
+  bool HadManyConcurrentTerminations(const TargetRun& run,
+                                     const RequestFingerprint& request) const;
+  void RecordTerminatedRun(const TerminationObserved& end, TimePoint at);
   // Takes back refusals that rest on the end of a target for which another
   // request turned out to be to blame.
-  void ReviewOthersAt(const TargetRun& run, const RequestFingerprint& request);
+  void ReviewOtherRequestsAt(const TargetRun& run,
+                             const RequestFingerprint& request);
   // The same for refusals that have not begun: more ends of the same moment may
   // have become known.
-  void ReviewHesitating(TimePoint now);
-  void TakeBack(Entry& entry);
+  void ReviewUndecidedRefusals(TimePoint now);
+  void WithdrawRefusal(Entry& entry);
   Verdict VerdictOf(const Entry& entry, TimePoint now) const;
   QuarantineRecord ToRecord(const RequestFingerprint& request,
                             const Entry& entry,
@@ -168,17 +173,17 @@
   QuarantineOptions options_;
   Entries entries_;
   // What was at a target when it ended.
-  struct EndedTarget {
+  struct TerminatedTarget {
     std::set<RequestFingerprint> requests;
     TimePoint at;
     // One of them was the only run of its request.
-    bool had_only_run = false;
+    bool had_sole_run = false;
   };
-  std::map<TargetRun, EndedTarget> at_run_;
+  std::map<TargetRun, TerminatedTarget> terminated_targets_;
   // The same by age.
-  std::deque<TargetRun> runs_;
+  std::deque<TargetRun> terminated_runs_by_age_;
   // Refusals that have not begun.
-  std::vector<RequestFingerprint> hesitating_;
+  std::vector<RequestFingerprint> undecided_refusals_;
   std::uint64_t revision_ = 0;
 };
 
--- a/src/libs/quarantine/quarantine_codec.cc
+++ b/src/libs/quarantine/quarantine_codec.cc
@@ -57,17 +57,18 @@
   const auto service = Text(object, "service");
   const auto name = Text(object, "verdict");
   const auto verdict = name.has_value() ? VerdictFromName(*name) : std::nullopt;
-  const auto ends = Number(object, "ends");
+  const auto terminations = Number(object, "ends");
   const auto since = ReadDuration(object, "since_us");
   const auto remaining = ReadDuration(object, "remaining_us");
-  if (!request || !service || !verdict || !ends || !since || !remaining) {
+  if (!request || !service || !verdict || !terminations || !since ||
+      !remaining) {
     return std::nullopt;
   }
   QuarantineRecord record;
   record.request = *request;
   record.service = ServiceId(*service);
   record.verdict = *verdict;
-  record.ends = static_cast<std::uint32_t>(*ends);
+  record.terminations = static_cast<std::uint32_t>(*terminations);
   record.since = *since;
   record.remaining = *remaining;
   return record;
@@ -76,13 +77,13 @@
 json::object ToObject(const Observation& observation) {
   return std::visit(
       Overloaded{
-          [](const EndObserved& end) {
+          [](const TerminationObserved& end) {
             return json::object{{"kind", "end"},
                                 {"request", end.request.ToText()},
                                 {"service", end.service.value()},
                                 {"target", end.run.target.value()},
                                 {"incarnation", end.run.incarnation.value()},
-                                {"had_leave", end.had_leave},
+                                {"had_leave", end.was_permitted},
                                 {"age_us", end.age.count()}};
           },
           [](const CompletionObserved& completion) {
@@ -98,7 +99,7 @@
           [](const TrialOver& over) {
             return json::object{{"kind", "trial_over"},
                                 {"request", over.request.ToText()},
-                                {"asker", over.asker}};
+                                {"asker", over.requester}};
           },
       },
       observation);
@@ -111,9 +112,10 @@
     return std::nullopt;
   }
   if (*kind == "trial_over") {
-    const auto asker = Text(object, "asker");
-    return asker ? std::optional<Observation>(TrialOver{*request, *asker})
-                 : std::nullopt;
+    const auto requester = Text(object, "asker");
+    return requester
+               ? std::optional<Observation>(TrialOver{*request, *requester})
+               : std::nullopt;
   }
   const auto age = ReadDuration(object, "age_us");
   if (*kind == "completion" && age) {
@@ -125,16 +127,16 @@
   const auto service = Text(object, "service");
   const auto target = Text(object, "target");
   const auto incarnation = Number(object, "incarnation");
-  const auto had_leave = Flag(object, "had_leave");
+  const auto was_permitted = Flag(object, "had_leave");
   if (*kind != "end" || !age || !service || !target || !incarnation ||
-      !had_leave) {
+      !was_permitted) {
     return std::nullopt;
   }
-  return EndObserved{*request,
-                     ServiceId(*service),
-                     {TargetId(*target), Incarnation(*incarnation)},
-                     *had_leave,
-                     *age};
+  return TerminationObserved{*request,
+                             ServiceId(*service),
+                             {TargetId(*target), Incarnation(*incarnation)},
+                             *was_permitted,
+                             *age};
 }
 
 }  // namespace
@@ -145,7 +147,7 @@
     array.push_back(json::object{{"request", record.request.ToText()},
                                  {"service", record.service.value()},
                                  {"verdict", NameOf(record.verdict)},
-                                 {"ends", record.ends},
+                                 {"ends", record.terminations},
                                  {"since_us", record.since.count()},
                                  {"remaining_us", record.remaining.count()}});
   }
--- a/src/libs/quarantine/quarantine_record.h
+++ b/src/libs/quarantine/quarantine_record.h
@@ -26,8 +26,8 @@
   RequestFingerprint request;
   ServiceId service;
   Verdict verdict = Verdict::kFree;
-  // Ends that count, see QuarantineBook.
-  std::uint32_t ends = 0;
+  // Terminations that count, see QuarantineRegistry.
+  std::uint32_t terminations = 0;
   // Since the first of them.
   Duration since{};
   // Until it may be tried again; zero where it may be now.
@@ -35,12 +35,12 @@
 };
 
 // A gateway's observations, each with its age.
-struct EndObserved {
+struct TerminationObserved {
   RequestFingerprint request;
   ServiceId service;
   TargetRun run;
   // The run had leave to be the only one of its request.
-  bool had_leave = false;
+  bool was_permitted = false;
   Duration age{};
 };
 struct CompletionObserved {
@@ -50,15 +50,15 @@
 // The one run that `asker` was allowed is over, whatever its outcome.
 struct TrialOver {
   RequestFingerprint request;
-  std::string asker;
+  std::string requester;
 };
 // An operator lets the request pass.
 struct ReleaseOrdered {
   RequestFingerprint request;
   Duration age{};
 };
-using Observation =
-    std::variant<EndObserved, CompletionObserved, TrialOver, ReleaseOrdered>;
+using Observation = std::
+    variant<TerminationObserved, CompletionObserved, TrialOver, ReleaseOrdered>;
 
 }  // namespace bilberryspool::quarantine
 
--- a/src/libs/quarantine/quarantine_view.cc
+++ b/src/libs/quarantine/quarantine_view.cc
@@ -9,14 +9,15 @@
     const std::vector<QuarantineRecord>& records,
     bool is_whole,
     TimePoint now) {
-  Source& told = sources_[source];
+  Source& reported = sources_[source];
   if (is_whole) {
-    told.records.clear();
+    reported.records.clear();
   }
   std::vector<CompletionObserved> clearing;
   for (const QuarantineRecord& record : records) {
-    told.records.insert_or_assign(record.request, Told{record, now});
-    if (HasAlibi(record.request, now)) {
+    reported.records.insert_or_assign(record.request,
+                                      ReportedRecord{record, now});
+    if (IsInCompletionGracePeriod(record.request, now)) {
       clearing.push_back(
           {record.request, now - *completions_.Find(record.request)});
     }
@@ -43,7 +44,7 @@
 Judgement QuarantineView::Judge(const RequestFingerprint& request,
                                 TimePoint now) const {
   Judgement strictest;
-  if (HasAlibi(request, now)) {
+  if (IsInCompletionGracePeriod(request, now)) {
     return strictest;
   }
   const bool is_connected = any_reachable();
@@ -55,8 +56,12 @@
     }
     const QuarantineRecord& record = found->second.record;
     const Duration age = now - found->second.at;
-    Judgement one{record.verdict,   record.ends, record.since + age,
-                  record.remaining, name,        age};
+    Judgement one{record.verdict,
+                  record.terminations,
+                  record.since + age,
+                  record.remaining,
+                  name,
+                  age};
     if (one.verdict == Verdict::kRefused && one.remaining <= age) {
       one.verdict = Verdict::kOneAtATime;
     }
@@ -65,10 +70,10 @@
       strictest = one;
     }
   }
-  const auto own_end = own_.LastEndOf(request);
+  const auto own_end = own_.LastTerminationOf(request);
   const bool does_own_count =
       own_end.has_value() &&
-      (!is_connected || now - *own_end < options_.own_counts);
+      (!is_connected || now - *own_end < options_.own_observation_lifetime);
   const auto own = own_.RecordOf(request, now);
   if (!does_own_count || !own.has_value()) {
     return strictest;
@@ -78,27 +83,30 @@
                               ? std::min(own->verdict, Verdict::kOneAtATime)
                               : own->verdict;
   if (verdict > strictest.verdict) {
-    strictest = {verdict, own->ends, own->since, own->remaining, "", {}};
+    strictest = {verdict, own->terminations, own->since, own->remaining, "",
+                 {}};
   }
   return strictest;
 }
 
-std::vector<Observation> QuarantineView::OwnEndsOf(
+std::vector<Observation> QuarantineView::OwnTerminationsOf(
     const RequestFingerprint& request,
     TimePoint now) const {
-  std::vector<Observation> ends;
-  for (const EndObserved& end : own_.Ends(now)) {
+  std::vector<Observation> terminations;
+  for (const TerminationObserved& end : own_.Terminations(now)) {
     if (end.request == request) {
-      ends.emplace_back(end);
+      terminations.emplace_back(end);
     }
   }
-  return ends;
+  return terminations;
 }
 
-bool QuarantineView::HasAlibi(const RequestFingerprint& request,
-                              TimePoint now) const {
+bool QuarantineView::IsInCompletionGracePeriod(
+    const RequestFingerprint& request,
+    TimePoint now) const {
   const auto completed = completions_.Find(request);
-  return completed.has_value() && now - *completed < options_.own.alibi;
+  return completed.has_value() &&
+         now - *completed < options_.own.completion_grace_period;
 }
 
 bool QuarantineView::any_reachable() const {
--- a/src/libs/quarantine/quarantine_view.h
+++ b/src/libs/quarantine/quarantine_view.h
@@ -22,14 +22,14 @@
   QuarantineOptions own;
   // What the gateway saw itself holds beside what control nodes tell until
   // they must have heard of it.
-  Duration own_counts = Seconds(2);
+  Duration own_observation_lifetime = Seconds(2);
   std::size_t max_completions = 2048;
 };
 
 // The verdict, and what it rests on.
 struct Judgement {
   Verdict verdict = Verdict::kFree;
-  std::uint32_t ends = 0;
+  std::uint32_t terminations = 0;
   Duration since{};
   Duration remaining{};
   // The control node that told it; empty: seen by this gateway.
@@ -56,41 +56,44 @@
   // What is told by nodes that can't be reached counts only where none can.
   void SetReachable(const std::string& source, bool is_reachable);
 
-  void OnEnd(const EndObserved& end, TimePoint now) { own_.OnEnd(end, now); }
+  void OnTermination(const TerminationObserved& end, TimePoint now) {
+    own_.OnTermination(end, now);
+  }
   // Returns whether it clears the request of something.
   bool OnCompleted(const RequestFingerprint& request, TimePoint now);
 
   Judgement Judge(const RequestFingerprint& request, TimePoint now) const;
   // Leave to run the request where no control node can be asked.
   bool TryTrial(const RequestFingerprint& request,
-                const std::string& asker,
+                const std::string& requester,
                 TimePoint now) {
-    return own_.TryTrial(request, asker, now);
+    return own_.TryTrial(request, requester, now);
   }
   void OnTrialOver(const TrialOver& over) { own_.OnTrialOver(over); }
   void Tick(TimePoint now) { own_.Tick(now); }
   // What this gateway has seen, for a control node that has started anew.
-  std::vector<EndObserved> OwnEnds(TimePoint now) const {
-    return own_.Ends(now);
+  std::vector<TerminationObserved> OwnTerminations(TimePoint now) const {
+    return own_.Terminations(now);
   }
-  std::vector<Observation> OwnEndsOf(const RequestFingerprint& request,
-                                     TimePoint now) const;
+  std::vector<Observation> OwnTerminationsOf(const RequestFingerprint& request,
+                                             TimePoint now) const;
   bool any_reachable() const;
 
  private:
-  struct Told {
+  struct ReportedRecord {
     QuarantineRecord record;
     TimePoint at;
   };
   struct Source {
     bool is_reachable = true;
-    std::map<RequestFingerprint, Told> records;
+    std::map<RequestFingerprint, ReportedRecord> records;
   };
 
-  bool HasAlibi(const RequestFingerprint& request, TimePoint now) const;
+  bool IsInCompletionGracePeriod(const RequestFingerprint& request,
+                                 TimePoint now) const;
 
   QuarantineViewOptions options_;
-  QuarantineBook own_;
+  QuarantineRegistry own_;
   RecentCompletions completions_;
   std::map<std::string, Source> sources_;
 };
--- a/src/libs/quarantine/request_fingerprint.cc
+++ b/src/libs/quarantine/request_fingerprint.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr std::size_t kDigitsOfHalf = 16;
-constexpr int kHexadecimal = 16;
+constexpr std::size_t kHexDigitsPerHalf = 16;
+constexpr int kHexBase = 16;
 
 std::string HalfToText(std::uint64_t half) {
-  std::array<char, kDigitsOfHalf> digits{};
+  std::array<char, kHexDigitsPerHalf> digits{};
   const auto written = std::to_chars(
-      digits.data(), digits.data() + digits.size(), half, kHexadecimal);
+      digits.data(), digits.data() + digits.size(), half, kHexBase);
   const std::string text(digits.data(), written.ptr);
-  return std::string(kDigitsOfHalf - text.size(), '0') + text;
+  return std::string(kHexDigitsPerHalf - text.size(), '0') + text;
 }
 
 std::optional<std::uint64_t> HalfFromText(std::string_view text) {
   std::uint64_t half = 0;
   const char* end = text.data() + text.size();
-  const auto parsed = std::from_chars(text.data(), end, half, kHexadecimal);
+  const auto parsed = std::from_chars(text.data(), end, half, kHexBase);
   if (parsed.ec != std::errc() || parsed.ptr != end) {
     return std::nullopt;
   }
@@ -47,11 +47,11 @@
 
 std::optional<RequestFingerprint> RequestFingerprint::FromText(
     std::string_view text) {
-  if (text.size() != 2 * kDigitsOfHalf) {
+  if (text.size() != 2 * kHexDigitsPerHalf) {
     return std::nullopt;
   }
-  const auto high = HalfFromText(text.substr(0, kDigitsOfHalf));
-  const auto low = HalfFromText(text.substr(kDigitsOfHalf));
+  const auto high = HalfFromText(text.substr(0, kHexDigitsPerHalf));
+  const auto low = HalfFromText(text.substr(kHexDigitsPerHalf));
   if (!high.has_value() || !low.has_value()) {
     return std::nullopt;
   }
--- a/src/plugins/control_node/quarantine_keeper.cc
+++ b/src/plugins/control_node/quarantine_keeper.cc
@@ -85,8 +85,8 @@
                             TimePoint now) {
   std::visit(
       Overloaded{
-          [&](const quarantine::EndObserved& end) {
-            if (book_.OnEnd(end, now)) {
+          [&](const quarantine::TerminationObserved& end) {
+            if (book_.OnTermination(end, now)) {
               LogVerdict(end.request, now);
             }
           },
@@ -201,10 +201,10 @@
   }
   published_ = book_.revision();
   published_at_ = now;
-  const auto before = quarantine::StrictlyHeld(told_);
-  told_ = book_.Told(now);
+  const auto before = quarantine::UrgentVerdicts(told_);
+  told_ = book_.RecordsToReport(now);
   ++told_revision_;
-  if (quarantine::StrictlyHeld(told_) != before) {
+  if (quarantine::UrgentVerdicts(told_) != before) {
     urgent_revision_ = told_revision_;
     changed_.NotifyAll();
   }
@@ -219,7 +219,7 @@
   log_.Info(Sentence(record->verdict),
             {{"content", request.ToText()},
              {"service", record->service.value()},
-             {"ends", record->ends},
+             {"ends", record->terminations},
              {"since_ms", record->since / Milliseconds(1)},
              {"remaining_ms", record->remaining / Milliseconds(1)}});
 }
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -68,7 +68,7 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  quarantine::QuarantineBook book_;
+  quarantine::QuarantineRegistry book_;
   std::vector<quarantine::QuarantineRecord> told_;
   std::uint64_t told_revision_ = 0;
   std::uint64_t urgent_revision_ = 0;
--- a/src/plugins/gateway/quarantine_guard.cc
+++ b/src/plugins/gateway/quarantine_guard.cc
@@ -25,8 +25,9 @@
 QuarantineGuard::QuarantineGuard(net::NetworkLoop& loop)
     : loop_(loop), view_(MakeOptions()) {}
 
-void QuarantineGuard::OnEnd(const quarantine::EndObserved& end, TimePoint now) {
-  view_.OnEnd(end, now);
+void QuarantineGuard::OnTermination(const quarantine::TerminationObserved& end,
+                                    TimePoint now) {
+  view_.OnTermination(end, now);
   Tell(end);
 }
 
@@ -49,10 +50,11 @@
     const std::string key = request.ToText();
     const auto answer = links_.ask_one(
         key, "quarantine.trial",
-        boost::json::object{{"request", key},
-                            {"asker", asker},
-                            {"reports", quarantine::ToJson(view_.OwnEndsOf(
-                                            request, net::SteadyNow()))}});
+        boost::json::object{
+            {"request", key},
+            {"asker", asker},
+            {"reports", quarantine::ToJson(view_.OwnTerminationsOf(
+                            request, net::SteadyNow()))}});
     if (answer.has_value()) {
       return answer->is_bool() && answer->as_bool();
     }
@@ -71,7 +73,8 @@
 }
 
 void QuarantineGuard::TellAgain(TimePoint now) {
-  for (const quarantine::EndObserved& end : view_.OwnEnds(now)) {
+  for (const quarantine::TerminationObserved& end :
+       view_.OwnTerminations(now)) {
     Tell(end);
   }
 }
--- a/src/plugins/gateway/quarantine_guard.h
+++ b/src/plugins/gateway/quarantine_guard.h
@@ -39,7 +39,7 @@
 
   void Connect(Links links) { links_ = std::move(links); }
 
-  void OnEnd(const quarantine::EndObserved& end, TimePoint now);
+  void OnTermination(const quarantine::TerminationObserved& end, TimePoint now);
   void OnCompleted(const quarantine::RequestFingerprint& request,
                    TimePoint now);
   void OnTrialOver(const quarantine::RequestFingerprint& request,
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -24,8 +24,8 @@
   const auto ms = [](Duration duration) {
     return std::to_string(duration / Milliseconds(1)) + " ms";
   };
-  std::string text = std::to_string(judgement.ends) + " targets ended in " +
-                     ms(judgement.since);
+  std::string text = std::to_string(judgement.terminations) +
+                     " targets ended in " + ms(judgement.since);
   text += judgement.source.empty() ? ", seen here"
                                    : ", told by " + judgement.source + " " +
                                          ms(judgement.age) + " ago";
@@ -105,12 +105,12 @@
 }
 
 void RelayCall::NoteEnd(const traffic::Choice& choice) {
-  quarantine::EndObserved end;
+  quarantine::TerminationObserved end;
   end.request = fingerprint_;
   end.service = service_;
   end.run = {choice.target, choice.incarnation};
-  end.had_leave = !trial_.empty();
-  state_.quarantine.OnEnd(end, SteadyNow());
+  end.was_permitted = !trial_.empty();
+  state_.quarantine.OnTermination(end, SteadyNow());
 }
 
 void RelayCall::NoteCompleted() {
--- a/tests/auto/quarantine/quarantine_codec_test.cc
+++ b/tests/auto/quarantine/quarantine_codec_test.cc
@@ -14,7 +14,7 @@
   record.request = {7, 8};
   record.service = ServiceId("model");
   record.verdict = Verdict::kRefused;
-  record.ends = 3;
+  record.terminations = 3;
   record.since = Milliseconds(12);
   record.remaining = Seconds(5);
   const auto records = RecordsFromJson(ToJson(std::vector{record}));
@@ -23,7 +23,7 @@
   CHECK(boost::json::serialize(ToJson(*records)) ==
         boost::json::serialize(ToJson(std::vector{record})));
 
-  EndObserved end;
+  TerminationObserved end;
   end.request = {7, 8};
   end.service = ServiceId("model");
   end.run = {TargetId("t"), Incarnation(4)};
--- a/tests/auto/quarantine/quarantine_random_test.cc
+++ b/tests/auto/quarantine/quarantine_random_test.cc
@@ -27,7 +27,7 @@
   add("7 gateways", 40, [](WorldOptions&) {});
   add("at all gateways in one moment", 40, [](WorldOptions& options) {
     options.burst = 7;
-    options.ending_rate = 1.0;
+    options.terminating_rate = 1.0;
   });
   add("40 gateways, many in one moment", 10, [](WorldOptions& options) {
     options.gateways = 40;
@@ -46,16 +46,16 @@
     options.gateway_restarts = 0.2;
   });
   add("gateways are cut off", 40, [](WorldOptions& options) {
-    options.cuts = 0.3;
+    options.disconnects = 0.3;
     options.burst = 3;
   });
   add("targets end for other reasons too", 40, [](WorldOptions& options) {
-    options.herds = 0.1;
+    options.mass_terminations = 0.1;
     options.popular_rate = 60.0;
   });
   add("targets end for other reasons alone", 40, [](WorldOptions& options) {
-    options.herds = 0.3;
-    options.ending_rate = 0.0;
+    options.mass_terminations = 0.3;
+    options.terminating_rate = 0.0;
     options.popular_rate = 200.0;
   });
   add("one group", 40, [](WorldOptions& options) {
@@ -77,8 +77,8 @@
         options.quiet_start = Seconds(5);
         options.control_restarts = 0.1;
         options.gateway_restarts = 0.1;
-        options.cuts = 0.1;
-        options.herds = 0.05;
+        options.disconnects = 0.1;
+        options.mass_terminations = 0.05;
         options.popular_rate = 60.0;
       });
   return cases;
@@ -93,10 +93,10 @@
       CAPTURE(seed);
       const WorldResult result = QuarantineWorld(one.options, seed).Run();
       CHECK(result.late_sends <= 3);
-      CHECK(result.innocents_refused == 0);
-      CHECK(result.innocents_served > 0);
+      CHECK(result.harmless_refused == 0);
+      CHECK(result.harmless_served > 0);
       // Waiting for a run elsewhere keeps few from being served.
-      CHECK(result.innocents_held_back * 200 <= result.innocents_served);
+      CHECK(result.harmless_held_back * 200 <= result.harmless_served);
     });
   }
 }
--- a/tests/auto/quarantine/quarantine_view_test.cc
+++ b/tests/auto/quarantine/quarantine_view_test.cc
@@ -12,32 +12,32 @@
 const RequestFingerprint kRequest{1, 1};
 const TimePoint kNow = TimePoint{} + Seconds(1000);
 
-std::vector<QuarantineRecord> Told(Verdict verdict, Duration remaining) {
+std::vector<QuarantineRecord> ReportWith(Verdict verdict, Duration remaining) {
   QuarantineRecord record;
   record.request = kRequest;
   record.verdict = verdict;
-  record.ends = 3;
+  record.terminations = 3;
   record.since = Seconds(4);
   record.remaining = remaining;
   return {record};
 }
 
-EndObserved EndOf(std::int64_t target) {
-  EndObserved end;
+TerminationObserved TerminationOf(std::int64_t target) {
+  TerminationObserved end;
   end.request = kRequest;
   end.run = {TargetId("t" + std::to_string(target)), Incarnation(1)};
-  end.had_leave = target > 0;
+  end.was_permitted = target > 0;
   return end;
 }
 
 TEST_CASE("the strictest of the reachable control nodes counts") {
   QuarantineView view{QuarantineViewOptions{}};
-  view.Adopt("a", Told(Verdict::kOneAtATime, {}), true, kNow);
-  view.Adopt("b", Told(Verdict::kRefused, Seconds(60)), true, kNow);
+  view.Adopt("a", ReportWith(Verdict::kOneAtATime, {}), true, kNow);
+  view.Adopt("b", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   const Judgement judgement = view.Judge(kRequest, kNow + Seconds(1));
   CHECK(judgement.verdict == Verdict::kRefused);
   CHECK(judgement.source == "b");
-  CHECK(judgement.ends == 3);
+  CHECK(judgement.terminations == 3);
   CHECK(judgement.age == Seconds(1));
   CHECK(judgement.since == Seconds(5));
   CHECK(judgement.remaining == Seconds(59));
@@ -51,21 +51,21 @@
 // Guards against a control node that starts anew taking back what it told.
 TEST_CASE("what is told in part leaves the rest as it was") {
   QuarantineView view{QuarantineViewOptions{}};
-  view.Adopt("a", Told(Verdict::kRefused, Seconds(60)), true, kNow);
+  view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   view.Adopt("a", {}, false, kNow);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kRefused);
 }
 
 TEST_CASE("a quarantine ends without a word from the control node") {
   QuarantineView view{QuarantineViewOptions{}};
-  view.Adopt("a", Told(Verdict::kRefused, Seconds(60)), true, kNow);
+  view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   CHECK(view.Judge(kRequest, kNow + Seconds(60)).verdict ==
         Verdict::kOneAtATime);
 }
 
 TEST_CASE("what is told replaces what was told before") {
   QuarantineView view{QuarantineViewOptions{}};
-  view.Adopt("a", Told(Verdict::kRefused, Seconds(60)), true, kNow);
+  view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   view.Adopt("a", {}, true, kNow);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kFree);
 }
@@ -76,7 +76,7 @@
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", {}, true, kNow);
   for (std::int64_t i = 0; i < 3; ++i) {
-    view.OnEnd(EndOf(i), kNow + Seconds(5 * i));
+    view.OnTermination(TerminationOf(i), kNow + Seconds(5 * i));
   }
   const TimePoint last = kNow + Seconds(10);
   CHECK(view.Judge(kRequest, last).verdict == Verdict::kOneAtATime);
@@ -88,8 +88,8 @@
 TEST_CASE("a request that completed here is cleared, and the nodes are told") {
   QuarantineView view{QuarantineViewOptions{}};
   CHECK_FALSE(view.OnCompleted(kRequest, kNow));
-  const auto clearing = view.Adopt("a", Told(Verdict::kRefused, Seconds(60)),
-                                   true, kNow + Seconds(2));
+  const auto clearing = view.Adopt(
+      "a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow + Seconds(2));
   REQUIRE(clearing.size() == 1);
   CHECK(clearing.front().age == Seconds(2));
   CHECK(view.Judge(kRequest, kNow + Seconds(2)).verdict == Verdict::kFree);
--- a/tests/auto/quarantine/quarantine_world.cc
+++ b/tests/auto/quarantine/quarantine_world.cc
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr Duration kStep = Milliseconds(50);
-constexpr Duration kUntilEnd = Milliseconds(100);
-constexpr Duration kStall = Milliseconds(1500);
-constexpr Duration kForming = Milliseconds(600);
+constexpr Duration kTimeToTerminate = Milliseconds(100);
+constexpr Duration kStallTime = Milliseconds(1500);
+constexpr Duration kGroupFormingTime = Milliseconds(600);
 constexpr Duration kTick = Milliseconds(250);
-constexpr Duration kBetweenNews = Milliseconds(250);
-constexpr Duration kSettling = Seconds(3);
-constexpr Duration kPatience = Milliseconds(400);
-constexpr Duration kBetweenAsks = Milliseconds(100);
-constexpr int kMostSends = 2;
+constexpr Duration kMinReportInterval = Milliseconds(250);
+constexpr Duration kSettlingTime = Seconds(3);
+constexpr Duration kPermissionTimeout = Milliseconds(400);
+constexpr Duration kPermissionRetryInterval = Milliseconds(100);
+constexpr int kMaxSends = 2;
 
 RequestFingerprint NumberedRequest(std::uint64_t number) {
   return {1, number};
 }
-const RequestFingerprint kEnding{2, 1};
+const RequestFingerprint kTerminating{2, 1};
 const RequestFingerprint kPopular{3, 1};
 
 }  // namespace
@@ -36,11 +36,12 @@
       gateways_(options.gateways),
       targets_(options.targets) {
   for (std::size_t i = 0; i < options_.controls; ++i) {
-    controls_.push_back(std::make_unique<QuarantineBook>(QuarantineOptions{}));
+    controls_.push_back(
+        std::make_unique<QuarantineRegistry>(QuarantineOptions{}));
   }
   for (std::size_t i = 0; i < options_.gateways; ++i) {
     RestartGateway(i);
-    gateways_[i].disturbed_at = TimePoint{};
+    gateways_[i].last_fault_ended_at = TimePoint{};
   }
 }
 
@@ -68,15 +69,15 @@
   return random_.Between(Milliseconds(1), Milliseconds(10));
 }
 
-bool QuarantineWorld::Strikes(double per_second, Duration step) {
+bool QuarantineWorld::Occurs(double per_second, Duration step) {
   return random_.Chance(per_second * ToSeconds(step));
 }
 
 void QuarantineWorld::Traffic() {
   const bool is_quiet = now_ < end_ - options_.length + options_.quiet_start;
-  if (!is_quiet && Strikes(options_.ending_rate, kStep)) {
+  if (!is_quiet && Occurs(options_.terminating_rate, kStep)) {
     for (std::size_t i = 0; i < options_.burst; ++i) {
-      Arrive(kEnding, true);
+      Arrive(kTerminating, true);
     }
   }
   const auto steps_a_second = Seconds(1) / kStep;
@@ -85,11 +86,11 @@
   for (std::uint64_t i = 0; i < unique; ++i) {
     Arrive(NumberedRequest(++next_id_), false);
   }
-  if (Strikes(options_.popular_rate, kStep)) {
+  if (Occurs(options_.popular_rate, kStep)) {
     Arrive(kPopular, false);
   }
   if (!is_quiet) {
-    StrikeFaults();
+    InjectFaults();
   }
   TickControls();
   After(kStep, [this] { Traffic(); });
@@ -104,19 +105,19 @@
     const std::uint64_t before = controls_[i]->revision();
     controls_[i]->Tick(now_);
     if (controls_[i]->revision() != before) {
-      TellGateways(i);
+      ReportToGateways(i);
     }
   }
 }
 
 void QuarantineWorld::Arrive(const RequestFingerprint& request,
-                             bool ends_targets) {
+                             bool terminates_targets) {
   auto call = std::make_shared<Call>();
   call->request = request;
-  call->ends_targets = ends_targets;
+  call->terminates_targets = terminates_targets;
   call->gateway = random_.Below(gateways_.size());
   call->id = std::to_string(++next_id_);
-  call->held_since = now_;
+  call->waiting_since = now_;
   Try(call);
 }
 
@@ -128,22 +129,22 @@
       Send(call);
       return;
     case Verdict::kRefused:
-      result_.innocents_refused += call->ends_targets ? 0 : 1;
+      result_.harmless_refused += call->terminates_targets ? 0 : 1;
       return;
     case Verdict::kOneAtATime:
-      AskLeave(call, judgement);
+      RequestPermission(call, judgement);
       return;
   }
 }
 
-void QuarantineWorld::AskLeave(const CallPointer& call,
-                               const Judgement& /*judgement*/) {
+void QuarantineWorld::RequestPermission(const CallPointer& call,
+                                        const Judgement& /*judgement*/) {
   if (group_ == GroupState::kBroken) {
     return;
   }
   const std::string trial = call->id + "/" + std::to_string(call->sends);
   Gateway& gateway = gateways_[call->gateway];
-  if (gateway.is_cut) {
+  if (gateway.is_disconnected) {
     if (gateway.view->TryTrial(call->request, trial, now_)) {
       call->trial = trial;
       Send(call);
@@ -152,11 +153,11 @@
     }
     return;
   }
-  const auto reports = gateway.view->OwnEndsOf(call->request, now_);
+  const auto reports = gateway.view->OwnTerminationsOf(call->request, now_);
   const std::size_t home = call->request.low % controls_.size();
   After(Delay(), [this, call, trial, reports, home] {
     for (const Observation& report : reports) {
-      TakeReport(home, report);
+      ReceiveReport(home, report);
     }
     const bool is_allowed =
         controls_[home]->TryTrial(call->request, trial, now_);
@@ -172,11 +173,11 @@
 }
 
 void QuarantineWorld::OnDenied(const CallPointer& call) {
-  if (now_ - call->held_since < kPatience) {
-    After(kBetweenAsks, [this, call] { Try(call); });
+  if (now_ - call->waiting_since < kPermissionTimeout) {
+    After(kPermissionRetryInterval, [this, call] { Try(call); });
     return;
   }
-  result_.innocents_held_back += call->ends_targets ? 0 : 1;
+  result_.harmless_held_back += call->terminates_targets ? 0 : 1;
 }
 
 void QuarantineWorld::Send(const CallPointer& call) {
@@ -191,12 +192,13 @@
     return;
   }
   ++call->sends;
-  if (call->ends_targets) {
+  if (call->terminates_targets) {
     const Gateway& gateway = gateways_[call->gateway];
     const bool is_in_touch =
-        now_ - gateway.disturbed_at > kSettling && !gateway.is_cut;
-    const bool is_late =
-        third_end_.has_value() && now_ > *third_end_ + kSettling;
+        now_ - gateway.last_fault_ended_at > kSettlingTime &&
+        !gateway.is_disconnected;
+    const bool is_late = third_termination_at_.has_value() &&
+                         now_ > *third_termination_at_ + kSettlingTime;
     result_.late_sends += is_late && is_in_touch ? 1 : 0;
   }
   if (group_ == GroupState::kBroken) {
@@ -209,18 +211,19 @@
   const std::uint64_t incarnation = target.incarnation;
   const std::uint64_t epoch = epoch_;
   const Duration takes =
-      call->ends_targets
-          ? kUntilEnd
+      call->terminates_targets
+          ? kTimeToTerminate
           : random_.Between(Milliseconds(200), Milliseconds(1500));
   After(takes, [this, call, number, incarnation, epoch] {
     if (!IsRunning(number, incarnation, epoch)) {
       return;
     }
-    if (call->ends_targets) {
-      ++result_.ends;
-      const bool is_third = result_.ends == 3;
-      third_end_ = is_third ? std::optional(now_) : third_end_;
-      EndTarget(number);
+    if (call->terminates_targets) {
+      ++result_.terminations;
+      const bool is_third = result_.terminations == 3;
+      third_termination_at_ =
+          is_third ? std::optional(now_) : third_termination_at_;
+      TerminateTarget(number);
       return;
     }
     std::vector<CallPointer>& calls = targets_[number].calls;
@@ -237,14 +240,14 @@
          group_ == GroupState::kOpen;
 }
 
-void QuarantineWorld::EndTarget(std::size_t number) {
+void QuarantineWorld::TerminateTarget(std::size_t number) {
   Target& target = targets_[number];
   const TargetRun run{TargetId("t" + std::to_string(number)),
                       Incarnation(target.incarnation)};
   target.is_up = false;
   ++target.incarnation;
   for (const CallPointer& call : std::exchange(target.calls, {})) {
-    After(Delay(), [this, call, run] { OnTargetEnded(call, run); });
+    After(Delay(), [this, call, run] { OnTargetTerminated(call, run); });
   }
   After(options_.target_restart, [this, number] {
     targets_[number].is_up = true;
@@ -252,7 +255,7 @@
   });
   if (options_.is_group && group_ == GroupState::kOpen) {
     group_ = GroupState::kStalled;
-    After(kStall, [this] { BreakGroup(); });
+    After(kStallTime, [this] { BreakGroup(); });
   }
 }
 
@@ -261,17 +264,17 @@
   ++epoch_;
   for (Target& target : targets_) {
     for (const CallPointer& call : std::exchange(target.calls, {})) {
-      After(Delay(), [this, call] { CutOff(call); });
+      After(Delay(), [this, call] { AbortCall(call); });
     }
   }
   TryToForm();
 }
 
 // No end: the target goes on.
-void QuarantineWorld::CutOff(const CallPointer& call) {
+void QuarantineWorld::AbortCall(const CallPointer& call) {
   EndTrial(call);
-  if (call->sends < kMostSends) {
-    call->held_since = now_;
+  if (call->sends < kMaxSends) {
+    call->waiting_since = now_;
     Try(call);
   }
 }
@@ -283,7 +286,7 @@
   if (!are_all_up || group_ != GroupState::kBroken) {
     return;
   }
-  After(kForming, [this, epoch = epoch_] {
+  After(kGroupFormingTime, [this, epoch = epoch_] {
     if (epoch == epoch_ && group_ == GroupState::kBroken) {
       ++epoch_;
       group_ = GroupState::kOpen;
@@ -291,24 +294,24 @@
   });
 }
 
-void QuarantineWorld::OnTargetEnded(const CallPointer& call,
-                                    const TargetRun& run) {
-  EndObserved end;
+void QuarantineWorld::OnTargetTerminated(const CallPointer& call,
+                                         const TargetRun& run) {
+  TerminationObserved end;
   end.request = call->request;
   end.service = ServiceId("model");
   end.run = run;
-  end.had_leave = !call->trial.empty();
-  gateways_[call->gateway].view->OnEnd(end, now_);
+  end.was_permitted = !call->trial.empty();
+  gateways_[call->gateway].view->OnTermination(end, now_);
   Report(call->gateway, end);
   EndTrial(call);
-  if (call->sends < kMostSends) {
-    call->held_since = now_;
+  if (call->sends < kMaxSends) {
+    call->waiting_since = now_;
     Try(call);
   }
 }
 
 void QuarantineWorld::OnCompleted(const CallPointer& call) {
-  ++result_.innocents_served;
+  ++result_.harmless_served;
   if (gateways_[call->gateway].view->OnCompleted(call->request, now_)) {
     Report(call->gateway, CompletionObserved{call->request, Duration::zero()});
   }
@@ -326,39 +329,42 @@
 
 void QuarantineWorld::Report(std::size_t gateway,
                              const Observation& observation) {
-  if (gateways_[gateway].is_cut) {
+  if (gateways_[gateway].is_disconnected) {
     return;
   }
   for (std::size_t i = 0; i < controls_.size(); ++i) {
     After(Milliseconds(3) + Delay(),
-          [this, i, observation] { TakeReport(i, observation); });
+          [this, i, observation] { ReceiveReport(i, observation); });
   }
 }
 
-void QuarantineWorld::TakeReport(std::size_t control,
-                                 const Observation& observation) {
-  QuarantineBook& book = *controls_[control];
-  const std::uint64_t before = book.revision();
+void QuarantineWorld::ReceiveReport(std::size_t control,
+                                    const Observation& observation) {
+  QuarantineRegistry& registry = *controls_[control];
+  const std::uint64_t before = registry.revision();
   std::visit(Overloaded{
-                 [&](const EndObserved& end) { book.OnEnd(end, now_); },
+                 [&](const TerminationObserved& end) {
+                   registry.OnTermination(end, now_);
+                 },
                  [&](const CompletionObserved& completion) {
-                   book.OnCompleted(completion, now_);
+                   registry.OnCompleted(completion, now_);
                  },
-                 [&](const TrialOver& over) { book.OnTrialOver(over); },
+                 [&](const TrialOver& over) { registry.OnTrialOver(over); },
                  [&](const ReleaseOrdered& release) {
-                   book.OnReleased(release, now_);
+                   registry.OnReleased(release, now_);
                  },
              },
              observation);
-  if (book.revision() != before) {
-    TellGateways(control);
+  if (registry.revision() != before) {
+    ReportToGateways(control);
   }
 }
 
 // As the leader does, to the log.
 void QuarantineWorld::SaveRefusals(std::size_t control) {
   std::vector<QuarantineRecord> refused;
-  for (const QuarantineRecord& record : controls_[control]->Told(now_)) {
+  for (const QuarantineRecord& record :
+       controls_[control]->RecordsToReport(now_)) {
     if (record.verdict == Verdict::kRefused) {
       refused.push_back(record);
     }
@@ -370,57 +376,58 @@
 
 // As control nodes do: what is urgent goes out at once where nothing did a
 // moment before, the rest with the next answer to each gateway.
-void QuarantineWorld::TellGateways(std::size_t control) {
-  if (!about_to_tell_.insert(control).second) {
+void QuarantineWorld::ReportToGateways(std::size_t control) {
+  if (!pending_reports_.insert(control).second) {
     return;
   }
-  const TimePoint at = std::max(now_, told_at_[control] + kBetweenNews);
+  const TimePoint at =
+      std::max(now_, last_reported_at_[control] + kMinReportInterval);
   At(at, [this, control] {
-    about_to_tell_.erase(control);
-    told_at_[control] = now_;
-    auto held = StrictlyHeld(controls_[control]->Told(now_));
-    const bool is_urgent = held != held_[control];
-    held_[control] = std::move(held);
+    pending_reports_.erase(control);
+    last_reported_at_[control] = now_;
+    auto held = UrgentVerdicts(controls_[control]->RecordsToReport(now_));
+    const bool is_urgent = held != last_urgent_verdicts_[control];
+    last_urgent_verdicts_[control] = std::move(held);
     SaveRefusals(control);
     for (std::size_t i = 0; i < gateways_.size(); ++i) {
       const Duration wait =
           is_urgent ? Delay() : random_.Between(Milliseconds(1), Seconds(1));
-      After(wait, [this, control, i] { TellGateway(control, i); });
+      After(wait, [this, control, i] { ReportToGateway(control, i); });
     }
   });
 }
 
-void QuarantineWorld::TellGateway(std::size_t control, std::size_t number) {
+void QuarantineWorld::ReportToGateway(std::size_t control, std::size_t number) {
   Gateway& gateway = gateways_[number];
-  const auto settles = settled_at_.find(control);
+  const auto settles = startup_ends_at_.find(control);
   const bool is_settled =
-      settles == settled_at_.end() || now_ >= settles->second;
-  if (gateway.is_cut) {
+      settles == startup_ends_at_.end() || now_ >= settles->second;
+  if (gateway.is_disconnected) {
     return;
   }
   const std::string name = "control-" + std::to_string(control);
   gateway.view->SetReachable(name, true);
   for (const CompletionObserved& completion : gateway.view->Adopt(
-           name, controls_[control]->Told(now_), is_settled, now_)) {
+           name, controls_[control]->RecordsToReport(now_), is_settled, now_)) {
     Report(number, completion);
   }
 }
 
-void QuarantineWorld::StrikeFaults() {
-  if (Strikes(options_.control_restarts, kStep)) {
+void QuarantineWorld::InjectFaults() {
+  if (Occurs(options_.control_restarts, kStep)) {
     RestartControl(random_.Below(controls_.size()));
   }
-  if (Strikes(options_.gateway_restarts, kStep)) {
+  if (Occurs(options_.gateway_restarts, kStep)) {
     const std::size_t gateway = random_.Below(gateways_.size());
     RestartGateway(gateway);
   }
-  if (Strikes(options_.cuts, kStep)) {
-    Cut(random_.Below(gateways_.size()));
+  if (Occurs(options_.disconnects, kStep)) {
+    Disconnect(random_.Below(gateways_.size()));
   }
-  if (Strikes(options_.herds, kStep)) {
+  if (Occurs(options_.mass_terminations, kStep)) {
     for (std::size_t i = 0; i < targets_.size(); ++i) {
       if (targets_[i].is_up && random_.Chance(0.6)) {
-        EndTarget(i);
+        TerminateTarget(i);
       }
     }
   }
@@ -428,54 +435,56 @@
 
 // It has lost all it knew; gateways tell it again, and so do the others.
 void QuarantineWorld::RestartControl(std::size_t control) {
-  controls_[control] = std::make_unique<QuarantineBook>(QuarantineOptions{});
-  settled_at_[control] = now_ + Seconds(3);
+  controls_[control] =
+      std::make_unique<QuarantineRegistry>(QuarantineOptions{});
+  startup_ends_at_[control] = now_ + Seconds(3);
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     After(random_.Between(Milliseconds(200), Milliseconds(600)),
           [this, i, control] {
-            if (gateways_[i].is_cut) {
+            if (gateways_[i].is_disconnected) {
               return;
             }
-            for (const EndObserved& end : gateways_[i].view->OwnEnds(now_)) {
-              TakeReport(control, end);
+            for (const TerminationObserved& end :
+                 gateways_[i].view->OwnTerminations(now_)) {
+              ReceiveReport(control, end);
             }
-            TellGateway(control, i);
+            ReportToGateway(control, i);
           });
   }
-  After(Seconds(3), [this, control] { TellGateways(control); });
+  After(Seconds(3), [this, control] { ReportToGateways(control); });
   After(Seconds(1), [this, control] {
     for (const QuarantineRecord& record : saved_) {
       controls_[control]->Adopt(record, now_);
     }
     for (const auto& other : controls_) {
-      for (const QuarantineRecord& record : other->Told(now_)) {
+      for (const QuarantineRecord& record : other->RecordsToReport(now_)) {
         controls_[control]->Adopt(record, now_);
       }
     }
-    TellGateways(control);
+    ReportToGateways(control);
   });
 }
 
 void QuarantineWorld::RestartGateway(std::size_t number) {
   Gateway& gateway = gateways_[number];
   gateway.view = std::make_unique<QuarantineView>(QuarantineViewOptions{});
-  gateway.disturbed_at = now_;
+  gateway.last_fault_ended_at = now_;
   for (std::size_t i = 0; i < controls_.size(); ++i) {
-    TellGateway(i, number);
+    ReportToGateway(i, number);
   }
 }
 
-void QuarantineWorld::Cut(std::size_t number) {
+void QuarantineWorld::Disconnect(std::size_t number) {
   Gateway& gateway = gateways_[number];
-  gateway.is_cut = true;
+  gateway.is_disconnected = true;
   for (std::size_t i = 0; i < controls_.size(); ++i) {
     gateway.view->SetReachable("control-" + std::to_string(i), false);
   }
   After(Seconds(5), [this, number] {
-    gateways_[number].is_cut = false;
-    gateways_[number].disturbed_at = now_;
+    gateways_[number].is_disconnected = false;
+    gateways_[number].last_fault_ended_at = now_;
     for (std::size_t i = 0; i < controls_.size(); ++i) {
-      TellGateway(i, number);
+      ReportToGateway(i, number);
     }
   });
 }
--- a/tests/auto/quarantine/quarantine_world.h
+++ b/tests/auto/quarantine/quarantine_world.h
@@ -24,7 +24,7 @@
   std::size_t controls = 3;
   std::size_t targets = 16;
   // Requests a second, over all gateways.
-  double ending_rate = 4.0;
+  double terminating_rate = 4.0;
   double unique_rate = 80.0;
   double popular_rate = 20.0;
   // So many copies of the request that ends targets come at one moment.
@@ -32,9 +32,9 @@
   // Chances a second of each fault.
   double control_restarts = 0.0;
   double gateway_restarts = 0.0;
-  double cuts = 0.0;
+  double disconnects = 0.0;
   // Most targets end at one moment, for another reason.
-  double herds = 0.0;
+  double mass_terminations = 0.0;
   // The targets are ranks of one group: with one all stand still, cut off what
   // they have a while later, and begin anew once all are back.
   bool is_group = false;
@@ -47,12 +47,12 @@
 struct WorldResult {
   // Targets that the request ended, and sends of it that reached a target
   // later than the settling time after the third, from gateways in touch.
-  std::size_t ends = 0;
+  std::size_t terminations = 0;
   std::size_t late_sends = 0;
   // Requests that end nothing and were refused for good.
-  std::size_t innocents_refused = 0;
-  std::size_t innocents_held_back = 0;
-  std::size_t innocents_served = 0;
+  std::size_t harmless_refused = 0;
+  std::size_t harmless_held_back = 0;
+  std::size_t harmless_served = 0;
 };
 
 class QuarantineWorld {
@@ -63,12 +63,12 @@
  private:
   struct Call {
     RequestFingerprint request;
-    bool ends_targets = false;
+    bool terminates_targets = false;
     std::size_t gateway = 0;
     int sends = 0;
     std::string id;
     std::string trial;
-    TimePoint held_since;
+    TimePoint waiting_since;
   };
   using CallPointer = std::shared_ptr<Call>;
   struct Target {
@@ -78,40 +78,40 @@
   };
   struct Gateway {
     std::unique_ptr<QuarantineView> view;
-    bool is_cut = false;
+    bool is_disconnected = false;
     // When a fault of it last ended.
-    TimePoint disturbed_at;
+    TimePoint last_fault_ended_at;
   };
 
   void At(TimePoint at, std::function<void()> event);
   void After(Duration delay, std::function<void()> event);
   Duration Delay();
-  bool Strikes(double per_second, Duration step);
+  bool Occurs(double per_second, Duration step);
 
-  void Arrive(const RequestFingerprint& request, bool ends_targets);
+  void Arrive(const RequestFingerprint& request, bool terminates_targets);
   void Try(const CallPointer& call);
-  void AskLeave(const CallPointer& call, const Judgement& judgement);
+  void RequestPermission(const CallPointer& call, const Judgement& judgement);
   void OnDenied(const CallPointer& call);
   void Send(const CallPointer& call);
-  void EndTarget(std::size_t target);
+  void TerminateTarget(std::size_t target);
   bool IsRunning(std::size_t target,
                  std::uint64_t incarnation,
                  std::uint64_t epoch) const;
   void BreakGroup();
-  void CutOff(const CallPointer& call);
+  void AbortCall(const CallPointer& call);
   void TryToForm();
-  void OnTargetEnded(const CallPointer& call, const TargetRun& run);
+  void OnTargetTerminated(const CallPointer& call, const TargetRun& run);
   void OnCompleted(const CallPointer& call);
   void Report(std::size_t gateway, const Observation& observation);
-  void TakeReport(std::size_t control, const Observation& observation);
-  void TellGateways(std::size_t control);
+  void ReceiveReport(std::size_t control, const Observation& observation);
+  void ReportToGateways(std::size_t control);
   void SaveRefusals(std::size_t control);
-  void TellGateway(std::size_t control, std::size_t gateway);
+  void ReportToGateway(std::size_t control, std::size_t gateway);
   void EndTrial(const CallPointer& call);
-  void StrikeFaults();
+  void InjectFaults();
   void RestartControl(std::size_t control);
   void RestartGateway(std::size_t gateway);
-  void Cut(std::size_t gateway);
+  void Disconnect(std::size_t gateway);
   void Traffic();
   void TickControls();
 
@@ -121,20 +121,21 @@
   TimePoint end_;
   TimePoint next_tick_;
   std::multimap<TimePoint, std::function<void()>> events_;
-  std::vector<std::unique_ptr<QuarantineBook>> controls_;
+  std::vector<std::unique_ptr<QuarantineRegistry>> controls_;
   // By control node: news on their way, and what was told last.
-  std::set<std::size_t> about_to_tell_;
-  std::map<std::size_t, TimePoint> told_at_;
+  std::set<std::size_t> pending_reports_;
+  std::map<std::size_t, TimePoint> last_reported_at_;
   // When one that has restarted tells gateways again.
-  std::map<std::size_t, TimePoint> settled_at_;
+  std::map<std::size_t, TimePoint> startup_ends_at_;
   std::vector<QuarantineRecord> saved_;
-  std::map<std::size_t, std::map<RequestFingerprint, Verdict>> held_;
+  std::map<std::size_t, std::map<RequestFingerprint, Verdict>>
+      last_urgent_verdicts_;
   std::vector<Gateway> gateways_;
   std::vector<Target> targets_;
   enum class GroupState { kOpen, kStalled, kBroken };
   GroupState group_ = GroupState::kOpen;
   std::uint64_t epoch_ = 0;
-  std::optional<TimePoint> third_end_;
+  std::optional<TimePoint> third_termination_at_;
   std::uint64_t next_id_ = 0;
   WorldResult result_;
 };
