--- a/src/libs/quarantine/quarantine_book.cc
+++ b/src/libs/quarantine/quarantine_registry.cc
@@ -1,4 +1,4 @@
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 
 #include <algorithm>
 
--- a/src/libs/quarantine/quarantine_book.h
+++ b/src/libs/quarantine/quarantine_registry.h
@@ -16,8 +16,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_QUARANTINE_QUARANTINE_BOOK_H_
-#define LIBS_QUARANTINE_QUARANTINE_BOOK_H_
+#ifndef LIBS_QUARANTINE_QUARANTINE_REGISTRY_H_
+#define LIBS_QUARANTINE_QUARANTINE_REGISTRY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -189,4 +189,4 @@
 
 }  // namespace bilberryspool::quarantine
 
-#endif  // LIBS_QUARANTINE_QUARANTINE_BOOK_H_
+#endif  // LIBS_QUARANTINE_QUARANTINE_REGISTRY_H_
--- a/src/libs/quarantine/quarantine_view.h
+++ b/src/libs/quarantine/quarantine_view.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "libs/base/time.h"
-#include "libs/quarantine/quarantine_book.h"
 #include "libs/quarantine/quarantine_record.h"
+#include "libs/quarantine/quarantine_registry.h"
 #include "libs/quarantine/recent_completions.h"
 
 namespace bilberryspool::quarantine {
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -11,7 +11,7 @@
 
 #include "libs/links/link_server.h"
 #include "libs/net/fiber_signal.h"
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 #include "libs/telemetry/line_budget.h"
 #include "libs/telemetry/log.h"
 
--- a/tests/auto/quarantine/quarantine_book_test.cc
+++ b/tests/auto/quarantine/quarantine_registry_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 
 namespace bilberryspool::quarantine {
 namespace {
--- a/tests/auto/quarantine/quarantine_world.h
+++ b/tests/auto/quarantine/quarantine_world.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "libs/base/random.h"
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 #include "libs/quarantine/quarantine_view.h"
 
 namespace bilberryspool::quarantine {
