--- a/src/libs/quarantine/quarantine_codec.h
+++ b/src/libs/quarantine/quarantine_codec.h
@@ -1,4 +1,5 @@
-// Records and observations as JSON, between gateways and control nodes.
+// JSON encoding of quarantine records and observations, exchanged between
+// gateways and control nodes.
 
 #ifndef LIBS_QUARANTINE_QUARANTINE_CODEC_H_
 #define LIBS_QUARANTINE_QUARANTINE_CODEC_H_
@@ -14,7 +15,7 @@
 boost::json::value ToJson(const std::vector<QuarantineRecord>& records);
 boost::json::value ToJson(const std::vector<Observation>& observations);
 
-// Nothing where `json` is not what ToJson makes.
+// Nothing if `json` doesn't have the form that ToJson() writes.
 std::optional<std::vector<QuarantineRecord>> RecordsFromJson(
     const boost::json::value& json);
 std::optional<std::vector<Observation>> ObservationsFromJson(
--- a/src/libs/quarantine/quarantine_record.h
+++ b/src/libs/quarantine/quarantine_record.h
@@ -1,4 +1,5 @@
-// What gateways and control nodes tell each other of requests that end targets.
+// Messages between gateways and control nodes about requests that terminate
+// targets.
 
 #ifndef LIBS_QUARANTINE_QUARANTINE_RECORD_H_
 #define LIBS_QUARANTINE_QUARANTINE_RECORD_H_
@@ -14,32 +15,32 @@
 
 namespace bilberryspool::quarantine {
 
-// How a request may be sent, in the order of strictness.
+// How a request may be sent, in order of increasing strictness.
 enum class Verdict {
   kFree,
-  kOneAtATime,  // one run in the whole deployment, by leave of a control node
+  kOneAtATime,  // one run in the whole deployment, permitted by a control node
   kRefused,
 };
 
-// A request that one target at least has ended under.
+// State of a request during which at least one target has terminated.
 struct QuarantineRecord {
   RequestFingerprint request;
   ServiceId service;
   Verdict verdict = Verdict::kFree;
-  // Terminations that count, see QuarantineRegistry.
+  // Number of terminations that count, see QuarantineRegistry.
   std::uint32_t terminations = 0;
-  // Since the first of them.
+  // Time since the first of them.
   Duration since{};
-  // Until it may be tried again; zero where it may be now.
+  // Time until it may be tried again; zero if it may be tried now.
   Duration remaining{};
 };
 
-// A gateway's observations, each with its age.
+// Observations of a gateway, each with its age.
 struct TerminationObserved {
   RequestFingerprint request;
   ServiceId service;
   TargetRun run;
-  // The run had leave to be the only one of its request.
+  // Whether the run was permitted as the sole run of its request.
   bool was_permitted = false;
   Duration age{};
 };
@@ -47,12 +48,12 @@
   RequestFingerprint request;
   Duration age{};
 };
-// The one run that `asker` was allowed is over, whatever its outcome.
+// The single run permitted to `requester` is over, whatever its outcome.
 struct TrialOver {
   RequestFingerprint request;
   std::string requester;
 };
-// An operator lets the request pass.
+// An operator released the request from quarantine.
 struct ReleaseOrdered {
   RequestFingerprint request;
   Duration age{};
--- a/src/libs/quarantine/quarantine_registry.cc
+++ b/src/libs/quarantine/quarantine_registry.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// More ends of one request add nothing to what is decided.
+// Further terminations of one request don't change any decision.
 constexpr std::size_t kMaxTerminationsKept = 16;
 constexpr std::uint32_t kMaxDoublings = 16;
 
@@ -47,7 +47,7 @@
   known->second.was_permitted =
       known->second.was_permitted || end.was_permitted;
   if (CountTerminations(entry) == counted && !is_new_sole_run) {
-    // Kept, more ends of one cause would take the room of others.
+    // If kept, terminations of one cause would fill the limited space.
     if (is_new) {
       entry.terminations.erase(known);
     }
@@ -240,7 +240,8 @@
   return found->second.last_termination;
 }
 
-// An only run counts for itself, others by cause.
+// A sole run counts individually; other runs are counted up to a maximum per
+// window of common cause.
 std::uint32_t QuarantineRegistry::CountTerminations(const Entry& entry) const {
   std::uint32_t count = 0;
   std::vector<TimePoint> moments;
@@ -266,8 +267,8 @@
   return std::max(count, entry.adopted_terminations);
 }
 
-// Targets under a popular request may end again and again for other reasons;
-// only runs that end their targets tell of the request.
+// Targets that run a popular request may terminate again and again for other
+// reasons. Only terminations of its sole runs are evidence against the request.
 bool QuarantineRegistry::IsRefusalJustified(const RequestFingerprint& request,
                                             const Entry& entry) const {
   const std::uint32_t terminations = CountTerminations(entry);
--- a/src/libs/quarantine/quarantine_registry.h
+++ b/src/libs/quarantine/quarantine_registry.h
@@ -1,18 +1,20 @@
-// Which requests end the targets that run them.
+// Detects requests that terminate the targets that run them.
 //
-// Such a request takes every target that it is sent to, and with one rank all
-// others of its group. A target carries other requests when it ends, which are
-// no cause of it, and targets end for other reasons. Only runs tell them apart:
-// the request that ends its targets never completes, and ends one each time.
+// Such a request takes down every target that it is sent to and, if the target
+// is a rank, all other ranks of its group. A target also runs other requests
+// when it terminates, and targets terminate for other reasons. Only the history
+// of runs tells the requests apart: a harmful request never completes, and each
+// of its runs terminates a target.
 //
-// A request that a target ended under therefore runs one at a time in the whole
-// deployment, until it completes, or has ended too many and some of them as its
-// only run. Of the requests that were at a target when it ended, the one with
-// the most ends is to blame for it. Then it is refused for a while, longer each
-// time, and tried
-// again by a single run. A completion of the same request, at any gateway,
-// clears it, also of what comes soon after: a popular request runs at many
-// targets when they end for another reason.
+// Therefore, once a target has terminated while running a request, the request
+// runs one at a time in the whole deployment. This lasts until the request
+// completes, or until enough of its runs were terminated, some of them while
+// being its sole run. Of the requests that ran at a target when it terminated,
+// the one with the most terminations is taken as the cause. It is then refused
+// for a period that doubles each time, and tried again by a single run. A
+// completion of the same request at any gateway clears it, and also clears
+// terminations that follow soon after: a popular request runs at many targets
+// when these terminate for another reason.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -35,43 +37,51 @@
 namespace bilberryspool::quarantine {
 
 struct QuarantineOptions {
-  // Terminations after which a request is refused.
+  // Number of terminations after which a request is refused.
   std::uint32_t terminations_to_refuse = 3;
-  // So many of them by a run that had leave: where targets end by the second,
-  // one such run may end with its target by chance.
+  // Minimum number of these that hit a permitted (sole) run. Where targets
+  // terminate every second, one sole run may be hit by chance.
   std::uint32_t sole_run_terminations_to_refuse = 2;
-  // Targets that end within this time may do so for one cause, such as a rack
-  // without power, which says less of each request that was there.
+  // Targets that terminate within this time may share one cause, such as a rack
+  // without power, which says less about each request that ran there. No more
+  // than `max_counted_per_cause` terminations are counted per such window.
   Duration common_cause_window = Seconds(1);
   std::uint32_t max_counted_per_cause = 2;
-  // While so many other targets end for no known cause, an only run ends with
-  // its target by chance. Then more of them are needed.
+  // If at least this number of other targets terminate around the same time for
+  // no known cause, a sole run may be hit by chance. More terminated sole runs
+  // are then required.
   std::uint32_t many_concurrent_terminations = 3;
   std::uint32_t sole_run_terminations_to_refuse_if_many = 3;
-  // A completion clears of ends up to so much later.
+  // A completion also clears terminations up to this much later.
   Duration completion_grace_period = Seconds(20);
-  // What else was at the same targets is reported within this time.
+  // A refusal starts after this delay, within which gateways report the other
+  // requests that ran at the same targets.
   Duration decision_delay = Milliseconds(100);
-  // The first refusal and the longest; each is twice as long as the last.
+  // Duration of the first refusal, and the maximum; each one is twice as long
+  // as the previous one.
   Duration first_quarantine = Seconds(120);
   Duration max_quarantine = Seconds(3600);
-  // A run that was allowed counts as under way for so long at most.
+  // A permitted run is assumed to be over after this time at the latest.
   Duration max_trial = Seconds(10);
-  // Without a further end a request is forgotten after this time.
+  // Entries are erased this long after the last termination, refusal or
+  // clearance.
   Duration retention = Seconds(600);
-  // Bounds memory; those that are not refused go first, oldest end first.
+  // Bounds memory. Requests that are not refused are evicted first, in the
+  // order of their last termination.
   std::size_t max_entries = 4096;
-  // Terminations of targets for which it is known what was there.
+  // Number of terminated targets whose requests are remembered.
   std::size_t max_terminated_runs = 1024;
-  // Most that are told to gateways; those that are refused come first.
+  // Maximum number of records reported to gateways; refused requests come
+  // first.
   std::size_t max_reported = 256;
-  // Of those that are not refused. Where a rack of targets ends, hundreds of
-  // requests are under suspicion that hardly any gateway will see again.
+  // Maximum number of reported records of requests that are not refused. When a
+  // rack of targets terminates, hundreds of requests become suspects that
+  // hardly any gateway will see again.
   std::size_t max_reported_not_refused = 32;
 };
 
-// Of what is told, the part that gateways must not learn late: requests with
-// more than one end, and those that are refused.
+// The part of `records` that gateways must learn without delay: requests with
+// more than one termination, and refused requests.
 std::map<RequestFingerprint, Verdict> UrgentVerdicts(
     const std::vector<QuarantineRecord>& records);
 
@@ -79,39 +89,42 @@
  public:
   explicit QuarantineRegistry(QuarantineOptions options) : options_(options) {}
 
-  // A target ended while it ran the request. RecordsToReport by several
-  // gateways, or twice by one, it counts once. Returns whether that changed the
-  // verdict.
+  // A target terminated while running the request. Reports of the same run from
+  // several gateways, or repeated ones, count once. Returns whether the verdict
+  // has changed.
   bool OnTermination(const TerminationObserved& end, TimePoint now);
-  // The request has had a whole answer from a target that went on.
+  // The request was answered completely by a target that continued to run.
+  // Returns whether the verdict has changed.
   bool OnCompleted(const CompletionObserved& completion, TimePoint now);
+  // Ends the permission, if the requester still holds it.
   void OnTrialOver(const TrialOver& over);
-  // What another control node holds against a request.
+  // Merges the record of another control node.
   void Adopt(const QuarantineRecord& record, TimePoint now);
-  // An operator lets the request pass; ends from now on count. False where
-  // nothing is held against it.
+  // An operator released the request; only terminations from now on count.
+  // Returns whether the verdict has changed; false for an unknown request.
   bool OnReleased(const ReleaseOrdered& release, TimePoint now);
-  // Forgets, and returns the requests that are refused from about now on.
+  // Erases old entries. Returns the requests whose refusal has started since
+  // the last call.
   std::vector<RequestFingerprint> Tick(TimePoint now);
 
   Verdict VerdictOf(const RequestFingerprint& request, TimePoint now) const;
-  // Whether `asker` may run the request now. While that run is under way no
-  // other is allowed; a request that was refused is so again unless it
-  // completes.
+  // Returns whether `requester` may run the request now. While a permitted run
+  // is in progress no other one is allowed. A request that was refused before
+  // is refused again from the start of this run, unless it completes.
   bool TryTrial(const RequestFingerprint& request,
                 const std::string& requester,
                 TimePoint now);
 
   std::optional<QuarantineRecord> RecordOf(const RequestFingerprint& request,
                                            TimePoint now) const;
-  // What gateways have to know, strictest first.
+  // The records to report to gateways, strictest first.
   std::vector<QuarantineRecord> RecordsToReport(TimePoint now) const;
-  // Grows with each change of RecordsToReport().
+  // Increases with each change of RecordsToReport().
   std::uint64_t revision() const { return revision_; }
   std::size_t size() const { return entries_.size(); }
-  // All ends that count, as they were observed.
+  // All counted terminations, as they were observed.
   std::vector<TerminationObserved> Terminations(TimePoint now) const;
-  // When the request last had an end; nothing where it had none.
+  // Time of the last termination; nothing if none is known.
   std::optional<TimePoint> LastTerminationOf(
       const RequestFingerprint& request) const;
 
@@ -123,18 +136,18 @@
       bool was_permitted = false;
     };
     std::map<TargetRun, End> terminations;
-    // What another node counted.
+    // Terminations counted by another control node.
     std::uint32_t adopted_terminations = 0;
     TimePoint first_termination;
     TimePoint last_termination;
-    // Terminations before this don't count.
+    // Terminations before this time don't count.
     TimePoint cleared_until;
     TimePoint refused_from;
     TimePoint refused_until;
-    // The refusal has begun, and is told.
+    // Whether Tick() has returned the request since its refusal started.
     bool is_refusal_reported = false;
     std::uint32_t quarantines = 0;
-    // The run that is allowed.
+    // Who holds the permission for a single run; empty if nobody does.
     std::string requester;
     TimePoint trial_until;
   };
@@ -142,47 +155,50 @@
       std::unordered_map<RequestFingerprint, Entry, RequestFingerprintHash>;
 
   std::uint32_t CountTerminations(const Entry& entry) const;
+  // Whether the terminations of the request suffice to refuse it.
   bool IsRefusalJustified(const RequestFingerprint& request,
                           const Entry& entry) const;
-  // Whether another request that was there has as many ends.
+  // Whether another request that ran at the same target has at least as many
+  // `terminations`.
   bool HasLikelierCause(const TargetRun& run,
                         const RequestFingerprint& request,
                         std::uint32_t terminations) const;
-  // Whether many other targets ended about then, at which the request was not
-  // and no other one ran alone.
+  // Whether many other targets terminated around the same time that did not run
+  // this request, and at which no request was the sole run.
   bool HadManyConcurrentTerminations(const TargetRun& run,
                                      const RequestFingerprint& request) const;
   void RecordTerminatedRun(const TerminationObserved& end, TimePoint at);
-  // Takes back refusals that rest on the end of a target for which another
-  // request turned out to be to blame.
+  // Withdraws first refusals that are no longer justified because another
+  // request at the same target turned out to be the likelier cause.
   void ReviewOtherRequestsAt(const TargetRun& run,
                              const RequestFingerprint& request);
-  // The same for refusals that have not begun: more ends of the same moment may
-  // have become known.
+  // Withdraws refusals that have not started yet if later reports show that
+  // they are not justified, such as more terminations at the same time.
   void ReviewUndecidedRefusals(TimePoint now);
   void WithdrawRefusal(Entry& entry);
   Verdict VerdictOf(const Entry& entry, TimePoint now) const;
   QuarantineRecord ToRecord(const RequestFingerprint& request,
                             const Entry& entry,
                             TimePoint now) const;
-  // Whether that changed the verdict.
+  // Returns whether the verdict has changed.
   bool Clear(Entry& entry, TimePoint until, TimePoint now);
   void Refuse(Entry& entry, TimePoint from);
+  // Evicts one entry if the maximum number is reached.
   void MakeRoom();
 
   QuarantineOptions options_;
   Entries entries_;
-  // What was at a target when it ended.
+  // The requests that ran at a target when it terminated.
   struct TerminatedTarget {
     std::set<RequestFingerprint> requests;
     TimePoint at;
-    // One of them was the only run of its request.
+    // Whether one of them was the sole run of its request.
     bool had_sole_run = false;
   };
   std::map<TargetRun, TerminatedTarget> terminated_targets_;
-  // The same by age.
+  // Keys of `terminated_targets_`, oldest first.
   std::deque<TargetRun> terminated_runs_by_age_;
-  // Refusals that have not begun.
+  // Requests whose refusal has not started yet.
   std::vector<RequestFingerprint> undecided_refusals_;
   std::uint64_t revision_ = 0;
 };
--- a/src/libs/quarantine/quarantine_view.cc
+++ b/src/libs/quarantine/quarantine_view.cc
@@ -78,7 +78,8 @@
   if (!does_own_count || !own.has_value()) {
     return strictest;
   }
-  // Control nodes know what completed elsewhere, so they decide on refusals.
+  // Control nodes know of completions at other gateways, so they decide on
+  // refusals.
   const Verdict verdict = is_connected
                               ? std::min(own->verdict, Verdict::kOneAtATime)
                               : own->verdict;
--- a/src/libs/quarantine/quarantine_view.h
+++ b/src/libs/quarantine/quarantine_view.h
@@ -1,5 +1,5 @@
-// What a gateway holds against requests: what control nodes tell, and what it
-// has seen itself.
+// A gateway's view of suspect and refused requests: what control nodes report,
+// combined with its own observations.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -20,21 +20,21 @@
 
 struct QuarantineViewOptions {
   QuarantineOptions own;
-  // What the gateway saw itself holds beside what control nodes tell until
-  // they must have heard of it.
+  // Own observations count for this long in addition to the reports of control
+  // nodes, which must have received them by then.
   Duration own_observation_lifetime = Seconds(2);
   std::size_t max_completions = 2048;
 };
 
-// The verdict, and what it rests on.
+// A verdict and the data that it is based on.
 struct Judgement {
   Verdict verdict = Verdict::kFree;
   std::uint32_t terminations = 0;
   Duration since{};
   Duration remaining{};
-  // The control node that told it; empty: seen by this gateway.
+  // The control node that reported it; empty if observed by this gateway.
   std::string source;
-  // Since the source told it.
+  // Time since the source reported it.
   Duration age{};
 };
 
@@ -45,25 +45,26 @@
         own_(options.own),
         completions_(options.max_completions) {}
 
-  // What the control node `source` tells; with `is_whole` all that it knows,
-  // and what it told before is forgotten. Returns the completions that clear
-  // requests of it, which the control nodes have to hear of.
+  // Merges a report of the control node `source`. If `is_whole`, the report is
+  // complete and replaces all earlier records of the source. Returns the
+  // completions that clear reported requests and that the control nodes have to
+  // be notified of.
   std::vector<CompletionObserved> Adopt(
       const std::string& source,
       const std::vector<QuarantineRecord>& records,
       bool is_whole,
       TimePoint now);
-  // What is told by nodes that can't be reached counts only where none can.
+  // Records of unreachable control nodes count only if none is reachable.
   void SetReachable(const std::string& source, bool is_reachable);
 
   void OnTermination(const TerminationObserved& end, TimePoint now) {
     own_.OnTermination(end, now);
   }
-  // Returns whether it clears the request of something.
+  // Returns whether the completion clears a known record of the request.
   bool OnCompleted(const RequestFingerprint& request, TimePoint now);
 
   Judgement Judge(const RequestFingerprint& request, TimePoint now) const;
-  // Leave to run the request where no control node can be asked.
+  // Permits a single run where no control node is reachable.
   bool TryTrial(const RequestFingerprint& request,
                 const std::string& requester,
                 TimePoint now) {
@@ -71,7 +72,7 @@
   }
   void OnTrialOver(const TrialOver& over) { own_.OnTrialOver(over); }
   void Tick(TimePoint now) { own_.Tick(now); }
-  // What this gateway has seen, for a control node that has started anew.
+  // Own observations, for a control node that has restarted.
   std::vector<TerminationObserved> OwnTerminations(TimePoint now) const {
     return own_.Terminations(now);
   }
--- a/src/libs/quarantine/recent_completions.h
+++ b/src/libs/quarantine/recent_completions.h
@@ -1,4 +1,5 @@
-// The requests that lately had a whole answer from a target that went on.
+// The requests that were recently answered completely by a target that
+// continued to run.
 //
 // Pure: events and `now` in, answers out.
 
@@ -18,11 +19,11 @@
 
 class RecentCompletions {
  public:
-  // Keeps the `capacity` newest requests.
+  // Keeps the `capacity` most recent requests.
   explicit RecentCompletions(std::size_t capacity) : capacity_(capacity) {}
 
   void Note(const RequestFingerprint& request, TimePoint now);
-  // When it last completed, where that is known.
+  // Time of the last completion, if known.
   std::optional<TimePoint> Find(const RequestFingerprint& request) const;
 
  private:
--- a/src/libs/quarantine/request_fingerprint.cc
+++ b/src/libs/quarantine/request_fingerprint.cc
@@ -30,7 +30,8 @@
   return half;
 }
 
-// Each part after its length, so that no two lists of parts are the same bytes.
+// Hashes each part after its length, so that different lists of parts never
+// give the same bytes.
 void Add(crypto_generichash_state& state, std::string_view part) {
   const std::uint64_t length = part.size();
   crypto_generichash_update(
--- a/src/libs/quarantine/request_fingerprint.h
+++ b/src/libs/quarantine/request_fingerprint.h
@@ -1,7 +1,8 @@
-// Which requests are the same request.
+// Identifies repetitions of the same request.
 //
-// A caller that repeats a request gives it a new id each time, at any entry.
-// What stays is who calls, what is called, and the body; nothing else counts.
+// A caller that repeats a request gives it a new id each time and may use any
+// entry. The caller, the request target and the body stay the same; nothing
+// else is compared.
 
 #ifndef LIBS_QUARANTINE_REQUEST_FINGERPRINT_H_
 #define LIBS_QUARANTINE_REQUEST_FINGERPRINT_H_
@@ -17,7 +18,7 @@
 
 namespace bilberryspool::quarantine {
 
-// What makes two requests the same one.
+// The parts of a request that identify it.
 struct RequestIdentity {
   Workspace workspace;  // empty: anonymous
   std::string_view method;
@@ -26,8 +27,8 @@
   std::string_view body;
 };
 
-// A cryptographic digest: nobody can make a request that is taken for another
-// one's.
+// A cryptographic digest, so that nobody can create a request with the
+// fingerprint of another one.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -36,7 +37,7 @@
 
   // 32 hexadecimal digits.
   std::string ToText() const;
-  // Nothing where `text` is not what ToText() makes.
+  // Nothing if `text` doesn't have the form that ToText() writes.
   static std::optional<RequestFingerprint> FromText(std::string_view text);
 };
 
--- a/tests/auto/quarantine/quarantine_codec_test.cc
+++ b/tests/auto/quarantine/quarantine_codec_test.cc
@@ -9,7 +9,7 @@
 namespace bilberryspool::quarantine {
 namespace {
 
-TEST_CASE("records and observations are read back as they were written") {
+TEST_CASE("records and observations survive a round trip through JSON") {
   QuarantineRecord record;
   record.request = {7, 8};
   record.service = ServiceId("model");
@@ -37,7 +37,7 @@
         boost::json::serialize(ToJson(observations)));
 }
 
-TEST_CASE("what is no record or observation is not read") {
+TEST_CASE("malformed records and observations are rejected") {
   for (const char* text :
        {"{}", "[1]", "[{}]", R"([{"kind":"end","request":"7"}])",
         R"([{"request":"00000000000000070000000000000008","verdict":"x"}])"}) {
--- a/tests/auto/quarantine/quarantine_random_test.cc
+++ b/tests/auto/quarantine/quarantine_random_test.cc
@@ -1,4 +1,4 @@
-// Many gateways, control nodes and targets over many seeds.
+// Simulates many gateways, control nodes and targets over many seeds.
 
 #include <doctest/doctest.h>
 
@@ -84,8 +84,9 @@
   return cases;
 }
 
-// Guards against a request that ends targets being sent on after the third,
-// whichever gateways it comes to, and against refusing what ran beside it.
+// Guards against sending a request on after it has terminated three targets,
+// whichever gateways receive it, and against refusing requests that ran beside
+// it.
 TEST_CASE("a request that ends targets is stopped, and no other one") {
   for (const Case& one : Cases()) {
     CAPTURE(one.name);
@@ -95,7 +96,7 @@
       CHECK(result.late_sends <= 3);
       CHECK(result.harmless_refused == 0);
       CHECK(result.harmless_served > 0);
-      // Waiting for a run elsewhere keeps few from being served.
+      // Waiting for a permission prevents few requests from being served.
       CHECK(result.harmless_held_back * 200 <= result.harmless_served);
     });
   }
--- a/tests/auto/quarantine/quarantine_registry_test.cc
+++ b/tests/auto/quarantine/quarantine_registry_test.cc
@@ -15,7 +15,7 @@
   return TimePoint{} + Seconds(1000) + since;
 }
 
-// The first of a request is no only run, those that follow are.
+// Target 0 terminates a run that was not the sole one, the others sole runs.
 TerminationObserved TerminationOf(
     std::int64_t target,
     const RequestFingerprint& request = kRequest) {
@@ -27,7 +27,7 @@
   return end;
 }
 
-// Three ends, each 5 s after the other.
+// Three terminations at intervals of 5 s.
 QuarantineRegistry RegistryWithRefusal() {
   QuarantineRegistry registry{QuarantineOptions{}};
   for (std::int64_t i = 0; i < 3; ++i) {
@@ -35,10 +35,11 @@
   }
   return registry;
 }
-// A moment later what else was there would be known.
+// The decision delay of 100 ms after the third termination.
 constexpr Duration kRefusedAt = Seconds(10) + Milliseconds(100);
 
-TEST_CASE("a request runs one at a time after an end, and not after three") {
+TEST_CASE(
+    "a request runs one at a time after a termination, not at all after 3") {
   QuarantineRegistry registry{QuarantineOptions{}};
   CHECK(registry.VerdictOf(kRequest, TimeAt(Seconds(0))) == Verdict::kFree);
   CHECK(registry.OnTermination(TerminationOf(0), TimeAt(Seconds(0))));
@@ -53,7 +54,7 @@
   CHECK(registry.Tick(TimeAt(kRefusedAt)).empty());
 }
 
-TEST_CASE("an end that several gateways report counts once") {
+TEST_CASE("a termination that several gateways report counts once") {
   QuarantineRegistry registry{QuarantineOptions{}};
   for (std::int64_t i = 0; i < 5; ++i) {
     registry.OnTermination(TerminationOf(0), TimeAt(Seconds(2 * i)));
@@ -61,8 +62,8 @@
   CHECK(registry.RecordOf(kRequest, TimeAt(Seconds(9)))->terminations == 1);
 }
 
-// Guards against refusing a request for a rack that lost power under it.
-TEST_CASE("targets that end together count as two at most") {
+// Guards against refusing a request because a rack lost power while running it.
+TEST_CASE("targets that terminate together count as two at most") {
   QuarantineRegistry registry{QuarantineOptions{}};
   for (std::int64_t i = 0; i < 40; ++i) {
     TerminationObserved end = TerminationOf(i);
@@ -78,9 +79,11 @@
         Verdict::kRefused);
 }
 
-// Guards against refusing a popular request for the ends that another one
-// caused under it.
-TEST_CASE("of two requests at the same targets the one with more ends is it") {
+// Guards against refusing a popular request for terminations that another
+// request caused at the same targets.
+TEST_CASE(
+    "of two requests at the same targets the one with more terminations is "
+    "refused") {
   const RequestFingerprint other{2, 2};
   QuarantineRegistry registry{QuarantineOptions{}};
   const auto both = [&](std::int64_t target, Duration at) {
@@ -95,8 +98,8 @@
   CHECK(registry.VerdictOf(kRequest, TimeAt(Seconds(7))) == Verdict::kRefused);
 }
 
-// Guards against refusing a popular request where targets flap.
-TEST_CASE("ends beside other runs alone never refuse a request") {
+// Guards against refusing a popular request while targets restart repeatedly.
+TEST_CASE("terminations without sole runs never refuse a request") {
   QuarantineRegistry registry{QuarantineOptions{}};
   for (std::int64_t i = 0; i < 12; ++i) {
     TerminationObserved end = TerminationOf(i);
@@ -107,7 +110,7 @@
   }
 }
 
-TEST_CASE("one run is allowed until it is over") {
+TEST_CASE("only one run is permitted at a time") {
   QuarantineRegistry registry{QuarantineOptions{}};
   registry.OnTermination(TerminationOf(0), TimeAt(Seconds(0)));
   CHECK(registry.TryTrial(kRequest, "a", TimeAt(Seconds(1))));
@@ -116,12 +119,12 @@
   CHECK_FALSE(registry.TryTrial(kRequest, "b", TimeAt(Seconds(2))));
   registry.OnTrialOver({kRequest, "a"});
   CHECK(registry.TryTrial(kRequest, "b", TimeAt(Seconds(2))));
-  // One whose gateway has gone does not last.
+  // The permission of a gateway that has failed expires.
   CHECK(registry.TryTrial(kRequest, "c", TimeAt(Seconds(13))));
 }
 
-// Guards against a popular request being refused where many targets end.
-TEST_CASE("a completion clears a request, also of ends soon after it") {
+// Guards against refusing a popular request when many targets terminate.
+TEST_CASE("a completion clears a request, also of terminations soon after it") {
   QuarantineRegistry registry = RegistryWithRefusal();
   CHECK(registry.OnCompleted({kRequest, Duration::zero()},
                              TimeAt(kRefusedAt + Seconds(1))));
@@ -133,33 +136,34 @@
                                TimeAt(kRefusedAt + Seconds(22))));
 }
 
-TEST_CASE("an old completion does not clear a request of a later end") {
+TEST_CASE("an old completion does not clear later terminations") {
   QuarantineRegistry registry = RegistryWithRefusal();
   CHECK_FALSE(
       registry.OnCompleted({kRequest, Seconds(60)}, TimeAt(kRefusedAt)));
   CHECK(registry.VerdictOf(kRequest, TimeAt(kRefusedAt)) == Verdict::kRefused);
 }
 
-TEST_CASE("a quarantine ends by a single run, and the next is longer") {
+TEST_CASE("a quarantine ends with a single run, and the next one is longer") {
   QuarantineRegistry registry = RegistryWithRefusal();
   const TimePoint over = TimeAt(kRefusedAt + Seconds(120));
   CHECK_FALSE(registry.TryTrial(kRequest, "a", over - Seconds(1)));
   CHECK(registry.VerdictOf(kRequest, over) == Verdict::kOneAtATime);
   CHECK(registry.TryTrial(kRequest, "a", over));
-  // Refused again from the start of that run on.
+  // The request is refused again from the start of that run.
   CHECK(registry.VerdictOf(kRequest, over) == Verdict::kRefused);
   registry.OnTermination(TerminationOf(5), over + Milliseconds(100));
   CHECK(registry.RecordOf(kRequest, over)->remaining == Seconds(240));
   CHECK(registry.TryTrial(kRequest, "b", over + Seconds(241)));
 }
 
-TEST_CASE("an operator's release lets a request pass, and counts anew") {
+TEST_CASE("an operator's release clears a request, later terminations count") {
   QuarantineRegistry registry = RegistryWithRefusal();
   const TimePoint at = TimeAt(kRefusedAt + Seconds(2));
   CHECK(registry.OnReleased({kRequest, Duration::zero()}, at));
   CHECK(registry.VerdictOf(kRequest, at) == Verdict::kFree);
   CHECK_FALSE(registry.OnReleased({RequestFingerprint{9, 9}, {}}, at));
-  // Another node that has not heard of it must not bring it back.
+  // A control node that has not received the release must not restore the
+  // refusal.
   QuarantineRecord reported;
   reported.request = kRequest;
   reported.terminations = 3;
@@ -170,7 +174,7 @@
   CHECK(registry.OnTermination(TerminationOf(6), at + Seconds(2)));
 }
 
-TEST_CASE("a control node that starts anew takes over what another tells") {
+TEST_CASE("a restarted control node adopts the records of another one") {
   const QuarantineRegistry other = RegistryWithRefusal();
   const TimePoint at = TimeAt(kRefusedAt + Seconds(20));
   QuarantineRegistry registry{QuarantineOptions{}};
@@ -183,7 +187,7 @@
   CHECK(registry.VerdictOf(kRequest, at + Seconds(100)) == Verdict::kRefused);
 }
 
-TEST_CASE("a request is forgotten, a quarantined one later") {
+TEST_CASE("an old entry is erased, a quarantined one later") {
   QuarantineRegistry registry = RegistryWithRefusal();
   registry.OnTermination(TerminationOf(0, {5, 5}), TimeAt(kRefusedAt));
   registry.Tick(TimeAt(kRefusedAt + Seconds(602)));
@@ -192,8 +196,8 @@
   CHECK(registry.size() == 0);
 }
 
-// Guards against memory that grows with an attack of many such requests.
-TEST_CASE("the book stays within its bounds, and keeps what is refused") {
+// Guards against unbounded memory when an attacker sends many such requests.
+TEST_CASE("the registry stays within its bounds and keeps refused requests") {
   QuarantineOptions options;
   options.max_entries = 50;
   options.max_reported = 10;
@@ -213,8 +217,8 @@
   CHECK(reported.front().request == kRequest);
 }
 
-// Guards against refusing a popular request whose only runs ended by chance, in
-// a second in which a large part of all targets ended.
+// Guards against refusing a popular request whose sole runs were terminated by
+// chance, while a large part of all targets terminated within a second.
 TEST_CASE("an only run that ends among many other targets proves little") {
   for (const bool are_others_known_later : {false, true}) {
     CAPTURE(are_others_known_later);
@@ -242,8 +246,8 @@
   }
 }
 
-// Guards against a request that is never stopped since targets end all the
-// time.
+// Guards against a request that is never refused because other targets
+// terminate all the time.
 TEST_CASE("enough only runs that end are proof whatever else ends") {
   QuarantineRegistry registry{QuarantineOptions{}};
   for (std::int64_t i = 0; i < 6; ++i) {
@@ -259,7 +263,7 @@
   CHECK(registry.VerdictOf(kRequest, TimeAt(Seconds(2))) == Verdict::kRefused);
 }
 
-// Guards against two such requests that hide each other.
+// Guards against two such requests that hide each other as the likelier cause.
 TEST_CASE("two requests that end targets by turns are both refused") {
   QuarantineRegistry registry{QuarantineOptions{}};
   const RequestFingerprint other{2, 2};
--- a/tests/auto/quarantine/quarantine_view_test.cc
+++ b/tests/auto/quarantine/quarantine_view_test.cc
@@ -43,36 +43,39 @@
   CHECK(judgement.remaining == Seconds(59));
   view.SetReachable("b", false);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kOneAtATime);
-  // A gateway that is cut off goes by all that it was told.
+  // A gateway without a connection uses all reported records.
   view.SetReachable("a", false);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kRefused);
 }
 
-// Guards against a control node that starts anew taking back what it told.
-TEST_CASE("what is told in part leaves the rest as it was") {
+// Guards against a restarted control node that clears its earlier reports.
+TEST_CASE("a partial report keeps the other records of its source") {
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   view.Adopt("a", {}, false, kNow);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kRefused);
 }
 
-TEST_CASE("a quarantine ends without a word from the control node") {
+TEST_CASE("a quarantine expires without a report from the control node") {
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   CHECK(view.Judge(kRequest, kNow + Seconds(60)).verdict ==
         Verdict::kOneAtATime);
 }
 
-TEST_CASE("what is told replaces what was told before") {
+TEST_CASE("a complete report replaces the previous one") {
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", ReportWith(Verdict::kRefused, Seconds(60)), true, kNow);
   view.Adopt("a", {}, true, kNow);
   CHECK(view.Judge(kRequest, kNow).verdict == Verdict::kFree);
 }
 
-// Guards against sending a copy on before the control nodes have heard of an
-// end, and against a gateway that is cut off and never stops.
-TEST_CASE("what a gateway has seen itself counts until others know, or alone") {
+// Guards against sending the request again before the control nodes have
+// received a termination, and against a disconnected gateway that never refuses
+// it.
+TEST_CASE(
+    "own observations count until control nodes know them, or if none is "
+    "reachable") {
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", {}, true, kNow);
   for (std::int64_t i = 0; i < 3; ++i) {
@@ -85,7 +88,8 @@
   CHECK(view.Judge(kRequest, last + Seconds(3)).verdict == Verdict::kRefused);
 }
 
-TEST_CASE("a request that completed here is cleared, and the nodes are told") {
+TEST_CASE(
+    "a request that completed here is cleared, and the completion reported") {
   QuarantineView view{QuarantineViewOptions{}};
   CHECK_FALSE(view.OnCompleted(kRequest, kNow));
   const auto clearing = view.Adopt(
@@ -94,11 +98,11 @@
   CHECK(clearing.front().age == Seconds(2));
   CHECK(view.Judge(kRequest, kNow + Seconds(2)).verdict == Verdict::kFree);
   CHECK(view.OnCompleted(kRequest, kNow + Seconds(3)));
-  // What completed long ago says nothing.
+  // An old completion no longer counts.
   CHECK(view.Judge(kRequest, kNow + Seconds(24)).verdict == Verdict::kRefused);
 }
 
-TEST_CASE("only the newest completions are kept") {
+TEST_CASE("only the most recent completions are kept") {
   RecentCompletions completions(2);
   completions.Note({1, 1}, kNow);
   completions.Note({1, 2}, kNow);
--- a/tests/auto/quarantine/quarantine_world.cc
+++ b/tests/auto/quarantine/quarantine_world.cc
@@ -270,7 +270,7 @@
   TryToForm();
 }
 
-// No end: the target goes on.
+// Not a termination: the target continues to run.
 void QuarantineWorld::AbortCall(const CallPointer& call) {
   EndTrial(call);
   if (call->sends < kMaxSends) {
@@ -360,7 +360,7 @@
   }
 }
 
-// As the leader does, to the log.
+// Saves refusals as the leader does in the replicated log.
 void QuarantineWorld::SaveRefusals(std::size_t control) {
   std::vector<QuarantineRecord> refused;
   for (const QuarantineRecord& record :
@@ -374,8 +374,8 @@
   }
 }
 
-// As control nodes do: what is urgent goes out at once where nothing did a
-// moment before, the rest with the next answer to each gateway.
+// Reports as control nodes do: urgent changes go out at once unless a report
+// was sent just before; others go with the next answer to each gateway.
 void QuarantineWorld::ReportToGateways(std::size_t control) {
   if (!pending_reports_.insert(control).second) {
     return;
@@ -433,7 +433,8 @@
   }
 }
 
-// It has lost all it knew; gateways tell it again, and so do the others.
+// The control node has lost its state; gateways and other control nodes report
+// it again.
 void QuarantineWorld::RestartControl(std::size_t control) {
   controls_[control] =
       std::make_unique<QuarantineRegistry>(QuarantineOptions{});
--- a/tests/auto/quarantine/quarantine_world.h
+++ b/tests/auto/quarantine/quarantine_world.h
@@ -1,5 +1,6 @@
-// Gateways, control nodes and targets as pure machines, with a request that
-// ends each target that runs it, others that don't, and faults.
+// Simulates gateways, control nodes and targets on the pure state machines,
+// with a request that terminates each target that runs it, harmless requests,
+// and faults.
 
 #ifndef AUTO_QUARANTINE_QUARANTINE_WORLD_H_
 #define AUTO_QUARANTINE_QUARANTINE_WORLD_H_
@@ -23,33 +24,35 @@
   std::size_t gateways = 7;
   std::size_t controls = 3;
   std::size_t targets = 16;
-  // Requests a second, over all gateways.
+  // Requests per second over all gateways.
   double terminating_rate = 4.0;
   double unique_rate = 80.0;
   double popular_rate = 20.0;
-  // So many copies of the request that ends targets come at one moment.
+  // Copies of the terminating request that arrive at the same time.
   std::size_t burst = 1;
-  // Chances a second of each fault.
+  // Probability per second of each fault.
   double control_restarts = 0.0;
   double gateway_restarts = 0.0;
   double disconnects = 0.0;
-  // Most targets end at one moment, for another reason.
+  // Most targets terminate at the same time, for another reason.
   double mass_terminations = 0.0;
-  // The targets are ranks of one group: with one all stand still, cut off what
-  // they have a while later, and begin anew once all are back.
+  // The targets are ranks of one group: when one terminates, all are stalled,
+  // abort their calls after a while, and form again once all have restarted.
   bool is_group = false;
-  // Before anything ends.
+  // Time before the first termination.
   Duration quiet_start = Seconds(0);
   Duration length = Seconds(60);
   Duration target_restart = Seconds(3);
 };
 
 struct WorldResult {
-  // Targets that the request ended, and sends of it that reached a target
-  // later than the settling time after the third, from gateways in touch.
+  // Targets that the request terminated, and sends of it that reached a target
+  // later than the settling time after the third termination, from connected
+  // gateways.
   std::size_t terminations = 0;
   std::size_t late_sends = 0;
-  // Requests that end nothing and were refused for good.
+  // Harmless requests that were refused by a verdict, given up waiting for a
+  // permission, or served.
   std::size_t harmless_refused = 0;
   std::size_t harmless_held_back = 0;
   std::size_t harmless_served = 0;
@@ -79,7 +82,7 @@
   struct Gateway {
     std::unique_ptr<QuarantineView> view;
     bool is_disconnected = false;
-    // When a fault of it last ended.
+    // When the last fault of this gateway ended.
     TimePoint last_fault_ended_at;
   };
 
@@ -122,10 +125,11 @@
   TimePoint next_tick_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::vector<std::unique_ptr<QuarantineRegistry>> controls_;
-  // By control node: news on their way, and what was told last.
+  // By control node: reports that are scheduled, and time of the last report.
   std::set<std::size_t> pending_reports_;
   std::map<std::size_t, TimePoint> last_reported_at_;
-  // When one that has restarted tells gateways again.
+  // By control node: end of the startup after a restart, from which its reports
+  // are complete.
   std::map<std::size_t, TimePoint> startup_ends_at_;
   std::vector<QuarantineRecord> saved_;
   std::map<std::size_t, std::map<RequestFingerprint, Verdict>>
--- a/tests/auto/quarantine/request_fingerprint_test.cc
+++ b/tests/auto/quarantine/request_fingerprint_test.cc
@@ -12,14 +12,14 @@
   return {Workspace("w1"), "POST", "h.example", "/a/b?c", "body"};
 }
 
-TEST_CASE("each part of a request tells it from others") {
+TEST_CASE("each part of a request changes its fingerprint") {
   std::vector<RequestIdentity> others(6, Base());
   others[0].workspace = Workspace("w2");
   others[1].method = "PUT";
   others[2].host = "g.example";
   others[3].target = "/a/b?d";
   others[4].body = "body2";
-  // The same bytes, divided otherwise.
+  // The same bytes, divided differently between target and body.
   others[5].target = "/a/b?cbo";
   others[5].body = "dy";
   for (const RequestIdentity& other : others) {
@@ -28,7 +28,9 @@
   CHECK(FingerprintOf(Base()) == FingerprintOf(Base()));
 }
 
-TEST_CASE("a fingerprint is read back from its text, and nothing else is") {
+TEST_CASE(
+    "a fingerprint survives a round trip through text, other text is "
+    "rejected") {
   const RequestFingerprint fingerprint = FingerprintOf(Base());
   CHECK(fingerprint.ToText().size() == 32);
   CHECK(RequestFingerprint::FromText(fingerprint.ToText()) == fingerprint);
