--- a/src/libs/declared_limits/grant_planner.h
+++ b/src/libs/declared_limits/grant_planner.h
@@ -21,14 +21,14 @@
 
 struct GrantPlannerOptions {
   // What one question brings lasts so long.
-  Duration ahead = Milliseconds(250);
+  Duration lookahead = Milliseconds(250);
   // Between questions where there are targets without a limit.
-  Duration between_asides = Milliseconds(100);
+  Duration optional_request_interval = Milliseconds(100);
   // After an answer that there is nothing now. Bounds the questions of an
   // overloaded gateway.
-  Duration after_denial = Milliseconds(20);
+  Duration denial_backoff = Milliseconds(20);
   Duration rate_window = Seconds(1);
-  std::size_t max_remembered = 1000;
+  std::size_t max_recorded = 1000;
 };
 
 class GrantPlanner {
@@ -39,15 +39,15 @@
   void OnRequest(const ServiceId& service, TimePoint now);
   // For how many requests to ask now; nothing where it would be of no use.
   // `are_all_limited`: no target of the service is without a limit.
-  std::optional<std::uint32_t> Wanted(const ServiceId& service,
-                                      bool are_all_limited,
-                                      TimePoint now);
+  std::optional<std::uint32_t> GrantsToRequest(const ServiceId& service,
+                                               bool are_all_limited,
+                                               TimePoint now);
   void OnAnswer(const ServiceId& service, bool is_denied, TimePoint now);
 
  private:
   struct Service {
     std::deque<TimePoint> requests;
-    TimePoint asked_at;
+    TimePoint requested_at;
     TimePoint denied_at;
   };
 
--- a/src/libs/declared_limits/limit_accounts.cc
+++ b/src/libs/declared_limits/limit_accounts.cc
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr Duration kLongestWait = Seconds(24L * 3600);
+constexpr Duration kMaxWait = Seconds(24L * 3600);
 
 }  // namespace
 
-bool LimitAccounts::Hear(const TargetRun& run,
-                         std::optional<double> per_second,
-                         TimePoint now) {
-  const auto found = heard_.find(run.target);
-  const bool is_known = found != heard_.end();
+bool LimitAccounts::OnLimitReceived(const TargetRun& run,
+                                    std::optional<double> per_second,
+                                    TimePoint now) {
+  const auto found = received_limits_.find(run.target);
+  const bool is_known = found != received_limits_.end();
   const bool is_limited = accounts_.count(run.target) > 0;
   if (!per_second.has_value() && !is_known && !is_limited) {
     return false;
@@ -24,26 +24,26 @@
   if (is_late) {
     return false;
   }
-  const bool is_news = !is_known || found->second.per_second != per_second ||
-                       found->second.incarnation != run.incarnation;
-  heard_[run.target] = {run.incarnation, per_second, now};
-  if (is_news) {
+  const bool is_changed = !is_known || found->second.per_second != per_second ||
+                          found->second.incarnation != run.incarnation;
+  received_limits_[run.target] = {run.incarnation, per_second, now};
+  if (is_changed) {
     Review(run.target, now);
   }
-  return is_news;
+  return is_changed;
 }
 
 void LimitAccounts::Adopt(const std::string& source,
                           const std::vector<LimitShare>& shares,
                           TimePoint now) {
-  Source& told = sources_[source];
+  Source& reported = sources_[source];
   std::set<TargetId> changed;
-  for (const auto& [target, share] : told.shares) {
+  for (const auto& [target, share] : reported.shares) {
     changed.insert(target);
   }
-  told.shares.clear();
+  reported.shares.clear();
   for (const LimitShare& share : shares) {
-    told.shares.emplace(share.run.target, share);
+    reported.shares.emplace(share.run.target, share);
     changed.insert(share.run.target);
   }
   for (const TargetId& target : changed) {
@@ -65,15 +65,15 @@
 }
 
 void LimitAccounts::Tick(TimePoint now) {
-  std::vector<TargetId> forgotten;
-  std::erase_if(heard_, [&](const auto& item) {
-    const bool is_old = now - item.second.at > options_.memory;
+  std::vector<TargetId> erased;
+  std::erase_if(received_limits_, [&](const auto& item) {
+    const bool is_old = now - item.second.at > options_.retention;
     if (is_old) {
-      forgotten.push_back(item.first);
+      erased.push_back(item.first);
     }
     return is_old;
   });
-  for (const TargetId& target : forgotten) {
+  for (const TargetId& target : erased) {
     Review(target, now);
   }
 }
@@ -85,7 +85,7 @@
   for (const DeclaredLimit& target : asked) {
     const auto found = accounts_.find(target.run.target);
     if (found != accounts_.end()) {
-      found->second.free_at = now + answer.wait;
+      found->second.available_at = now + answer.wait;
     }
   }
   for (const Grant& grant : answer.grants) {
@@ -95,7 +95,7 @@
       continue;
     }
     found->second.granted.insert(found->second.granted.end(), grant.requests,
-                                 now + options_.grant_life);
+                                 now + options_.grant_lifetime);
   }
 }
 
@@ -132,12 +132,12 @@
   }
   if (has_granter_) {
     constexpr Duration kSoon = Milliseconds(1);
-    return std::max(account->free_at - now, kSoon);
+    return std::max(account->available_at - now, kSoon);
   }
   if (account->rate <= 0.0) {
-    return kLongestWait;
+    return kMaxWait;
   }
-  return std::min(account->bucket.WaitFor(1.0, now), kLongestWait);
+  return std::min(account->bucket.WaitFor(1.0, now), kMaxWait);
 }
 
 // Those granted last expire last.
@@ -153,10 +153,11 @@
 
 std::vector<LimitStatement> LimitAccounts::Statements(TimePoint now) const {
   std::vector<LimitStatement> statements;
-  for (const auto& [target, heard] : heard_) {
-    if (now - heard.at < options_.told_for) {
-      statements.push_back(
-          {{target, heard.incarnation}, heard.per_second, now - heard.at});
+  for (const auto& [target, received] : received_limits_) {
+    if (now - received.at < options_.report_period) {
+      statements.push_back({{target, received.incarnation},
+                            received.per_second,
+                            now - received.at});
     }
   }
   return statements;
@@ -206,30 +207,32 @@
 std::optional<LimitAccounts::Allowance> LimitAccounts::AllowanceOf(
     const TargetId& target) const {
   const auto share = SmallestShare(target);
-  const auto found = heard_.find(target);
-  const Heard* heard = found == heard_.end() ? nullptr : &found->second;
-  const bool is_told =
+  const auto found = received_limits_.find(target);
+  const ReceivedLimit* received =
+      found == received_limits_.end() ? nullptr : &found->second;
+  const bool is_reported =
       share.has_value() &&
-      (heard == nullptr || share->run.incarnation >= heard->incarnation);
-  if (is_told) {
+      (received == nullptr || share->run.incarnation >= received->incarnation);
+  if (is_reported) {
     Allowance allowance{share->run.incarnation, share->share,
                         share->per_second};
-    const bool has_lower =
-        heard != nullptr && heard->incarnation == share->run.incarnation &&
-        heard->per_second.has_value() && *heard->per_second < share->per_second;
+    const bool has_lower = received != nullptr &&
+                           received->incarnation == share->run.incarnation &&
+                           received->per_second.has_value() &&
+                           *received->per_second < share->per_second;
     if (has_lower) {
-      allowance.rate *= *heard->per_second / share->per_second;
-      allowance.limit = *heard->per_second;
+      allowance.rate *= *received->per_second / share->per_second;
+      allowance.limit = *received->per_second;
     }
     return allowance;
   }
-  if (heard == nullptr || !heard->per_second.has_value()) {
+  if (received == nullptr || !received->per_second.has_value()) {
     return std::nullopt;
   }
-  const auto sharers = std::max(gateways_, options_.least_sharers);
-  return Allowance{heard->incarnation,
-                   *heard->per_second / static_cast<double>(sharers),
-                   *heard->per_second};
+  const auto sharers = std::max(gateways_, options_.min_sharers);
+  return Allowance{received->incarnation,
+                   *received->per_second / static_cast<double>(sharers),
+                   *received->per_second};
 }
 
 void LimitAccounts::Review(const TargetId& target, TimePoint now) {
--- a/src/libs/declared_limits/limit_accounts.h
+++ b/src/libs/declared_limits/limit_accounts.h
@@ -23,15 +23,15 @@
 struct LimitAccountsOptions {
   // Until a control node has divided a limit that was heard here, as many
   // gateways are taken to share it as are known, and no fewer than this.
-  std::uint64_t least_sharers = 7;
+  std::uint64_t min_sharers = 7;
   // What is granted has to be used within this time.
-  Duration grant_life = Milliseconds(400);
+  Duration grant_lifetime = Milliseconds(400);
   // So many seconds of a share may be sent at once, beside one request.
   double burst_s = 0.5;
   // How long what was heard here is told to control nodes.
-  Duration told_for = Seconds(3);
+  Duration report_period = Seconds(3);
   // What was heard here counts for so long without a control node's word.
-  Duration memory = Seconds(60);
+  Duration retention = Seconds(60);
 };
 
 class LimitAccounts {
@@ -40,9 +40,9 @@
 
   // An answer of the target declared a limit, or none. Returns whether that is
   // news here.
-  bool Hear(const TargetRun& run,
-            std::optional<double> per_second,
-            TimePoint now);
+  bool OnLimitReceived(const TargetRun& run,
+                       std::optional<double> per_second,
+                       TimePoint now);
   // All shares that the control node `source` tells.
   void Adopt(const std::string& source,
              const std::vector<LimitShare>& shares,
@@ -61,7 +61,7 @@
                  const GrantAnswer& answer,
                  TimePoint now);
   // None answers: what may be sent is the share.
-  void OnNoGranter() { has_granter_ = false; }
+  void OnGranterUnavailable() { has_granter_ = false; }
   // What is gone by; nothing where the target declares no limit.
   std::optional<double> LimitOf(const TargetRun& run) const;
 
@@ -83,7 +83,7 @@
   double total_share() const;
 
  private:
-  struct Heard {
+  struct ReceivedLimit {
     Incarnation incarnation;
     std::optional<double> per_second;
     TimePoint at;
@@ -100,7 +100,7 @@
     // When each granted request expires.
     std::deque<TimePoint> granted;
     // When a control node said that there may be one.
-    TimePoint free_at;
+    TimePoint available_at;
   };
   struct Allowance {
     Incarnation incarnation;
@@ -117,7 +117,7 @@
   LimitAccountsOptions options_;
   std::uint64_t gateways_ = 0;
   bool has_granter_ = false;
-  std::map<TargetId, Heard> heard_;
+  std::map<TargetId, ReceivedLimit> received_limits_;
   std::map<std::string, Source> sources_;
   std::map<TargetId, Account> accounts_;
 };
--- a/src/libs/declared_limits/limit_book.h
+++ b/src/libs/declared_limits/limit_book.h
@@ -24,22 +24,22 @@
 
 namespace bilberryspool::declared_limits {
 
-struct LimitBookOptions {
+struct LimitRegistryOptions {
   // A limit that nobody has heard for so long is forgotten.
-  Duration memory = Seconds(600);
+  Duration retention = Seconds(600);
   // Gateways beside those that the limit itself would give one request a
   // second each.
-  double further_holders = 3.0;
+  double extra_holders = 3.0;
   // Requests a second that a target gets at least in all: only its answers
   // tell that it takes more again.
-  double least_per_second = 0.25;
+  double min_per_second = 0.25;
   // Bounds memory; what was heard longest ago goes first.
   std::size_t max_entries = 10'000;
 };
 
-class LimitBook {
+class LimitRegistry {
  public:
-  explicit LimitBook(LimitBookOptions options) : options_(options) {}
+  explicit LimitRegistry(LimitRegistryOptions options) : options_(options) {}
 
   // The newest statement on a target counts. Returns whether that changed its
   // limit.
@@ -63,7 +63,7 @@
     Incarnation incarnation;
     // Nothing: declares no limit.
     std::optional<double> per_second;
-    TimePoint heard_at;
+    TimePoint received_at;
     // Gateways that have a share.
     std::vector<std::string> holders;
   };
@@ -71,7 +71,7 @@
   void Divide(const TargetId& target, Entry& entry) const;
   void MakeRoom();
 
-  LimitBookOptions options_;
+  LimitRegistryOptions options_;
   std::vector<std::string> gateways_;
   std::map<TargetId, Entry> entries_;
   std::uint64_t revision_ = 0;
--- a/src/libs/declared_limits/limit_codec.cc
+++ b/src/libs/declared_limits/limit_codec.cc
@@ -151,11 +151,10 @@
       !is_first_choice.has_value()) {
     return std::nullopt;
   }
-  constexpr std::uint64_t kMostWanted = 10'000;
-  return GrantRequest{
-      std::move(*targets),
-      static_cast<std::uint32_t>(std::min(*wanted, kMostWanted)),
-      *is_first_choice};
+  constexpr std::uint64_t kMaxWanted = 10'000;
+  return GrantRequest{std::move(*targets),
+                      static_cast<std::uint32_t>(std::min(*wanted, kMaxWanted)),
+                      *is_first_choice};
 }
 
 std::optional<GrantAnswer> GrantAnswerFromJson(const json::value& value) {
--- a/src/libs/declared_limits/limit_granter.cc
+++ b/src/libs/declared_limits/limit_granter.cc
@@ -5,12 +5,13 @@
 namespace bilberryspool::declared_limits {
 
 GrantAnswer LimitGranter::Ask(const GrantRequest& request,
-                              const LimitBook& book,
+                              const LimitRegistry& registry,
                               TimePoint now) {
   std::vector<Account*> accounts;
   std::vector<Grant> grants;
   for (const DeclaredLimit& target : request.targets) {
-    Account* account = AccountOf(target, request.is_first_choice, book, now);
+    Account* account =
+        AccountOf(target, request.is_first_choice, registry, now);
     if (account != nullptr) {
       accounts.push_back(account);
       grants.push_back({target.run, 0});
@@ -33,14 +34,14 @@
   GrantAnswer answer{std::move(grants), Duration::zero()};
   if (answer.grants.empty()) {
     ++denied_;
-    answer.wait = SpeakFor(accounts, now);
+    answer.wait = ReserveNext(accounts, now);
   }
   return answer;
 }
 
 void LimitGranter::Tick(TimePoint now) {
   std::erase_if(accounts_, [&](const auto& item) {
-    return now - item.second.asked_at > options_.memory;
+    return now - item.second.last_asked_at > options_.retention;
   });
 }
 
@@ -48,12 +49,12 @@
 // lower: it may have heard a change first.
 LimitGranter::Account* LimitGranter::AccountOf(const DeclaredLimit& target,
                                                bool is_first_choice,
-                                               const LimitBook& book,
+                                               const LimitRegistry& registry,
                                                TimePoint now) {
-  const double known = book.LimitOf(target.run).value_or(target.per_second);
-  const double part = is_first_choice ? 1.0 : options_.second_choice;
+  const double known = registry.LimitOf(target.run).value_or(target.per_second);
+  const double part = is_first_choice ? 1.0 : options_.second_choice_part;
   const double rate = part * std::max(std::min(known, target.per_second),
-                                      options_.least_per_second);
+                                      options_.min_per_second);
   const double burst =
       std::max(1.0, part * options_.burst + rate * options_.burst_s);
   const Key key{target.run, is_first_choice};
@@ -64,7 +65,7 @@
       account.rate = rate;
       account.bucket.Configure(rate, burst, now);
     }
-    account.asked_at = now;
+    account.last_asked_at = now;
     return &account;
   }
   if (accounts_.size() >= options_.max_accounts) {
@@ -77,23 +78,23 @@
 }
 
 // The account that is free first; it is spoken for until one request later.
-Duration LimitGranter::SpeakFor(const std::vector<Account*>& accounts,
-                                TimePoint now) {
+Duration LimitGranter::ReserveNext(const std::vector<Account*>& accounts,
+                                   TimePoint now) {
   Account* soonest = nullptr;
   TimePoint soonest_at;
   for (Account* account : accounts) {
-    const TimePoint free_at = std::max(now + account->bucket.WaitFor(1.0, now),
-                                       account->spoken_until);
-    if (soonest == nullptr || free_at < soonest_at) {
+    const TimePoint available_at = std::max(
+        now + account->bucket.WaitFor(1.0, now), account->reserved_until);
+    if (soonest == nullptr || available_at < soonest_at) {
       soonest = account;
-      soonest_at = free_at;
+      soonest_at = available_at;
     }
   }
   if (soonest == nullptr) {
     return Seconds(1);
   }
   constexpr double kMicrosecondsPerSecond = 1e6;
-  soonest->spoken_until =
+  soonest->reserved_until =
       soonest_at + Microseconds(static_cast<std::int64_t>(
                        kMicrosecondsPerSecond / soonest->rate));
   return soonest_at - now;
--- a/src/libs/declared_limits/limit_granter.h
+++ b/src/libs/declared_limits/limit_granter.h
@@ -54,12 +54,12 @@
   double burst = 3.0;
   double burst_s = 0.5;
   // Part of a limit that is granted to those whose first choice is another.
-  double second_choice = 0.25;
+  double second_choice_part = 0.25;
   // Requests a second that a target gets at least: only its answers tell that
   // it takes more again.
-  double least_per_second = 0.25;
+  double min_per_second = 0.25;
   // An account that nobody has asked of for so long is forgotten.
-  Duration memory = Seconds(60);
+  Duration retention = Seconds(60);
   std::size_t max_accounts = 20'000;
 };
 
@@ -68,7 +68,7 @@
   explicit LimitGranter(LimitGranterOptions options) : options_(options) {}
 
   GrantAnswer Ask(const GrantRequest& request,
-                  const LimitBook& book,
+                  const LimitRegistry& registry,
                   TimePoint now);
   void Tick(TimePoint now);
 
@@ -80,18 +80,18 @@
   struct Account {
     double rate = 0.0;
     limits::TokenBucket bucket;
-    TimePoint asked_at;
+    TimePoint last_asked_at;
     // Until then it is spoken for by callers that were told to come back.
-    TimePoint spoken_until;
+    TimePoint reserved_until;
   };
   using Key = std::pair<TargetRun, bool>;  // the run, whether first choice
 
   Account* AccountOf(const DeclaredLimit& target,
                      bool is_first_choice,
-                     const LimitBook& book,
+                     const LimitRegistry& registry,
                      TimePoint now);
-  static Duration SpeakFor(const std::vector<Account*>& accounts,
-                           TimePoint now);
+  static Duration ReserveNext(const std::vector<Account*>& accounts,
+                              TimePoint now);
 
   LimitGranterOptions options_;
   std::map<Key, Account> accounts_;
--- a/src/plugins/control_node/limit_keeper.cc
+++ b/src/plugins/control_node/limit_keeper.cc
@@ -19,7 +19,7 @@
     : changed_(changed),
       log_("limits"),
       lines_(kMostLinesASecond),
-      book_(declared_limits::LimitBookOptions{}),
+      book_(declared_limits::LimitRegistryOptions{}),
       granter_(declared_limits::LimitGranterOptions{}) {}
 
 void LimitKeeper::Register(links::LinkServer& server) {
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -35,7 +35,7 @@
   // To be called a few times a second.
   void Tick(TimePoint now);
 
-  const declared_limits::LimitBook& book() const { return book_; }
+  const declared_limits::LimitRegistry& book() const { return book_; }
   const declared_limits::LimitGranter& granter() const { return granter_; }
   // Changes a few times a second at most, some time after the book does.
   std::uint64_t told_revision() const { return told_revision_; }
@@ -47,7 +47,7 @@
   net::FiberSignal& changed_;
   telemetry::Logger log_;
   telemetry::LineBudget lines_;
-  declared_limits::LimitBook book_;
+  declared_limits::LimitRegistry book_;
   declared_limits::LimitGranter granter_;
   std::uint64_t told_revision_ = 0;
   TimePoint told_at_;
--- a/src/plugins/gateway/limit_grants.cc
+++ b/src/plugins/gateway/limit_grants.cc
@@ -20,8 +20,8 @@
       return;
     }
   }
-  const auto wanted =
-      planner_.Wanted(service, /*are_all_limited=*/limited.are_all, now);
+  const auto wanted = planner_.GrantsToRequest(
+      service, /*are_all_limited=*/limited.are_all, now);
   if (!wanted.has_value()) {
     return;
   }
@@ -33,7 +33,7 @@
                           ? declared_limits::GrantAnswerFromJson(*json)
                           : std::nullopt;
   if (!answer.has_value()) {
-    targets_.limits().OnNoGranter();
+    targets_.limits().OnGranterUnavailable();
     return;
   }
   const TimePoint answered = SteadyNow();
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -37,7 +37,7 @@
       return;
     }
   }
-  const bool is_news = state_.targets.limits().Hear(
+  const bool is_news = state_.targets.limits().OnLimitReceived(
       {choice.target, choice.incarnation}, limit, SteadyNow());
   if (is_news) {
     state_.log.Info("A target's limit changed.",
--- a/tests/auto/declared_limits/limit_accounts_test.cc
+++ b/tests/auto/declared_limits/limit_accounts_test.cc
@@ -28,7 +28,7 @@
 
 TEST_CASE("a target without a limit takes what comes") {
   LimitAccounts accounts{LimitAccountsOptions{}};
-  CHECK_FALSE(accounts.Hear(kRun, std::nullopt, kNow));
+  CHECK_FALSE(accounts.OnLimitReceived(kRun, std::nullopt, kNow));
   CHECK_FALSE(accounts.IsLimited(kRun));
   CHECK(SentIn(accounts, kNow, Seconds(1)) == 100);
 }
@@ -58,8 +58,8 @@
 TEST_CASE("before a control node has divided it, a limit is one of many's") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.SetGateways(40);
-  CHECK(accounts.Hear(kRun, 4.0, kNow));
-  CHECK_FALSE(accounts.Hear(kRun, 4.0, kNow));
+  CHECK(accounts.OnLimitReceived(kRun, 4.0, kNow));
+  CHECK_FALSE(accounts.OnLimitReceived(kRun, 4.0, kNow));
   CHECK(accounts.total_share() == doctest::Approx(0.1));
   REQUIRE(accounts.Statements(kNow).size() == 1);
   CHECK(accounts.Statements(kNow + Seconds(3)).empty());
@@ -70,9 +70,9 @@
 TEST_CASE("a limit that is heard to fall counts at once, one to rise later") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(8.0, 2.0), kNow);
-  accounts.Hear(kRun, 2.0, kNow);
+  accounts.OnLimitReceived(kRun, 2.0, kNow);
   CHECK(accounts.total_share() == doctest::Approx(0.5));
-  accounts.Hear(kRun, 16.0, kNow);
+  accounts.OnLimitReceived(kRun, 16.0, kNow);
   CHECK(accounts.total_share() == doctest::Approx(2.0));
 }
 
@@ -82,14 +82,14 @@
   const TargetRun next{kRun.target, Incarnation(2)};
   CHECK_FALSE(accounts.IsLimited(next));
   CHECK(accounts.MayTake(next, kNow));
-  accounts.Hear(next, 3.0, kNow);
+  accounts.OnLimitReceived(next, 3.0, kNow);
   CHECK(accounts.IsLimited(next));
 }
 
 TEST_CASE("a limit ends with the control nodes' word") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(1.0, 0.5), kNow);
-  accounts.Hear(kRun, std::nullopt, kNow);
+  accounts.OnLimitReceived(kRun, std::nullopt, kNow);
   CHECK(accounts.IsLimited(kRun));
   CHECK(accounts.Statements(kNow).size() == 1);
   accounts.Adopt("a", {}, kNow);
--- a/tests/auto/declared_limits/limit_book_test.cc
+++ b/tests/auto/declared_limits/limit_book_test.cc
@@ -19,18 +19,18 @@
   return names;
 }
 
-LimitStatement Says(std::optional<double> per_second,
-                    Duration age = Duration::zero(),
-                    std::uint64_t incarnation = 1) {
+LimitStatement StatementOf(std::optional<double> per_second,
+                           Duration age = Duration::zero(),
+                           std::uint64_t incarnation = 1) {
   return {{TargetId("t"), Incarnation(incarnation)}, per_second, age};
 }
 
 // What all gateways together may send, and how many of them may.
-std::pair<double, int> SumOf(const LimitBook& book, int gateways) {
+std::pair<double, int> SumOf(const LimitRegistry& registry, int gateways) {
   double sum = 0.0;
   int holders = 0;
   for (const std::string& name : Gateways(gateways)) {
-    for (const LimitShare& share : book.SharesOf(name)) {
+    for (const LimitShare& share : registry.SharesOf(name)) {
       sum += share.share;
       holders += share.share > 0.0 ? 1 : 0;
     }
@@ -53,10 +53,10 @@
                                            {1, 0.5, 1}}) {
     CAPTURE(one.gateways);
     CAPTURE(one.limit);
-    LimitBook book{LimitBookOptions{}};
-    book.SetGateways(Gateways(one.gateways));
-    CHECK(book.Note(Says(one.limit), kNow));
-    const auto [sum, holders] = SumOf(book, one.gateways);
+    LimitRegistry registry{LimitRegistryOptions{}};
+    registry.SetGateways(Gateways(one.gateways));
+    CHECK(registry.Note(StatementOf(one.limit), kNow));
+    const auto [sum, holders] = SumOf(registry, one.gateways);
     CHECK(sum == doctest::Approx(one.limit));
     CHECK(holders == one.holders);
   }
@@ -65,59 +65,59 @@
 // Guards against a target that is never heard again: only answers tell that it
 // takes more.
 TEST_CASE("a limit of nothing leaves a request now and then") {
-  LimitBook book{LimitBookOptions{}};
-  book.SetGateways(Gateways(7));
-  book.Note(Says(0.0), kNow);
-  CHECK(SumOf(book, 7).first == doctest::Approx(0.25));
+  LimitRegistry registry{LimitRegistryOptions{}};
+  registry.SetGateways(Gateways(7));
+  registry.Note(StatementOf(0.0), kNow);
+  CHECK(SumOf(registry, 7).first == doctest::Approx(0.25));
 }
 
 TEST_CASE("the newest statement counts, whoever brings it") {
-  LimitBook book{LimitBookOptions{}};
-  book.SetGateways(Gateways(7));
-  CHECK(book.Note(Says(2.0), kNow));
-  CHECK_FALSE(book.Note(Says(9.0, Seconds(2)), kNow + Seconds(1)));
-  CHECK(book.Note(Says(3.0), kNow + Seconds(1)));
-  CHECK(SumOf(book, 7).first == doctest::Approx(3.0));
-  CHECK(book.Note(Says(std::nullopt), kNow + Seconds(2)));
-  CHECK(book.size() == 0);
-  CHECK(book.SharesOf("g0").empty());
+  LimitRegistry registry{LimitRegistryOptions{}};
+  registry.SetGateways(Gateways(7));
+  CHECK(registry.Note(StatementOf(2.0), kNow));
+  CHECK_FALSE(registry.Note(StatementOf(9.0, Seconds(2)), kNow + Seconds(1)));
+  CHECK(registry.Note(StatementOf(3.0), kNow + Seconds(1)));
+  CHECK(SumOf(registry, 7).first == doctest::Approx(3.0));
+  CHECK(registry.Note(StatementOf(std::nullopt), kNow + Seconds(2)));
+  CHECK(registry.size() == 0);
+  CHECK(registry.SharesOf("g0").empty());
   // One that was on its way does not bring it back.
-  CHECK_FALSE(book.Note(Says(3.0, Seconds(2)), kNow + Seconds(3)));
+  CHECK_FALSE(registry.Note(StatementOf(3.0, Seconds(2)), kNow + Seconds(3)));
 }
 
 TEST_CASE("a restarted target has said nothing yet") {
-  LimitBook book{LimitBookOptions{}};
-  book.SetGateways(Gateways(7));
-  book.Note(Says(2.0), kNow);
-  CHECK(book.Note(Says(std::nullopt, Milliseconds(1), 2), kNow));
-  CHECK(book.size() == 0);
+  LimitRegistry registry{LimitRegistryOptions{}};
+  registry.SetGateways(Gateways(7));
+  registry.Note(StatementOf(2.0), kNow);
+  CHECK(registry.Note(StatementOf(std::nullopt, Milliseconds(1), 2), kNow));
+  CHECK(registry.size() == 0);
 }
 
 TEST_CASE("a limit is divided anew where gateways come or go") {
-  LimitBook book{LimitBookOptions{}};
-  book.SetGateways(Gateways(7));
-  book.Note(Says(1.0), kNow);
-  const std::uint64_t before = book.revision();
-  book.SetGateways(Gateways(7));
-  CHECK(book.revision() == before);
-  book.SetGateways(Gateways(2));
-  CHECK(book.revision() > before);
-  CHECK(SumOf(book, 2).first == doctest::Approx(1.0));
+  LimitRegistry registry{LimitRegistryOptions{}};
+  registry.SetGateways(Gateways(7));
+  registry.Note(StatementOf(1.0), kNow);
+  const std::uint64_t before = registry.revision();
+  registry.SetGateways(Gateways(7));
+  CHECK(registry.revision() == before);
+  registry.SetGateways(Gateways(2));
+  CHECK(registry.revision() > before);
+  CHECK(SumOf(registry, 2).first == doctest::Approx(1.0));
 }
 
 TEST_CASE("the book stays within its bounds") {
-  LimitBookOptions options;
+  LimitRegistryOptions options;
   options.max_entries = 10;
-  LimitBook book(options);
-  book.SetGateways(Gateways(2));
+  LimitRegistry registry(options);
+  registry.SetGateways(Gateways(2));
   for (int i = 0; i < 100; ++i) {
-    LimitStatement statement = Says(1.0);
+    LimitStatement statement = StatementOf(1.0);
     statement.run.target = TargetId("t" + std::to_string(i));
-    book.Note(statement, kNow + Milliseconds(i));
+    registry.Note(statement, kNow + Milliseconds(i));
   }
-  CHECK(book.size() == 10);
-  book.Tick(kNow + Seconds(601));
-  CHECK(book.size() == 0);
+  CHECK(registry.size() == 10);
+  registry.Tick(kNow + Seconds(601));
+  CHECK(registry.size() == 0);
 }
 
 }  // namespace
--- a/tests/auto/declared_limits/limit_granter_test.cc
+++ b/tests/auto/declared_limits/limit_granter_test.cc
@@ -39,22 +39,22 @@
   return count;
 }
 
-class Granting {
+class GranterFixture {
  public:
   std::uint32_t Ask(const GrantRequest& request, Duration at) {
-    return Count(granter.Ask(request, book, kStart + at));
+    return Count(granter.Ask(request, registry, kStart + at));
   }
 
-  LimitBook book{LimitBookOptions{}};
+  LimitRegistry registry{LimitRegistryOptions{}};
   LimitGranter granter{LimitGranterOptions{}};
 };
 
 // Guards against a limit that is granted whole to each of several askers.
 TEST_CASE("what is granted in all keeps to the limit") {
-  Granting granting;
+  GranterFixture fixture;
   std::uint32_t granted = 0;
   for (int i = 0; i < 1000; ++i) {
-    granted += granting.Ask(RequestFor(1, 5.0, 3), Milliseconds(10L * i));
+    granted += fixture.Ask(RequestFor(1, 5.0, 3), Milliseconds(10L * i));
   }
   CHECK(granted >= 49);
   CHECK(granted <= 50);
@@ -62,23 +62,23 @@
 
 // Guards against two nodes that each grant the whole limit.
 TEST_CASE("a node that is no first choice grants a part of the limit") {
-  Granting granting;
+  GranterFixture fixture;
   GrantRequest request = RequestFor(1, 5.0, 3);
   request.is_first_choice = false;
   std::uint32_t granted = 0;
   for (int i = 0; i < 1000; ++i) {
-    granted += granting.Ask(request, Milliseconds(10L * i));
+    granted += fixture.Ask(request, Milliseconds(10L * i));
   }
   CHECK(granted <= 13);
   CHECK(granted >= 11);
 }
 
 TEST_CASE("grants come from the targets that have most left") {
-  Granting granting;
+  GranterFixture fixture;
   const GrantRequest request = RequestFor(3, 2.0, 3);
-  CHECK(granting.Ask(request, Seconds(0)) == 0);
+  CHECK(fixture.Ask(request, Seconds(0)) == 0);
   const GrantAnswer answer =
-      granting.granter.Ask(request, granting.book, kStart + Seconds(1));
+      fixture.granter.Ask(request, fixture.registry, kStart + Seconds(1));
   REQUIRE(answer.grants.size() == 3);
   for (const Grant& grant : answer.grants) {
     CHECK(grant.requests == 1);
@@ -86,26 +86,26 @@
 }
 
 TEST_CASE("a limit that was lowered holds at once, whoever heard of it") {
-  Granting granting;
-  granting.Ask(RequestFor(1, 50.0, 1), Seconds(0));
-  granting.book.Note({RunOf(0), 1.0, Duration::zero()}, kStart);
+  GranterFixture fixture;
+  fixture.Ask(RequestFor(1, 50.0, 1), Seconds(0));
+  fixture.registry.Note({RunOf(0), 1.0, Duration::zero()}, kStart);
   std::uint32_t granted = 0;
   for (int i = 1; i <= 100; ++i) {
-    granted += granting.Ask(RequestFor(1, 50.0, 10), Milliseconds(100L * i));
+    granted += fixture.Ask(RequestFor(1, 50.0, 10), Milliseconds(100L * i));
   }
   CHECK(granted <= 14);
   // An asker that has heard of a lower one first.
-  CHECK(granting.Ask(RequestFor(1, 0.5, 10), Seconds(11)) <= 1);
+  CHECK(fixture.Ask(RequestFor(1, 0.5, 10), Seconds(11)) <= 1);
 }
 
 // Guards against callers that are all told to come back for one request.
 TEST_CASE("those who get nothing are told different times") {
-  Granting granting;
+  GranterFixture fixture;
   const GrantRequest request = RequestFor(1, 2.0, 1);
   Duration last{};
   for (int i = 0; i < 4; ++i) {
     const GrantAnswer answer =
-        granting.granter.Ask(request, granting.book, kStart);
+        fixture.granter.Ask(request, fixture.registry, kStart);
     REQUIRE(answer.grants.empty());
     CHECK(answer.wait > last);
     last = answer.wait;
@@ -117,8 +117,8 @@
   LimitGranterOptions options;
   options.max_accounts = 2;
   LimitGranter granter(options);
-  const LimitBook book{LimitBookOptions{}};
-  granter.Ask(RequestFor(3, 1.0, 1), book, kStart);
+  const LimitRegistry registry{LimitRegistryOptions{}};
+  granter.Ask(RequestFor(3, 1.0, 1), registry, kStart);
   CHECK(granter.size() == 2);
   granter.Tick(kStart + Seconds(59));
   CHECK(granter.size() == 2);
@@ -128,7 +128,7 @@
 
 TEST_CASE("a grant may be used once, and for a while") {
   LimitAccounts accounts{LimitAccountsOptions{}};
-  accounts.Hear(RunOf(0), 1.0, kStart);
+  accounts.OnLimitReceived(RunOf(0), 1.0, kStart);
   const std::vector<DeclaredLimit> asked{{RunOf(0), 1.0}};
   accounts.OnGranted(asked, {{{RunOf(0), 2}}, Duration::zero()}, kStart);
   CHECK(accounts.MayTake(RunOf(0), kStart));
@@ -141,32 +141,35 @@
 
 TEST_CASE("without a grant a caller is told what the control node said") {
   LimitAccounts accounts{LimitAccountsOptions{}};
-  accounts.Hear(RunOf(0), 1.0, kStart);
+  accounts.OnLimitReceived(RunOf(0), 1.0, kStart);
   accounts.OnGranted({{RunOf(0), 1.0}}, {{}, Milliseconds(700)}, kStart);
   CHECK(accounts.WaitFor(RunOf(0), kStart) == Milliseconds(700));
   // No node answers any more: its share counts.
-  accounts.OnNoGranter();
+  accounts.OnGranterUnavailable();
   CHECK(accounts.MayTake(RunOf(0), kStart + Seconds(30)));
 }
 
 // Guards against a gateway that asks for each of thousands of callers.
 TEST_CASE("a gateway asks for what the next quarter of a second needs") {
   GrantPlanner planner{GrantPlannerOptions{}};
-  CHECK(planner.Wanted(kService, true, kStart) == 1);
+  CHECK(planner.GrantsToRequest(kService, true, kStart) == 1);
   for (int i = 0; i < 100; ++i) {
     planner.OnRequest(kService, kStart + Milliseconds(10L * i));
   }
-  CHECK(planner.Wanted(kService, true, kStart + Seconds(1)) == 26);
+  CHECK(planner.GrantsToRequest(kService, true, kStart + Seconds(1)) == 26);
 }
 
 TEST_CASE("after a denial, and beside others, a gateway asks less often") {
   GrantPlanner planner{GrantPlannerOptions{}};
   planner.OnAnswer(kService, /*is_denied=*/true, kStart);
-  CHECK_FALSE(planner.Wanted(kService, true, kStart).has_value());
-  CHECK(planner.Wanted(kService, true, kStart + Milliseconds(20)).has_value());
+  CHECK_FALSE(planner.GrantsToRequest(kService, true, kStart).has_value());
+  CHECK(planner.GrantsToRequest(kService, true, kStart + Milliseconds(20))
+            .has_value());
   CHECK_FALSE(
-      planner.Wanted(kService, false, kStart + Milliseconds(60)).has_value());
-  CHECK(planner.Wanted(kService, false, kStart + Milliseconds(130)) == 1);
+      planner.GrantsToRequest(kService, false, kStart + Milliseconds(60))
+          .has_value());
+  CHECK(planner.GrantsToRequest(kService, false, kStart + Milliseconds(130)) ==
+        1);
 }
 
 TEST_CASE("questions and answers are read back, others are refused") {
@@ -180,10 +183,10 @@
   CHECK(read->wanted == 7);
   CHECK_FALSE(read->is_first_choice);
   const GrantAnswer answer{{{RunOf(1), 3}}, Milliseconds(20)};
-  const auto told = GrantAnswerFromJson(ToJson(answer));
-  REQUIRE(told.has_value());
-  CHECK(Count(*told) == 3);
-  CHECK(told->wait == Milliseconds(20));
+  const auto reported = GrantAnswerFromJson(ToJson(answer));
+  REQUIRE(reported.has_value());
+  CHECK(Count(*reported) == 3);
+  CHECK(reported->wait == Milliseconds(20));
   for (const char* text : {"1", "{}", R"({"targets":1})", R"({"grants":[1]})",
                            R"({"targets":[{"target":"t"}],"wanted":1})"}) {
     CAPTURE(text);
--- a/tests/auto/declared_limits/limit_random_test.cc
+++ b/tests/auto/declared_limits/limit_random_test.cc
@@ -28,7 +28,7 @@
       ForEachSeed(gateways < 100 ? 6 : 2, [&](std::uint64_t seed) {
         CAPTURE(seed);
         const LimitWorldResult result = LimitWorld(options, seed).Run();
-        CHECK(result.most_over <= 0.0);
+        CHECK(result.max_excess <= 0.0);
         CHECK(result.used > 0.6);
       });
     }
@@ -53,7 +53,7 @@
         CAPTURE(seed);
         const LimitWorldResult result = LimitWorld(options, seed).Run();
         CHECK(result.refused < 0.005);
-        CHECK(result.most_over <= 0.0);
+        CHECK(result.max_excess <= 0.0);
       });
     }
   }
@@ -78,7 +78,7 @@
             CAPTURE(seed);
             const LimitWorldResult result = LimitWorld(options, seed).Run();
             CHECK(result.used >= 0.9);
-            CHECK(result.most_over <= 0.0);
+            CHECK(result.max_excess <= 0.0);
           });
         }
       }
@@ -97,7 +97,7 @@
     CAPTURE(seed);
     const LimitWorldResult result = LimitWorld(options, seed).Run();
     CHECK(result.used >= 0.9);
-    CHECK(result.most_over <= 0.0);
+    CHECK(result.max_excess <= 0.0);
   });
 }
 
@@ -122,9 +122,9 @@
   add("control nodes restart",
       [](LimitWorldOptions& options) { options.control_restarts = 0.3; });
   add("gateways are cut off",
-      [](LimitWorldOptions& options) { options.cuts = 0.2; });
+      [](LimitWorldOptions& options) { options.disconnects = 0.2; });
   add("questions for grants are lost", [](LimitWorldOptions& options) {
-    options.lost_questions = 0.3;
+    options.lost_grant_requests = 0.3;
     options.targets = 3;
   });
   add("all of it, 40 gateways", [](LimitWorldOptions& options) {
@@ -132,8 +132,8 @@
     options.changes = 3.0;
     options.gateway_restarts = 0.2;
     options.control_restarts = 0.1;
-    options.cuts = 0.2;
-    options.lost_questions = 0.1;
+    options.disconnects = 0.2;
+    options.lost_grant_requests = 0.1;
   });
   return cases;
 }
@@ -143,7 +143,7 @@
     CAPTURE(one.name);
     ForEachSeed(20, [&](std::uint64_t seed) {
       CAPTURE(seed);
-      CHECK(LimitWorld(one.options, seed).Run().most_over <= 0.0);
+      CHECK(LimitWorld(one.options, seed).Run().max_excess <= 0.0);
     });
   }
 }
--- a/tests/auto/declared_limits/limit_world.cc
+++ b/tests/auto/declared_limits/limit_world.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr Duration kStep = Milliseconds(10);
-constexpr Duration kSettling = Seconds(3);
-constexpr Duration kUntilCounted = Milliseconds(500);
+constexpr Duration kSettlingTime = Seconds(3);
+constexpr Duration kReportDelay = Milliseconds(500);
 constexpr Duration kWindow = Seconds(4);
-constexpr Duration kLongestWatch = Seconds(1);
-constexpr Duration kBetweenNews = Milliseconds(250);
+constexpr Duration kMaxWatch = Seconds(1);
+constexpr Duration kMinUpdateInterval = Milliseconds(250);
 constexpr Duration kWatchPoll = Milliseconds(10);
-constexpr Duration kUnlimited = Seconds(3);
-constexpr Duration kAskPatience = Milliseconds(200);
+constexpr Duration kUnlimitedTime = Seconds(3);
+constexpr Duration kGrantTimeout = Milliseconds(200);
 const ServiceId kService("model");
 
 }  // namespace
@@ -29,7 +29,7 @@
       gateways_(options.gateways) {
   for (std::size_t i = 0; i < options_.controls; ++i) {
     controls_.push_back(std::make_unique<Control>());
-    NameGateways(i);
+    SetGatewayNames(i);
   }
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     gateways_[i].accounts =
@@ -41,7 +41,7 @@
       Watch(i, control);
     }
   }
-  declared_.push_back({begin_ + kUnlimited, options_.limit});
+  declared_.push_back({begin_ + kUnlimitedTime, options_.limit});
 }
 
 LimitWorldResult LimitWorld::Run() {
@@ -64,7 +64,7 @@
   return random_.Between(Milliseconds(1), Milliseconds(10));
 }
 
-bool LimitWorld::Strikes(double per_second) {
+bool LimitWorld::Occurs(double per_second) {
   return random_.Chance(per_second * ToSeconds(kStep));
 }
 
@@ -72,14 +72,14 @@
   return "gateway-" + std::to_string(gateway);
 }
 
-void LimitWorld::NameGateways(std::size_t control) {
+void LimitWorld::SetGatewayNames(std::size_t control) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
-    if (!gateways_[i].is_cut) {
+    if (!gateways_[i].is_disconnected) {
       names.push_back(NameOf(i));
     }
   }
-  controls_[control]->book.SetGateways(names);
+  controls_[control]->registry.SetGateways(names);
 }
 
 void LimitWorld::Traffic() {
@@ -90,13 +90,13 @@
     const bool is_first = random_.Chance(options_.skew);
     Arrive(is_first ? 0 : random_.Below(gateways_.size()));
   }
-  if (options_.changes > 1.0 && Strikes(0.15)) {
+  if (options_.changes > 1.0 && Occurs(0.15)) {
     const double factor = 1.0 + random_.Fraction() * (options_.changes - 1.0);
     const double last = declared_.back().per_second;
     declared_.push_back(
         {now_, random_.Chance(0.5) ? last * factor : last / factor});
   }
-  StrikeFaults();
+  InjectFaults();
   After(kStep, [this] { Traffic(); });
 }
 
@@ -115,10 +115,10 @@
   if (is_any_limited) {
     gateway.planner->OnRequest(kService, now_);
   }
-  const auto wanted =
-      !is_any_limited || has_grant
-          ? std::nullopt
-          : gateway.planner->Wanted(kService, !options_.has_others, now_);
+  const auto wanted = !is_any_limited || has_grant
+                          ? std::nullopt
+                          : gateway.planner->GrantsToRequest(
+                                kService, !options_.has_others, now_);
   if (!wanted.has_value()) {
     Choose(number);
     return;
@@ -130,28 +130,28 @@
   Gateway& gateway = gateways_[number];
   GrantRequest request;
   request.wanted = wanted;
-  request.is_first_choice = !random_.Chance(options_.lost_questions);
+  request.is_first_choice = !random_.Chance(options_.lost_grant_requests);
   for (std::size_t target = 0; target < options_.targets; ++target) {
     if (const auto limit = gateway.accounts->LimitOf(RunOf(target))) {
       request.targets.push_back({RunOf(target), *limit});
     }
   }
   const std::size_t control = request.is_first_choice ? 0 : 1;
-  const Duration way = request.is_first_choice ? Delay() : kAskPatience;
+  const Duration way = request.is_first_choice ? Delay() : kGrantTimeout;
   After(way, [=, this] {
-    const bool is_answered = !gateways_[number].is_cut;
+    const bool is_answered = !gateways_[number].is_disconnected;
     GrantAnswer answer;
     if (is_answered) {
       Control& asked = *controls_[control];
-      answer = asked.granter.Ask(request, asked.book, now_);
+      answer = asked.granter.Ask(request, asked.registry, now_);
     }
     After(Delay(), [=, this] {
-      Gateway& asker = gateways_[number];
+      Gateway& requester = gateways_[number];
       if (is_answered) {
-        asker.planner->OnAnswer(kService, answer.grants.empty(), now_);
-        asker.accounts->OnGranted(request.targets, answer, now_);
+        requester.planner->OnAnswer(kService, answer.grants.empty(), now_);
+        requester.accounts->OnGranted(request.targets, answer, now_);
       } else {
-        asker.accounts->OnNoGranter();
+        requester.accounts->OnGranterUnavailable();
       }
       Choose(number);
     });
@@ -165,7 +165,7 @@
       may_take.push_back(target);
     }
   }
-  const bool is_judged = now_ >= declared_.front().from + kSettling;
+  const bool is_judged = now_ >= declared_.front().from + kSettlingTime;
   requests_ += is_judged ? 1.0 : 0.0;
   if (may_take.empty()) {
     refused_ += is_judged ? 1.0 : 0.0;
@@ -178,10 +178,10 @@
   Gateway& gateway = gateways_[number];
   const TargetRun run = RunOf(target);
   gateway.accounts->Take(run, now_);
-  const bool counts = gateway.passed_on_at.has_value() &&
-                      now_ - *gateway.passed_on_at >= kUntilCounted &&
-                      !gateway.is_cut &&
-                      now_ - gateway.disturbed_at > kSettling;
+  const bool counts = gateway.limit_received_at.has_value() &&
+                      now_ - *gateway.limit_received_at >= kReportDelay &&
+                      !gateway.is_disconnected &&
+                      now_ - gateway.last_fault_ended_at > kSettlingTime;
   arrivals_.push_back({now_, target, counts});
   After(Delay(), [this, number, run] {
     std::optional<double> limit;
@@ -189,10 +189,10 @@
       limit = now_ >= declared.from ? declared.per_second : limit;
     }
     After(Delay(), [this, number, run, limit] {
-      Gateway& heard = gateways_[number];
-      heard.accounts->Hear(run, limit, now_);
-      if (limit.has_value() && !heard.passed_on_at.has_value()) {
-        heard.passed_on_at = now_;
+      Gateway& received = gateways_[number];
+      received.accounts->OnLimitReceived(run, limit, now_);
+      if (limit.has_value() && !received.limit_received_at.has_value()) {
+        received.limit_received_at = now_;
       }
     });
   });
@@ -201,37 +201,38 @@
 void LimitWorld::Watch(std::size_t number, std::size_t control) {
   Gateway& gateway = gateways_[number];
   const std::string source = "control-" + std::to_string(control);
-  gateway.accounts->SetReachable(source, !gateway.is_cut, now_);
-  if (gateway.is_cut) {
+  gateway.accounts->SetReachable(source, !gateway.is_disconnected, now_);
+  if (gateway.is_disconnected) {
     After(Milliseconds(150), [=, this] { Watch(number, control); });
     return;
   }
   const auto statements = gateway.accounts->Statements(now_);
   After(Delay(), [this, number, control, statements] {
     for (const LimitStatement& statement : statements) {
-      controls_[control]->book.Note(statement, now_);
+      controls_[control]->registry.Note(statement, now_);
     }
-    Answer(number, control, now_ + kLongestWatch);
+    Answer(number, control, now_ + kMaxWatch);
   });
 }
 
 void LimitWorld::Answer(std::size_t number,
                         std::size_t control,
                         TimePoint limit) {
-  const LimitBook& book = controls_[control]->book;
-  const bool has_news = gateways_[number].revisions[control] != book.revision();
+  const LimitRegistry& registry = controls_[control]->registry;
+  const bool has_update =
+      gateways_[number].revisions[control] != registry.revision();
   // News are gathered for a moment.
   const TimePoint until =
-      has_news ? limit - kLongestWatch + kBetweenNews : limit;
+      has_update ? limit - kMaxWatch + kMinUpdateInterval : limit;
   if (now_ < until) {
     After(kWatchPoll, [=, this] { Answer(number, control, limit); });
     return;
   }
-  const std::uint64_t revision = book.revision();
-  const auto shares = book.SharesOf(NameOf(number));
+  const std::uint64_t revision = registry.revision();
+  const auto shares = registry.SharesOf(NameOf(number));
   After(Delay(), [=, this] {
     Gateway& gateway = gateways_[number];
-    if (!gateway.is_cut) {
+    if (!gateway.is_disconnected) {
       gateway.revisions[control] = revision;
       gateway.accounts->Adopt("control-" + std::to_string(control), shares,
                               now_);
@@ -240,36 +241,36 @@
   });
 }
 
-void LimitWorld::StrikeFaults() {
-  if (Strikes(options_.gateway_restarts)) {
+void LimitWorld::InjectFaults() {
+  if (Occurs(options_.gateway_restarts)) {
     Gateway& gateway = gateways_[random_.Below(gateways_.size())];
     gateway.accounts = std::make_unique<LimitAccounts>(LimitAccountsOptions{});
     gateway.accounts->SetGateways(gateways_.size());
     gateway.planner = std::make_unique<GrantPlanner>(GrantPlannerOptions{});
     gateway.revisions.clear();
-    gateway.passed_on_at.reset();
-    gateway.disturbed_at = now_;
+    gateway.limit_received_at.reset();
+    gateway.last_fault_ended_at = now_;
   }
-  if (Strikes(options_.control_restarts)) {
+  if (Occurs(options_.control_restarts)) {
     const std::size_t control = random_.Below(controls_.size());
     controls_[control] = std::make_unique<Control>();
-    NameGateways(control);
+    SetGatewayNames(control);
     for (Gateway& gateway : gateways_) {
       gateway.revisions[control] = 0;
     }
   }
-  if (Strikes(options_.cuts)) {
+  if (Occurs(options_.disconnects)) {
     const std::size_t number = random_.Below(gateways_.size());
-    gateways_[number].is_cut = true;
+    gateways_[number].is_disconnected = true;
     const auto name_all = [this] {
       for (std::size_t i = 0; i < controls_.size(); ++i) {
-        NameGateways(i);
+        SetGatewayNames(i);
       }
     };
     After(Seconds(5), name_all);
     After(Seconds(8), [this, number, name_all] {
-      gateways_[number].is_cut = false;
-      gateways_[number].disturbed_at = now_;
+      gateways_[number].is_disconnected = false;
+      gateways_[number].last_fault_ended_at = now_;
       name_all();
     });
   }
@@ -279,7 +280,7 @@
 // does the one from before it until gateways can have heard.
 LimitWorldResult LimitWorld::Judge() const {
   LimitWorldResult result;
-  const TimePoint from = declared_.front().from + kSettling;
+  const TimePoint from = declared_.front().from + kSettlingTime;
   double used = 0.0;
   for (std::size_t i = 0; i < arrivals_.size(); ++i) {
     const TimePoint start = arrivals_[i].at;
@@ -289,8 +290,9 @@
     }
     double limit = 0.0;
     for (std::size_t k = 0; k < declared_.size(); ++k) {
-      const TimePoint until =
-          k + 1 < declared_.size() ? declared_[k + 1].from + kSettling : end_;
+      const TimePoint until = k + 1 < declared_.size()
+                                  ? declared_[k + 1].from + kSettlingTime
+                                  : end_;
       const bool is_in_window =
           declared_[k].from < start + kWindow && until > start;
       limit = std::max(limit, is_in_window ? declared_[k].per_second : 0.0);
@@ -302,7 +304,7 @@
       count += is_there && arrivals_[k].counts ? 1.0 : 0.0;
     }
     const double allowed = 1.5 * limit * ToSeconds(kWindow) + 5.0;
-    result.most_over = std::max(result.most_over, count - allowed);
+    result.max_excess = std::max(result.max_excess, count - allowed);
   }
   result.used = used / (static_cast<double>(options_.targets) * options_.limit *
                         ToSeconds(end_ - from));
--- a/tests/auto/declared_limits/limit_world.h
+++ b/tests/auto/declared_limits/limit_world.h
@@ -34,9 +34,9 @@
   // Chances a second.
   double gateway_restarts = 0.0;
   double control_restarts = 0.0;
-  double cuts = 0.0;
+  double disconnects = 0.0;
   // Chance of a question for grants to be lost at the first node asked.
-  double lost_questions = 0.0;
+  double lost_grant_requests = 0.0;
   // The limit is changed by up to this factor, up or down; 1: never.
   double changes = 1.0;
   Duration length = Seconds(40);
@@ -45,7 +45,7 @@
 struct LimitWorldResult {
   // The most arrivals in 4 s beyond what is allowed there, from gateways that
   // count; none is over where it is not positive.
-  double most_over = -1e9;
+  double max_excess = -1e9;
   // Arrivals from the first settling time on, as a part of all limits.
   double used = 0.0;
   // Requests from then on that no target could be sent, as a part of all.
@@ -61,9 +61,9 @@
   struct Gateway {
     std::unique_ptr<LimitAccounts> accounts;
     std::unique_ptr<GrantPlanner> planner;
-    bool is_cut = false;
-    TimePoint disturbed_at;
-    std::optional<TimePoint> passed_on_at;
+    bool is_disconnected = false;
+    TimePoint last_fault_ended_at;
+    std::optional<TimePoint> limit_received_at;
     std::map<std::size_t, std::uint64_t> revisions;
   };
   struct Arrival {
@@ -78,7 +78,7 @@
 
   void After(Duration delay, std::function<void()> event);
   Duration Delay();
-  bool Strikes(double per_second);
+  bool Occurs(double per_second);
   std::string NameOf(std::size_t gateway) const;
   void Traffic();
   static TargetRun RunOf(std::size_t target);
@@ -91,8 +91,8 @@
   // One question of a gateway to a control node, held until there is news.
   void Watch(std::size_t gateway, std::size_t control);
   void Answer(std::size_t gateway, std::size_t control, TimePoint limit);
-  void StrikeFaults();
-  void NameGateways(std::size_t control);
+  void InjectFaults();
+  void SetGatewayNames(std::size_t control);
   LimitWorldResult Judge() const;
 
   LimitWorldOptions options_;
@@ -102,7 +102,7 @@
   TimePoint end_;
   std::multimap<TimePoint, std::function<void()>> events_;
   struct Control {
-    LimitBook book{LimitBookOptions{}};
+    LimitRegistry registry{LimitRegistryOptions{}};
     LimitGranter granter{LimitGranterOptions{}};
   };
   std::vector<std::unique_ptr<Control>> controls_;
