--- a/src/libs/declared_limits/limit_granter.h
+++ b/src/libs/declared_limits/limit_granter.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "libs/declared_limits/declared_limit.h"
-#include "libs/declared_limits/limit_book.h"
+#include "libs/declared_limits/limit_registry.h"
 #include "libs/limits/token_bucket.h"
 
 namespace bilberryspool::declared_limits {
--- a/src/libs/declared_limits/limit_book.cc
+++ b/src/libs/declared_limits/limit_registry.cc
@@ -1,4 +1,4 @@
-#include "libs/declared_limits/limit_book.h"
+#include "libs/declared_limits/limit_registry.h"
 
 #include <algorithm>
 
--- a/src/libs/declared_limits/limit_book.h
+++ b/src/libs/declared_limits/limit_registry.h
@@ -10,8 +10,8 @@
 //
 // Pure: events and `now` in, decisions out.
 
-#ifndef LIBS_DECLARED_LIMITS_LIMIT_BOOK_H_
-#define LIBS_DECLARED_LIMITS_LIMIT_BOOK_H_
+#ifndef LIBS_DECLARED_LIMITS_LIMIT_REGISTRY_H_
+#define LIBS_DECLARED_LIMITS_LIMIT_REGISTRY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -79,4 +79,4 @@
 
 }  // namespace bilberryspool::declared_limits
 
-#endif  // LIBS_DECLARED_LIMITS_LIMIT_BOOK_H_
+#endif  // LIBS_DECLARED_LIMITS_LIMIT_REGISTRY_H_
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "libs/declared_limits/limit_book.h"
 #include "libs/declared_limits/limit_granter.h"
+#include "libs/declared_limits/limit_registry.h"
 #include "libs/links/link_server.h"
 #include "libs/net/fiber_signal.h"
 #include "libs/telemetry/line_budget.h"
--- a/tests/auto/declared_limits/limit_book_test.cc
+++ b/tests/auto/declared_limits/limit_registry_test.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "libs/declared_limits/limit_book.h"
+#include "libs/declared_limits/limit_registry.h"
 
 namespace bilberryspool::declared_limits {
 namespace {
--- a/tests/auto/declared_limits/limit_world.h
+++ b/tests/auto/declared_limits/limit_world.h
@@ -15,8 +15,8 @@
 #include "libs/base/random.h"
 #include "libs/declared_limits/grant_planner.h"
 #include "libs/declared_limits/limit_accounts.h"
-#include "libs/declared_limits/limit_book.h"
 #include "libs/declared_limits/limit_granter.h"
+#include "libs/declared_limits/limit_registry.h"
 
 namespace bilberryspool::declared_limits {
 
