--- a/src/libs/declared_limits/declared_limit.h
+++ b/src/libs/declared_limits/declared_limit.h
@@ -1,4 +1,4 @@
-// The limits that targets declare for all callers together.
+// Request rate limits that targets declare for all callers together.
 
 #ifndef LIBS_DECLARED_LIMITS_DECLARED_LIMIT_H_
 #define LIBS_DECLARED_LIMITS_DECLARED_LIMIT_H_
@@ -10,26 +10,27 @@
 
 namespace bilberryspool::declared_limits {
 
-// What a gateway heard in an answer of a target.
+// A limit that a gateway received in an answer of a target.
 struct LimitStatement {
   TargetRun run;
-  // Requests a second from all gateways together; nothing: no limit any more.
+  // Requests per second from all gateways together; nothing if the target no
+  // longer declares a limit.
   std::optional<double> per_second;
   Duration age{};
 };
 
-// A limit as a gateway goes by it.
+// A limit as a gateway currently applies it, in requests per second.
 struct DeclaredLimit {
   TargetRun run;
   double per_second = 0.0;
 };
 
-// What one gateway may send to a target.
+// The part of a limit that one gateway may use.
 struct LimitShare {
   TargetRun run;
-  // What the target declared.
+  // The declared limit, in requests per second.
   double per_second = 0.0;
-  // The gateway's part of it, requests a second.
+  // The gateway's part of it, in requests per second.
   double share = 0.0;
 };
 
--- a/src/libs/declared_limits/grant_planner.h
+++ b/src/libs/declared_limits/grant_planner.h
@@ -1,8 +1,9 @@
-// When a gateway asks for grants, and for how many.
+// Decides when a gateway requests grants, and how many.
 //
-// A caller waits for the answer, a few milliseconds. With many callers a second
-// one question brings what the next quarter of a second needs; where other
-// targets have no limit, those that have one are asked for now and then.
+// A caller waits a few milliseconds for the answer. If many callers arrive per
+// second, one grant request covers the needs of the next `lookahead`. If other
+// targets have no limit, grants for limited targets are requested only at
+// intervals.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -20,14 +21,16 @@
 namespace bilberryspool::declared_limits {
 
 struct GrantPlannerOptions {
-  // What one question brings lasts so long.
+  // Time for which one grant request should suffice.
   Duration lookahead = Milliseconds(250);
-  // Between questions where there are targets without a limit.
+  // Minimum interval of grant requests while there are targets without a limit.
   Duration optional_request_interval = Milliseconds(100);
-  // After an answer that there is nothing now. Bounds the questions of an
-  // overloaded gateway.
+  // No grants are requested for this long after a denial. Bounds the grant
+  // requests of an overloaded gateway.
   Duration denial_backoff = Milliseconds(20);
+  // Window over which the request rate is measured.
   Duration rate_window = Seconds(1);
+  // Maximum number of requests recorded per service.
   std::size_t max_recorded = 1000;
 };
 
@@ -35,13 +38,14 @@
  public:
   explicit GrantPlanner(GrantPlannerOptions options) : options_(options) {}
 
-  // A request of the service has come, and needs a grant or may use one.
+  // A request of the service has arrived that needs a grant or may use one.
   void OnRequest(const ServiceId& service, TimePoint now);
-  // For how many requests to ask now; nothing where it would be of no use.
-  // `are_all_limited`: no target of the service is without a limit.
+  // The number of grants to request now; nothing if a grant request would be of
+  // no use. `are_all_limited`: every target of the service has a limit.
   std::optional<std::uint32_t> GrantsToRequest(const ServiceId& service,
                                                bool are_all_limited,
                                                TimePoint now);
+  // A control node has answered; `is_denied` if it granted nothing.
   void OnAnswer(const ServiceId& service, bool is_denied, TimePoint now);
 
  private:
--- a/src/libs/declared_limits/limit_accounts.cc
+++ b/src/libs/declared_limits/limit_accounts.cc
@@ -112,7 +112,7 @@
     return;
   }
   Account& account = found->second;
-  // The share is charged as well: it takes over where no node answers.
+  // Also charges the share, which applies if no control node answers later.
   account.bucket.Charge(1.0, now);
   while (!account.granted.empty() && account.granted.front() <= now) {
     account.granted.pop_front();
@@ -140,7 +140,7 @@
   return std::min(account->bucket.WaitFor(1.0, now), kMaxWait);
 }
 
-// Those granted last expire last.
+// The requests granted last expire last.
 bool LimitAccounts::HasGrant(const TargetRun& run, TimePoint now) const {
   const Account* account = Find(run);
   return account != nullptr && !account->granted.empty() &&
@@ -256,7 +256,7 @@
                   limits::TokenBucket(allowance->rate, burst),
                   {},
                   now};
-  // What was sent just before counts as well.
+  // Starts without a burst, since requests sent just before count as well.
   account.bucket.Charge(burst, now);
   accounts_.insert_or_assign(target, account);
 }
--- a/src/libs/declared_limits/limit_accounts.h
+++ b/src/libs/declared_limits/limit_accounts.h
@@ -1,5 +1,6 @@
-// What a gateway may send to targets that declare a limit: what a control node
-// has granted, or where none answers, its share of the limit.
+// Tracks what a gateway may send to targets that declare a limit: the requests
+// that a control node has granted or, if no control node answers, the gateway's
+// share of the limit.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -21,16 +22,18 @@
 namespace bilberryspool::declared_limits {
 
 struct LimitAccountsOptions {
-  // Until a control node has divided a limit that was heard here, as many
-  // gateways are taken to share it as are known, and no fewer than this.
+  // Until a control node has divided a received limit, it is divided by the
+  // number of known gateways, but at least by this number.
   std::uint64_t min_sharers = 7;
-  // What is granted has to be used within this time.
+  // Granted requests expire after this time.
   Duration grant_lifetime = Milliseconds(400);
-  // So many seconds of a share may be sent at once, beside one request.
+  // Burst of a share: the requests of this many seconds may be sent at once, in
+  // addition to one request.
   double burst_s = 0.5;
-  // How long what was heard here is told to control nodes.
+  // Received limits are reported to control nodes for this long.
   Duration report_period = Seconds(3);
-  // What was heard here counts for so long without a control node's word.
+  // A received limit without a share from a control node expires after this
+  // time.
   Duration retention = Seconds(60);
 };
 
@@ -38,31 +41,34 @@
  public:
   explicit LimitAccounts(LimitAccountsOptions options) : options_(options) {}
 
-  // An answer of the target declared a limit, or none. Returns whether that is
-  // news here.
+  // An answer of the target declared a limit, or none. Returns whether that
+  // differs from what was known.
   bool OnLimitReceived(const TargetRun& run,
                        std::optional<double> per_second,
                        TimePoint now);
-  // All shares that the control node `source` tells.
+  // Replaces all shares that the control node `source` reports.
   void Adopt(const std::string& source,
              const std::vector<LimitShare>& shares,
              TimePoint now);
-  // What is told by nodes that can't be reached counts only where none can.
+  // Shares reported by unreachable control nodes count only if none is
+  // reachable.
   void SetReachable(const std::string& source,
                     bool is_reachable,
                     TimePoint now);
-  // How many gateways there are.
+  // Sets the number of known gateways.
   void SetGateways(std::uint64_t count) { gateways_ = count; }
+  // Erases expired limits.
   void Tick(TimePoint now);
 
-  // A control node has answered a question for grants. From now on what may be
-  // sent is what is granted.
+  // A control node has answered a grant request for the targets `asked`. From
+  // now on only granted requests may be sent.
   void OnGranted(const std::vector<DeclaredLimit>& asked,
                  const GrantAnswer& answer,
                  TimePoint now);
-  // None answers: what may be sent is the share.
+  // No control node answers: from now on the shares apply.
   void OnGranterUnavailable() { has_granter_ = false; }
-  // What is gone by; nothing where the target declares no limit.
+  // The limit that is applied to the target, for all gateways; nothing if it
+  // has none.
   std::optional<double> LimitOf(const TargetRun& run) const;
 
   bool HasGrant(const TargetRun& run, TimePoint now) const;
@@ -70,16 +76,17 @@
   bool MayTake(const TargetRun& run, TimePoint now) const {
     return accounts_.empty() || WaitFor(run, now) == Duration::zero();
   }
-  // One is sent.
+  // Accounts for one request that is sent.
   void Take(const TargetRun& run, TimePoint now);
-  // Until the next may be sent, a day at most; zero where it may be now.
+  // Time until the next request may be sent, at most one day; zero if it may be
+  // sent now.
   Duration WaitFor(const TargetRun& run, TimePoint now) const;
   bool IsLimited(const TargetRun& run) const;
 
-  // For the control nodes.
+  // Recently received limits, to be reported to control nodes.
   std::vector<LimitStatement> Statements(TimePoint now) const;
   std::size_t size() const { return accounts_.size(); }
-  // Requests a second that all shares together allow.
+  // Sum of all shares, in requests per second.
   double total_share() const;
 
  private:
@@ -97,9 +104,9 @@
     double rate = 0.0;
     double limit = 0.0;  // for all gateways
     limits::TokenBucket bucket;
-    // When each granted request expires.
+    // Expiry time of each granted request.
     std::deque<TimePoint> granted;
-    // When a control node said that there may be one.
+    // Time from which the control node expects to grant a request again.
     TimePoint available_at;
   };
   struct Allowance {
@@ -108,9 +115,11 @@
     double limit = 0.0;
   };
 
-  // What holds for the target; nothing where it is not limited.
+  // The allowance that applies to the target; nothing if it has no limit.
   std::optional<Allowance> AllowanceOf(const TargetId& target) const;
+  // The smallest reported share of the newest known run of the target.
   std::optional<LimitShare> SmallestShare(const TargetId& target) const;
+  // Recomputes the account of the target.
   void Review(const TargetId& target, TimePoint now);
   const Account* Find(const TargetRun& run) const;
 
--- a/src/libs/declared_limits/limit_codec.cc
+++ b/src/libs/declared_limits/limit_codec.cc
@@ -73,7 +73,7 @@
   return Grant{*run, static_cast<std::uint32_t>(*requests)};
 }
 
-// The members that name a start of a target, and one more.
+// An object that identifies a run of a target, with one more member.
 json::object RunObject(const TargetRun& run,
                        const char* key,
                        const json::value& value) {
--- a/src/libs/declared_limits/limit_codec.h
+++ b/src/libs/declared_limits/limit_codec.h
@@ -1,4 +1,5 @@
-// Statements and shares as JSON, between gateways and control nodes.
+// JSON encoding of limit statements, shares and grants, exchanged between
+// gateways and control nodes.
 
 #ifndef LIBS_DECLARED_LIMITS_LIMIT_CODEC_H_
 #define LIBS_DECLARED_LIMITS_LIMIT_CODEC_H_
@@ -13,8 +14,8 @@
 
 namespace bilberryspool::declared_limits {
 
-// A limit as a target writes it, requests a second; nothing where `text` is no
-// decimal number of zero or more.
+// Parses a limit in requests per second as declared by a target. Nothing if
+// `text` is not a decimal number of zero or more.
 std::optional<double> ReadLimit(std::string_view text);
 
 boost::json::value ToJson(const std::vector<LimitStatement>& statements);
@@ -22,7 +23,7 @@
 boost::json::value ToJson(const GrantRequest& request);
 boost::json::value ToJson(const GrantAnswer& answer);
 
-// Nothing where `json` is not what ToJson makes.
+// Nothing if `json` doesn't have the form that ToJson() writes.
 std::optional<std::vector<LimitStatement>> StatementsFromJson(
     const boost::json::value& json);
 std::optional<std::vector<LimitShare>> SharesFromJson(
--- a/src/libs/declared_limits/limit_granter.cc
+++ b/src/libs/declared_limits/limit_granter.cc
@@ -45,8 +45,8 @@
   });
 }
 
-// The newest limit that is known here counts, or the asker's where that is
-// lower: it may have heard a change first.
+// Uses the known limit, or the gateway's if that is lower: the gateway may have
+// learned of a change first.
 LimitGranter::Account* LimitGranter::AccountOf(const DeclaredLimit& target,
                                                bool is_first_choice,
                                                const LimitRegistry& registry,
@@ -72,12 +72,13 @@
     return nullptr;
   }
   Account account{rate, limits::TokenBucket(rate, burst), now, now};
-  // What was sent just before counts as well.
+  // Starts without a burst, since requests sent just before count as well.
   account.bucket.Charge(burst, now);
   return &accounts_.emplace(key, account).first->second;
 }
 
-// The account that is free first; it is spoken for until one request later.
+// Chooses the account that is available first, and reserves it for the time of
+// one request.
 Duration LimitGranter::ReserveNext(const std::vector<Account*>& accounts,
                                    TimePoint now) {
   Account* soonest = nullptr;
--- a/src/libs/declared_limits/limit_granter.h
+++ b/src/libs/declared_limits/limit_granter.h
@@ -1,12 +1,11 @@
-// A control node's grants of single requests to targets that declare a limit.
+// Grants single requests to targets that declare a limit, at a control node.
 //
-// Shares that are fixed beforehand leave most of a limit unused: a gateway with
-// little demand keeps what another one lacks, and a part of a request a second
-// can't be saved up for the moment when a caller comes. So the limits of one
-// service are granted request by request, by one control node, to whichever
-// gateway has a caller. Where that node does not answer, a second one grants a
-// part of the limit from an account of its own: both together stay within what
-// a limit allows for bursts.
+// Fixed shares leave most of a limit unused: a gateway with little demand keeps
+// what another one needs, and a fraction of a request per second can't be saved
+// until a caller arrives. Therefore one control node grants the limits of a
+// service request by request, to whichever gateway has a caller. If that node
+// doesn't answer, a second one grants a part of the limit from a separate
+// account. Both together stay within what the limit allows for bursts.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -25,12 +24,13 @@
 
 namespace bilberryspool::declared_limits {
 
-// Targets of one service, any of which would do.
+// A gateway's request for grants at any of the targets of one service.
 struct GrantRequest {
-  // Each with the limit that the asker goes by.
+  // Each with the limit that the requesting gateway applies.
   std::vector<DeclaredLimit> targets;
+  // Number of requests to grant, over all targets.
   std::uint32_t wanted = 1;
-  // Whether this node is the asker's first choice among the control nodes.
+  // Whether this control node is the first choice of the gateway.
   bool is_first_choice = true;
 };
 
@@ -40,25 +40,26 @@
 };
 
 struct GrantAnswer {
-  // Empty: none now.
+  // Empty if nothing is granted now.
   std::vector<Grant> grants;
-  // Where there are none: when the asker's caller may come back. Later for
-  // each asker that was told so before.
+  // If nothing is granted: time after which the caller may retry. Increases
+  // with each denial, so that callers don't retry at the same time.
   Duration wait{};
 };
 
 struct LimitGranterOptions {
-  // Requests that may be granted at once: a number and so many seconds of the
-  // limit. Callers don't come evenly; with fewer, some are refused while the
-  // limit has room.
+  // Burst: a number of requests plus the requests of `burst_s` seconds of the
+  // limit. Callers arrive unevenly; with a smaller burst, some are refused
+  // while the limit has room.
   double burst = 3.0;
   double burst_s = 0.5;
-  // Part of a limit that is granted to those whose first choice is another.
+  // Part of a limit that is granted to gateways whose first choice is another
+  // control node.
   double second_choice_part = 0.25;
-  // Requests a second that a target gets at least: only its answers tell that
-  // it takes more again.
+  // Minimum rate per target, in requests per second: only answers of the target
+  // show that it accepts more again.
   double min_per_second = 0.25;
-  // An account that nobody has asked of for so long is forgotten.
+  // An account is erased if it wasn't used for this long.
   Duration retention = Seconds(60);
   std::size_t max_accounts = 20'000;
 };
@@ -67,11 +68,15 @@
  public:
   explicit LimitGranter(LimitGranterOptions options) : options_(options) {}
 
+  // Grants up to the wanted number of requests, each from the account with the
+  // highest level.
   GrantAnswer Ask(const GrantRequest& request,
                   const LimitRegistry& registry,
                   TimePoint now);
+  // Erases unused accounts.
   void Tick(TimePoint now);
 
+  // Number of granted requests, and of answers without a grant.
   std::uint64_t granted() const { return granted_; }
   std::uint64_t denied() const { return denied_; }
   std::size_t size() const { return accounts_.size(); }
@@ -81,15 +86,18 @@
     double rate = 0.0;
     limits::TokenBucket bucket;
     TimePoint last_asked_at;
-    // Until then it is spoken for by callers that were told to come back.
+    // Until this time the account is reserved for callers that were told to
+    // retry.
     TimePoint reserved_until;
   };
   using Key = std::pair<TargetRun, bool>;  // the run, whether first choice
 
+  // Nothing if there are too many accounts.
   Account* AccountOf(const DeclaredLimit& target,
                      bool is_first_choice,
                      const LimitRegistry& registry,
                      TimePoint now);
+  // Reserves the next request and returns the time until then.
   static Duration ReserveNext(const std::vector<Account*>& accounts,
                               TimePoint now);
 
--- a/src/libs/declared_limits/limit_registry.h
+++ b/src/libs/declared_limits/limit_registry.h
@@ -1,12 +1,13 @@
-// A control node's division of the limits that targets declare.
+// Divides the limits that targets declare among gateways, at a control node.
 //
-// Each gateway hears a target's limit in its own answers alone, and none knows
-// what the others send. So a control node divides each limit among a few
-// gateways, evenly: among all of them, one part each would be less than a
-// request in the time for which the limit is meant, and the requests that each
-// may send at once would add up to more than the limit. All control nodes rank
-// the gateways alike; where they know different gateways, a gateway goes by the
-// smallest share that it is told, so that the sum never exceeds the limit.
+// A gateway learns of a target's limit only from answers to its own requests
+// and doesn't know what the others send. Each limit is therefore divided evenly
+// among a few gateways. If it were divided among all of them, each part would
+// be less than one request in the period for which the limit is meant, and the
+// bursts of all gateways would add up to more than the limit. All control nodes
+// rank the gateways in the same way. If they know different gateways, a gateway
+// uses the smallest share reported to it, so that the sum never exceeds the
+// limit.
 //
 // Pure: events and `now` in, decisions out.
 
@@ -25,15 +26,15 @@
 namespace bilberryspool::declared_limits {
 
 struct LimitRegistryOptions {
-  // A limit that nobody has heard for so long is forgotten.
+  // A limit is erased if no gateway has received it for this long.
   Duration retention = Seconds(600);
-  // Gateways beside those that the limit itself would give one request a
-  // second each.
+  // A limit is divided among one gateway per request per second, plus this
+  // number.
   double extra_holders = 3.0;
-  // Requests a second that a target gets at least in all: only its answers
-  // tell that it takes more again.
+  // Minimum total rate per target, in requests per second: only answers of the
+  // target show that it accepts more again.
   double min_per_second = 0.25;
-  // Bounds memory; what was heard longest ago goes first.
+  // Bounds memory; the limit received longest ago is evicted first.
   std::size_t max_entries = 10'000;
 };
 
@@ -41,34 +42,37 @@
  public:
   explicit LimitRegistry(LimitRegistryOptions options) : options_(options) {}
 
-  // The newest statement on a target counts. Returns whether that changed its
-  // limit.
+  // Records a statement unless a newer one on the target is known. Returns
+  // whether the limit has changed.
   bool Note(const LimitStatement& statement, TimePoint now);
-  // All gateways that are known.
+  // Sets the names of all known gateways.
   void SetGateways(std::vector<std::string> gateways);
+  // Erases limits that were not received again.
   void Tick(TimePoint now);
 
-  // Every limit that is declared, with the share of the gateway, which may be
-  // none.
+  // All declared limits, each with the share of the gateway, which may be zero.
   std::vector<LimitShare> SharesOf(const std::string& gateway) const;
-  // What that start of the target declares; nothing where it declares none, or
-  // is not known.
+  // The limit declared by this run of the target; nothing if it declares none
+  // or is not known.
   std::optional<double> LimitOf(const TargetRun& run) const;
-  // Grows with each change of SharesOf().
+  // Increases with each change of SharesOf().
   std::uint64_t revision() const { return revision_; }
+  // Number of targets that declare a limit.
   std::size_t size() const;
 
  private:
   struct Entry {
     Incarnation incarnation;
-    // Nothing: declares no limit.
+    // Nothing if no limit is declared.
     std::optional<double> per_second;
     TimePoint received_at;
-    // Gateways that have a share.
+    // Gateways with a share of the limit.
     std::vector<std::string> holders;
   };
 
+  // Chooses the gateways that share the limit.
   void Divide(const TargetId& target, Entry& entry) const;
+  // Evicts one entry if the maximum number is reached.
   void MakeRoom();
 
   LimitRegistryOptions options_;
--- a/tests/auto/declared_limits/limit_accounts_test.cc
+++ b/tests/auto/declared_limits/limit_accounts_test.cc
@@ -14,7 +14,8 @@
   return {{kRun, per_second, share}};
 }
 
-// How many requests one gateway sends in `length` that tries all the time.
+// Number of requests that a gateway sends within `length` if it tries every 10
+// ms.
 int SentIn(LimitAccounts& accounts, TimePoint from, Duration length) {
   int sent = 0;
   for (TimePoint now = from; now < from + length; now += Milliseconds(10)) {
@@ -26,14 +27,14 @@
   return sent;
 }
 
-TEST_CASE("a target without a limit takes what comes") {
+TEST_CASE("requests to a target without a limit are not restricted") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   CHECK_FALSE(accounts.OnLimitReceived(kRun, std::nullopt, kNow));
   CHECK_FALSE(accounts.IsLimited(kRun));
   CHECK(SentIn(accounts, kNow, Seconds(1)) == 100);
 }
 
-TEST_CASE("a gateway sends what its share allows, from nothing on") {
+TEST_CASE("a gateway sends what its share allows, without an initial burst") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(5.0, 2.0), kNow);
   CHECK_FALSE(accounts.MayTake(kRun, kNow));
@@ -54,8 +55,9 @@
   CHECK(accounts.total_share() == doctest::Approx(1.0));
 }
 
-// Guards against each gateway taking a limit that it hears for itself alone.
-TEST_CASE("before a control node has divided it, a limit is one of many's") {
+// Guards against each gateway using the whole of a limit that it received.
+TEST_CASE(
+    "before a control node has divided a limit, the known gateways share it") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.SetGateways(40);
   CHECK(accounts.OnLimitReceived(kRun, 4.0, kNow));
@@ -67,7 +69,7 @@
   CHECK_FALSE(accounts.IsLimited(kRun));
 }
 
-TEST_CASE("a limit that is heard to fall counts at once, one to rise later") {
+TEST_CASE("a lower limit applies at once, a higher one with the next shares") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(8.0, 2.0), kNow);
   accounts.OnLimitReceived(kRun, 2.0, kNow);
@@ -76,7 +78,7 @@
   CHECK(accounts.total_share() == doctest::Approx(2.0));
 }
 
-TEST_CASE("a restarted target is not bound by what the last one declared") {
+TEST_CASE("a restarted target is not bound by the limit of its previous run") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(1.0, 0.0), kNow);
   const TargetRun next{kRun.target, Incarnation(2)};
@@ -86,7 +88,7 @@
   CHECK(accounts.IsLimited(next));
 }
 
-TEST_CASE("a limit ends with the control nodes' word") {
+TEST_CASE("a limit ends once the control nodes no longer report it") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.Adopt("a", Share(1.0, 0.5), kNow);
   accounts.OnLimitReceived(kRun, std::nullopt, kNow);
--- a/tests/auto/declared_limits/limit_codec_test.cc
+++ b/tests/auto/declared_limits/limit_codec_test.cc
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("statements and shares are read back as they were written") {
+TEST_CASE("statements and shares survive a round trip through JSON") {
   const std::vector<LimitStatement> statements = {
       {{TargetId("t"), Incarnation(2)}, 0.5, Milliseconds(3)},
       {{TargetId("u"), Incarnation(0)}, std::nullopt, Milliseconds(4)}};
@@ -48,7 +48,7 @@
         boost::json::serialize(ToJson(shares)));
 }
 
-TEST_CASE("what is no statement or share is not read") {
+TEST_CASE("malformed statements and shares are rejected") {
   for (const char* text : {"{}", "[1]", "[{}]", R"([{"target":"t"}])",
                            R"([{"target":"t","incarnation":1,"age_us":1,
                                 "per_second":"x"}])"}) {
--- a/tests/auto/declared_limits/limit_granter_test.cc
+++ b/tests/auto/declared_limits/limit_granter_test.cc
@@ -1,4 +1,4 @@
-// Grants of single requests, and when gateways ask for them.
+// Grants of single requests, and the planning of grant requests.
 
 #include "libs/declared_limits/limit_granter.h"
 
@@ -49,8 +49,8 @@
   LimitGranter granter{LimitGranterOptions{}};
 };
 
-// Guards against a limit that is granted whole to each of several askers.
-TEST_CASE("what is granted in all keeps to the limit") {
+// Guards against granting the whole limit to each of several gateways.
+TEST_CASE("the total number of grants stays within the limit") {
   GranterFixture fixture;
   std::uint32_t granted = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -60,8 +60,8 @@
   CHECK(granted <= 50);
 }
 
-// Guards against two nodes that each grant the whole limit.
-TEST_CASE("a node that is no first choice grants a part of the limit") {
+// Guards against two control nodes that each grant the whole limit.
+TEST_CASE("a node that is not the first choice grants a part of the limit") {
   GranterFixture fixture;
   GrantRequest request = RequestFor(1, 5.0, 3);
   request.is_first_choice = false;
@@ -73,7 +73,7 @@
   CHECK(granted >= 11);
 }
 
-TEST_CASE("grants come from the targets that have most left") {
+TEST_CASE("grants come from the accounts with the highest level") {
   GranterFixture fixture;
   const GrantRequest request = RequestFor(3, 2.0, 3);
   CHECK(fixture.Ask(request, Seconds(0)) == 0);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("a limit that was lowered holds at once, whoever heard of it") {
+TEST_CASE("a lowered limit applies at once, whichever side learned of it") {
   GranterFixture fixture;
   fixture.Ask(RequestFor(1, 50.0, 1), Seconds(0));
   fixture.registry.Note({RunOf(0), 1.0, Duration::zero()}, kStart);
@@ -94,12 +94,13 @@
     granted += fixture.Ask(RequestFor(1, 50.0, 10), Milliseconds(100L * i));
   }
   CHECK(granted <= 14);
-  // An asker that has heard of a lower one first.
+  // A gateway that has received a lower limit first.
   CHECK(fixture.Ask(RequestFor(1, 0.5, 10), Seconds(11)) <= 1);
 }
 
-// Guards against callers that are all told to come back for one request.
-TEST_CASE("those who get nothing are told different times") {
+// Guards against telling all callers to retry at the same time for a single
+// request.
+TEST_CASE("denied callers are told different retry times") {
   GranterFixture fixture;
   const GrantRequest request = RequestFor(1, 2.0, 1);
   Duration last{};
@@ -113,7 +114,7 @@
   CHECK(last >= Seconds(1));
 }
 
-TEST_CASE("accounts nobody asks of are forgotten, and bounded") {
+TEST_CASE("unused accounts are erased, and their number is bounded") {
   LimitGranterOptions options;
   options.max_accounts = 2;
   LimitGranter granter(options);
@@ -126,7 +127,7 @@
   CHECK(granter.size() == 0);
 }
 
-TEST_CASE("a grant may be used once, and for a while") {
+TEST_CASE("a grant may be used once, and expires") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.OnLimitReceived(RunOf(0), 1.0, kStart);
   const std::vector<DeclaredLimit> asked{{RunOf(0), 1.0}};
@@ -139,18 +140,18 @@
   CHECK_FALSE(accounts.MayTake(RunOf(0), kStart));
 }
 
-TEST_CASE("without a grant a caller is told what the control node said") {
+TEST_CASE("without a grant the wait of the control node applies") {
   LimitAccounts accounts{LimitAccountsOptions{}};
   accounts.OnLimitReceived(RunOf(0), 1.0, kStart);
   accounts.OnGranted({{RunOf(0), 1.0}}, {{}, Milliseconds(700)}, kStart);
   CHECK(accounts.WaitFor(RunOf(0), kStart) == Milliseconds(700));
-  // No node answers any more: its share counts.
+  // If no control node answers, the share applies.
   accounts.OnGranterUnavailable();
   CHECK(accounts.MayTake(RunOf(0), kStart + Seconds(30)));
 }
 
-// Guards against a gateway that asks for each of thousands of callers.
-TEST_CASE("a gateway asks for what the next quarter of a second needs") {
+// Guards against a grant request for each of thousands of callers.
+TEST_CASE("a gateway requests grants for the next quarter of a second") {
   GrantPlanner planner{GrantPlannerOptions{}};
   CHECK(planner.GrantsToRequest(kService, true, kStart) == 1);
   for (int i = 0; i < 100; ++i) {
@@ -159,7 +160,9 @@
   CHECK(planner.GrantsToRequest(kService, true, kStart + Seconds(1)) == 26);
 }
 
-TEST_CASE("after a denial, and beside others, a gateway asks less often") {
+TEST_CASE(
+    "after a denial or with unlimited targets, grants are requested less "
+    "often") {
   GrantPlanner planner{GrantPlannerOptions{}};
   planner.OnAnswer(kService, /*is_denied=*/true, kStart);
   CHECK_FALSE(planner.GrantsToRequest(kService, true, kStart).has_value());
@@ -172,7 +175,8 @@
         1);
 }
 
-TEST_CASE("questions and answers are read back, others are refused") {
+TEST_CASE(
+    "grant requests and answers survive a round trip, others are rejected") {
   GrantRequest request = RequestFor(2, 0.5, 7);
   request.is_first_choice = false;
   const auto read = GrantRequestFromJson(ToJson(request));
--- a/tests/auto/declared_limits/limit_random_test.cc
+++ b/tests/auto/declared_limits/limit_random_test.cc
@@ -1,4 +1,5 @@
-// Many gateways and control nodes before a target with a limit, many seeds.
+// Simulates many gateways and control nodes with limited targets, over many
+// seeds.
 
 #include <doctest/doctest.h>
 
@@ -11,9 +12,9 @@
 namespace bilberryspool::declared_limits {
 namespace {
 
-// Guards against gateways that each take a limit for themselves: what they send
-// together stays within it, and the limit is used where there is demand.
-TEST_CASE("all gateways together keep to a target's limit, and use it") {
+// Guards against gateways that each use the whole limit: their total must stay
+// within it, and the limit must be used where there is demand.
+TEST_CASE("all gateways together stay within a target's limit, and use it") {
   for (const std::size_t gateways : {7, 40, 149}) {
     for (const double limit : {0.5, 1.0, 5.0, 50.0}) {
       CAPTURE(gateways);
@@ -21,8 +22,8 @@
       LimitWorldOptions options;
       options.gateways = gateways;
       options.limit = limit;
-      // A target that is held below the others is the first choice wherever
-      // it may take one more.
+      // A target that gets less load than the others is the first choice of
+      // every gateway that may send it one more request.
       options.demand =
           std::max(3.0 * static_cast<double>(gateways), 6.0 * limit);
       ForEachSeed(gateways < 100 ? 6 : 2, [&](std::uint64_t seed) {
@@ -35,9 +36,8 @@
   }
 }
 
-// Guards against limits that are divided beforehand: callers are refused while
-// most of each limit goes unused, since no gateway has a whole request saved
-// up.
+// Guards against dividing limits in advance: callers are refused while most of
+// each limit is unused, since no gateway has saved up a whole request.
 TEST_CASE("nobody is refused while the limits have room") {
   for (const std::size_t gateways : {7, 40, 149}) {
     for (const double skew : {0.0, 0.5, 0.9}) {
@@ -86,8 +86,8 @@
   }
 }
 
-// Guards against limited targets that stand idle beside others.
-TEST_CASE("limits of a few targets are used beside others without any") {
+// Guards against limited targets that stay idle beside unlimited ones.
+TEST_CASE("limits of a few targets are used beside unlimited targets") {
   LimitWorldOptions options;
   options.gateways = 24;
   options.targets = 2;
@@ -138,7 +138,7 @@
   return cases;
 }
 
-TEST_CASE("a limit holds while it changes, and gateways come and go") {
+TEST_CASE("a limit holds during changes, restarts and disconnects") {
   for (const Case& one : Cases()) {
     CAPTURE(one.name);
     ForEachSeed(20, [&](std::uint64_t seed) {
--- a/tests/auto/declared_limits/limit_registry_test.cc
+++ b/tests/auto/declared_limits/limit_registry_test.cc
@@ -25,7 +25,7 @@
   return {{TargetId("t"), Incarnation(incarnation)}, per_second, age};
 }
 
-// What all gateways together may send, and how many of them may.
+// Sum of all shares, and the number of gateways that have one.
 std::pair<double, int> SumOf(const LimitRegistry& registry, int gateways) {
   double sum = 0.0;
   int holders = 0;
@@ -38,7 +38,7 @@
   return {sum, holders};
 }
 
-TEST_CASE("the shares of all gateways add up to the limit, among few") {
+TEST_CASE("the shares of a few gateways add up to the limit") {
   struct Case {
     int gateways;
     double limit;
@@ -62,16 +62,16 @@
   }
 }
 
-// Guards against a target that is never heard again: only answers tell that it
-// takes more.
-TEST_CASE("a limit of nothing leaves a request now and then") {
+// Guards against a target that is never sent a request again: only its answers
+// show that it accepts more.
+TEST_CASE("a limit of zero still allows a minimum rate") {
   LimitRegistry registry{LimitRegistryOptions{}};
   registry.SetGateways(Gateways(7));
   registry.Note(StatementOf(0.0), kNow);
   CHECK(SumOf(registry, 7).first == doctest::Approx(0.25));
 }
 
-TEST_CASE("the newest statement counts, whoever brings it") {
+TEST_CASE("the newest statement counts, whichever gateway sends it") {
   LimitRegistry registry{LimitRegistryOptions{}};
   registry.SetGateways(Gateways(7));
   CHECK(registry.Note(StatementOf(2.0), kNow));
@@ -81,11 +81,11 @@
   CHECK(registry.Note(StatementOf(std::nullopt), kNow + Seconds(2)));
   CHECK(registry.size() == 0);
   CHECK(registry.SharesOf("g0").empty());
-  // One that was on its way does not bring it back.
+  // A delayed statement does not restore the limit.
   CHECK_FALSE(registry.Note(StatementOf(3.0, Seconds(2)), kNow + Seconds(3)));
 }
 
-TEST_CASE("a restarted target has said nothing yet") {
+TEST_CASE("a restarted target has no limit until it declares one") {
   LimitRegistry registry{LimitRegistryOptions{}};
   registry.SetGateways(Gateways(7));
   registry.Note(StatementOf(2.0), kNow);
@@ -93,7 +93,7 @@
   CHECK(registry.size() == 0);
 }
 
-TEST_CASE("a limit is divided anew where gateways come or go") {
+TEST_CASE("a limit is divided again when the gateways change") {
   LimitRegistry registry{LimitRegistryOptions{}};
   registry.SetGateways(Gateways(7));
   registry.Note(StatementOf(1.0), kNow);
@@ -105,7 +105,7 @@
   CHECK(SumOf(registry, 2).first == doctest::Approx(1.0));
 }
 
-TEST_CASE("the book stays within its bounds") {
+TEST_CASE("the registry stays within its bounds") {
   LimitRegistryOptions options;
   options.max_entries = 10;
   LimitRegistry registry(options);
--- a/tests/auto/declared_limits/limit_world.cc
+++ b/tests/auto/declared_limits/limit_world.cc
@@ -221,7 +221,7 @@
   const LimitRegistry& registry = controls_[control]->registry;
   const bool has_update =
       gateways_[number].revisions[control] != registry.revision();
-  // News are gathered for a moment.
+  // Updates are collected for a moment.
   const TimePoint until =
       has_update ? limit - kMaxWatch + kMinUpdateInterval : limit;
   if (now_ < until) {
@@ -276,8 +276,8 @@
   }
 }
 
-// Where the limit changes within a window, the highest one in it counts, and so
-// does the one from before it until gateways can have heard.
+// If the limit changes within a window, the highest limit in it counts. A
+// previous limit also counts until gateways can have received the new one.
 LimitWorldResult LimitWorld::Judge() const {
   LimitWorldResult result;
   const TimePoint from = declared_.front().from + kSettlingTime;
--- a/tests/auto/declared_limits/limit_world.h
+++ b/tests/auto/declared_limits/limit_world.h
@@ -1,5 +1,5 @@
-// Gateways and control nodes as pure machines before targets that each declare
-// a limit, with changes of the limit and faults.
+// Simulates gateways and control nodes on the pure state machines, with targets
+// that each declare a limit, changes of the limit, and faults.
 
 #ifndef AUTO_DECLARED_LIMITS_LIMIT_WORLD_H_
 #define AUTO_DECLARED_LIMITS_LIMIT_WORLD_H_
@@ -25,30 +25,32 @@
   std::size_t controls = 3;
   std::size_t targets = 1;
   double limit = 1.0;
-  // Whether other targets of the service declare none.
+  // Whether the service has other targets, without a limit.
   bool has_others = false;
-  // Requests a second that would go to the targets, over all gateways.
+  // Requests per second for the targets, over all gateways.
   double demand = 20.0;
-  // Part of the demand that comes to the first gateway; else even.
+  // Part of the demand that arrives at the first gateway; the rest is spread
+  // evenly.
   double skew = 0.0;
-  // Chances a second.
+  // Probability per second of each fault.
   double gateway_restarts = 0.0;
   double control_restarts = 0.0;
   double disconnects = 0.0;
-  // Chance of a question for grants to be lost at the first node asked.
+  // Probability that a grant request to the first control node is lost.
   double lost_grant_requests = 0.0;
-  // The limit is changed by up to this factor, up or down; 1: never.
+  // Maximum factor by which the limit changes, up or down; 1: never.
   double changes = 1.0;
   Duration length = Seconds(40);
 };
 
 struct LimitWorldResult {
-  // The most arrivals in 4 s beyond what is allowed there, from gateways that
-  // count; none is over where it is not positive.
+  // Maximum excess of the arrivals within 4 s over what is allowed, from
+  // gateways that count. Not positive if the limit was never exceeded.
   double max_excess = -1e9;
-  // Arrivals from the first settling time on, as a part of all limits.
+  // Arrivals after the first settling time, as a fraction of all limits.
   double used = 0.0;
-  // Requests from then on that no target could be sent, as a part of all.
+  // Requests after that time that could be sent to no target, as a fraction of
+  // all.
   double refused = 0.0;
 };
 
@@ -82,13 +84,15 @@
   std::string NameOf(std::size_t gateway) const;
   void Traffic();
   static TargetRun RunOf(std::size_t target);
-  // A request comes to the gateway.
+  // A request arrives at the gateway.
   void Arrive(std::size_t gateway);
   void AskForGrants(std::size_t gateway, std::uint32_t wanted);
-  // Sends it to a target that may have it; else it is refused.
+  // Sends the request to a target that may take it; refuses it if there is
+  // none.
   void Choose(std::size_t gateway);
   void Send(std::size_t gateway, std::size_t target);
-  // One question of a gateway to a control node, held until there is news.
+  // One watch request of a gateway to a control node, which is answered when
+  // there is an update.
   void Watch(std::size_t gateway, std::size_t control);
   void Answer(std::size_t gateway, std::size_t control, TimePoint limit);
   void InjectFaults();
