--- a/src/libs/limits/adaptive_limit.cc
+++ b/src/libs/limits/adaptive_limit.cc
@@ -6,9 +6,9 @@
 namespace bilberryspool::limits {
 namespace {
 
-constexpr double kLeastGradient = 0.5;
+constexpr double kMinGradient = 0.5;
 // Share of the limit that must be in use before it grows.
-constexpr double kUsed = 0.9;
+constexpr double kMinUtilization = 0.9;
 
 }  // namespace
 
@@ -26,13 +26,13 @@
   UpdateBaseline(latency, now);
   const double ratio =
       options_.tolerance * ToSeconds(baseline_) / ToSeconds(latency);
-  const double gradient = std::clamp(ratio, kLeastGradient, 1.0);
+  const double gradient = std::clamp(ratio, kMinGradient, 1.0);
   // Room for a little queueing, so that the limit can find a higher rate.
   const double room = std::sqrt(limit_);
   const double wanted = limit_ * gradient + room;
   // A limit that isn't used says nothing about a higher one.
   if (wanted > limit_ &&
-      static_cast<double>(in_flight) < kUsed * std::floor(limit_)) {
+      static_cast<double>(in_flight) < kMinUtilization * std::floor(limit_)) {
     return;
   }
   const double next =
@@ -40,7 +40,7 @@
   limit_ = std::clamp(next, options_.min, options_.max);
 }
 
-void AdaptiveLimit::Overloaded(TimePoint now) {
+void AdaptiveLimit::OnOverload(TimePoint now) {
   if (now - last_decrease_ < options_.decrease_interval) {
     return;
   }
@@ -55,18 +55,18 @@
 void AdaptiveLimit::UpdateBaseline(Duration latency, TimePoint now) {
   if (baseline_ == Duration(0)) {
     baseline_ = latency;
-    window_least_ = latency;
+    window_min_latency_ = latency;
     window_start_ = now;
     return;
   }
-  window_least_ = std::min(window_least_, latency);
+  window_min_latency_ = std::min(window_min_latency_, latency);
   baseline_ = std::min(baseline_, latency);
   if (now - window_start_ < options_.baseline_window) {
     return;
   }
   // A target that became slower for good needs a new baseline.
-  baseline_ = window_least_;
-  window_least_ = latency;
+  baseline_ = window_min_latency_;
+  window_min_latency_ = latency;
   window_start_ = now;
 }
 
--- a/src/libs/limits/adaptive_limit.h
+++ b/src/libs/limits/adaptive_limit.h
@@ -35,7 +35,7 @@
   // A first token after `latency`, with `in_flight` own requests at the time.
   void Observe(Duration latency, std::size_t in_flight, TimePoint now);
   // A timeout, or "busy" from the target.
-  void Overloaded(TimePoint now);
+  void OnOverload(TimePoint now);
 
   // In requests, at least 1.
   std::size_t limit() const;
@@ -49,7 +49,7 @@
   double limit_;
   Duration baseline_{0};
   // Least latency of the present window.
-  Duration window_least_{0};
+  Duration window_min_latency_{0};
   TimePoint window_start_;
   TimePoint last_decrease_;
 };
--- a/src/libs/limits/admission.cc
+++ b/src/libs/limits/admission.cc
@@ -13,7 +13,7 @@
 // Seconds over which the arrivals of a service are averaged.
 constexpr double kArrivalAveraging = 2.0;
 // Largest factor of an excess of arrivals on a hint.
-constexpr double kLargestExcess = 20.0;
+constexpr double kMaxExcess = 20.0;
 
 }  // namespace
 
@@ -41,19 +41,19 @@
 std::vector<AdmissionAction> Admission::Handle(const AdmissionEvent& event,
                                                TimePoint now) {
   Actions actions;
-  RefuseHopeless(now, actions);
+  RefuseExpired(now, actions);
   std::visit([&](const auto& typed) { On(typed, now, actions); }, event);
   // The event itself may have queued one that can't wait at all.
-  RefuseHopeless(now, actions);
+  RefuseExpired(now, actions);
   return actions;
 }
 
 std::optional<TimePoint> Admission::next_deadline() const {
   std::optional<TimePoint> next;
-  for (const auto& [service, lane] : lanes_) {
-    const auto hopeless = lane.queue.next_hopeless();
-    if (hopeless.has_value()) {
-      next = std::min(next.value_or(*hopeless), *hopeless);
+  for (const auto& [service, service_queue] : service_queues_) {
+    const auto expired = service_queue.queue.next_expiry();
+    if (expired.has_value()) {
+      next = std::min(next.value_or(*expired), *expired);
     }
   }
   return next;
@@ -69,12 +69,12 @@
   BILBERRYSPOOL_INVARIANT(
       !running_.contains(event.id) && !queued_.contains(event.id),
       "an admission id is used once");
-  share_.Arrived(event.workspace, now);
-  Lane& lane = LaneOf(event.service);
-  CountArrival(lane, now);
+  share_.OnArrival(event.workspace, now);
+  ServiceQueue& service_queue = ServiceQueueOf(event.service);
+  CountArrival(service_queue, now);
   Account& account = AccountOf(event.workspace, now);
-  const QueuedRequest request = MakeQueued(event, lane, now);
-  const auto refusal = Check(event, request, lane, account, now);
+  const QueuedRequest request = MakeQueued(event, service_queue, now);
+  const auto refusal = Check(event, request, service_queue, account, now);
   if (refusal.has_value()) {
     actions.emplace_back(*refusal);
     return;
@@ -86,32 +86,32 @@
     account.tokens.Charge(event.expected_tokens, now);
   }
   queued_.emplace(event.id, event.service);
-  lane.queue.Push(request, account.limits.weight);
-  Pump(event.service, now, actions);
-  MakeRoom(request, lane, account.limits.weight, now, actions);
+  service_queue.queue.Push(request, account.limits.weight);
+  AdmitQueued(event.service, now, actions);
+  MakeRoom(request, service_queue, account.limits.weight, now, actions);
 }
 
-void Admission::CountArrival(Lane& lane, TimePoint now) {
-  const double passed = ToSeconds(now - lane.last_arrival);
-  lane.arrivals *= std::exp(-passed / kArrivalAveraging);
-  lane.arrivals += 1.0 / kArrivalAveraging;
-  lane.last_arrival = now;
+void Admission::CountArrival(ServiceQueue& service_queue, TimePoint now) {
+  const double passed = ToSeconds(now - service_queue.last_arrival);
+  service_queue.arrivals *= std::exp(-passed / kArrivalAveraging);
+  service_queue.arrivals += 1.0 / kArrivalAveraging;
+  service_queue.last_arrival = now;
 }
 
 QueuedRequest Admission::MakeQueued(const RequestArrived& event,
-                                    const Lane& lane,
+                                    const ServiceQueue& service_queue,
                                     TimePoint now) const {
   QueuedRequest request;
   request.id = event.id;
   request.workspace = event.workspace;
   request.priority = event.priority;
   request.deadline = event.deadline;
-  request.run_time = lane.rate.RunTime(event.expected_tokens);
+  request.run_time = service_queue.rate.RunTime(event.expected_tokens);
   request.tokens = event.expected_tokens;
   request.latest_start = event.deadline - request.run_time;
   if (event.priority != Priority::kBackground) {
     request.latest_start =
-        std::min(request.latest_start, now + options_.longest_wait);
+        std::min(request.latest_start, now + options_.max_queue_wait);
   }
   return request;
 }
@@ -126,14 +126,14 @@
   const Running ended = found->second;
   running_.erase(found);
   Release(ended);
-  LaneOf(ended.service).rate.Observe(now - ended.since, event.tokens);
+  ServiceQueueOf(ended.service).rate.Observe(now - ended.since, event.tokens);
   Account& account = AccountOf(ended.workspace, now);
   if (account.limits.tokens_per_second > 0.0) {
     account.tokens.Charge(static_cast<double>(event.tokens) -
                               static_cast<double>(ended.expected_tokens),
                           now);
   }
-  PumpAll(now, actions);
+  AdmitAllQueued(now, actions);
 }
 
 void Admission::On(const RequestAbandoned& event,
@@ -141,7 +141,7 @@
                    Actions& actions) {
   const auto queued = queued_.find(event.id);
   if (queued != queued_.end()) {
-    LaneOf(queued->second).queue.Remove(event.id);
+    ServiceQueueOf(queued->second).queue.Remove(event.id);
     queued_.erase(queued);
     return;
   }
@@ -150,15 +150,15 @@
     const Running ended = running->second;
     running_.erase(running);
     Release(ended);
-    PumpAll(now, actions);
+    AdmitAllQueued(now, actions);
   }
 }
 
 void Admission::On(const CapacityChanged& event,
                    TimePoint now,
                    Actions& actions) {
-  LaneOf(event.service).capacity = event.concurrent;
-  Pump(event.service, now, actions);
+  ServiceQueueOf(event.service).capacity = event.concurrent;
+  AdmitQueued(event.service, now, actions);
 }
 
 void Admission::On(const LimitsChanged& event,
@@ -176,7 +176,7 @@
         found == limits.end() ? WorkspaceLimits{workspace} : found->second,
         now);
   }
-  PumpAll(now, actions);
+  AdmitAllQueued(now, actions);
 }
 
 void Admission::SetLimits(Account& account,
@@ -196,71 +196,71 @@
 }
 
 void Admission::On(const PeerDemand& event, TimePoint now, Actions& actions) {
-  share_.Heard(event.peer, event.demands, now);
-  PumpAll(now, actions);
+  share_.OnPeerDemand(event.peer, event.demands, now);
+  AdmitAllQueued(now, actions);
 }
 
 void Admission::On(const PeerGone& event, TimePoint now, Actions& actions) {
-  share_.Forget(event.peer);
-  PumpAll(now, actions);
+  share_.ErasePeer(event.peer);
+  AdmitAllQueued(now, actions);
 }
 
 void Admission::On(const Tick& /*event*/, TimePoint now, Actions& actions) {
   share_.Prune(now);
-  PumpAll(now, actions);
+  AdmitAllQueued(now, actions);
 }
 
-void Admission::PumpAll(TimePoint now, Actions& actions) {
-  for (const auto& [service, lane] : lanes_) {
-    Pump(service, now, actions);
+void Admission::AdmitAllQueued(TimePoint now, Actions& actions) {
+  for (const auto& [service, service_queue] : service_queues_) {
+    AdmitQueued(service, now, actions);
   }
 }
 
-void Admission::Pump(const ServiceId& service,
-                     TimePoint now,
-                     Actions& actions) {
-  Lane& lane = LaneOf(service);
+void Admission::AdmitQueued(const ServiceId& service,
+                            TimePoint now,
+                            Actions& actions) {
+  ServiceQueue& service_queue = ServiceQueueOf(service);
   const auto may_run = [&](const Workspace& workspace) {
     const Account& account = accounts_.at(workspace);
     return static_cast<double>(account.running) < MaxRunning(account);
   };
-  while (lane.running < lane.capacity) {
-    const auto next = lane.queue.Pop(may_run);
+  while (service_queue.running < service_queue.capacity) {
+    const auto next = service_queue.queue.Pop(may_run);
     if (!next.has_value()) {
       return;
     }
-    ++lane.running;
+    ++service_queue.running;
     ++accounts_.at(next->workspace).running;
     queued_.erase(next->id);
     running_.emplace(next->id,
                      Running{service, next->workspace, now, next->tokens});
     actions.emplace_back(Admit{next->id});
-    BILBERRYSPOOL_INVARIANT(lane.running <= lane.capacity,
+    BILBERRYSPOOL_INVARIANT(service_queue.running <= service_queue.capacity,
                             "no more is admitted than may run");
   }
 }
 
-void Admission::RefuseHopeless(TimePoint now, Actions& actions) {
-  for (auto& [service, lane] : lanes_) {
-    const Duration wait = ComeBack(lane, ExpectedWait(service));
+void Admission::RefuseExpired(TimePoint now, Actions& actions) {
+  for (auto& [service, service_queue] : service_queues_) {
+    const Duration wait = RetryAfter(service_queue, ExpectedWait(service));
     while (true) {
-      const auto hopeless = lane.queue.PopHopeless(now);
-      if (!hopeless.has_value()) {
+      const auto expired = service_queue.queue.PopExpired(now);
+      if (!expired.has_value()) {
         break;
       }
-      queued_.erase(hopeless->id);
+      queued_.erase(expired->id);
       actions.emplace_back(
-          MakeRefusal(hopeless->id, RefusalReason::kDeadline, wait));
+          MakeRefusal(expired->id, RefusalReason::kDeadline, wait));
     }
   }
 }
 
 std::optional<Refuse> Admission::Check(const RequestArrived& event,
                                        const QueuedRequest& request,
-                                       const Lane& lane,
+                                       const ServiceQueue& service_queue,
                                        const Account& account,
                                        TimePoint now) {
-  if (lane.capacity == 0) {
+  if (service_queue.capacity == 0) {
     return MakeRefusal(event.id, RefusalReason::kNoCapacity,
                        options_.no_capacity_retry);
   }
@@ -276,87 +276,95 @@
       return MakeRefusal(event.id, RefusalReason::kTokenBudget, wait);
     }
   }
-  return CheckDeadline(request, lane, account, now);
+  return CheckDeadline(request, service_queue, account, now);
 }
 
-std::optional<Refuse> Admission::CheckDeadline(const QueuedRequest& request,
-                                               const Lane& lane,
-                                               const Account& account,
-                                               TimePoint now) {
+std::optional<Refuse> Admission::CheckDeadline(
+    const QueuedRequest& request,
+    const ServiceQueue& service_queue,
+    const Account& account,
+    TimePoint now) {
   // With nothing running, nothing would correct a run time that was believed
   // too long: such an entry would refuse everything for good.
-  if (lane.running == 0 && request.deadline > now) {
+  if (service_queue.running == 0 && request.deadline > now) {
     return std::nullopt;
   }
-  const double capacity =
-      std::min(static_cast<double>(lane.capacity), MaxRunning(account));
-  const bool free = lane.queue.size() == 0 && lane.running < lane.capacity;
-  const double ahead = lane.queue.Ahead(request, account.limits.weight);
+  const double capacity = std::min(static_cast<double>(service_queue.capacity),
+                                   MaxRunning(account));
+  const bool free = service_queue.queue.size() == 0 &&
+                    service_queue.running < service_queue.capacity;
+  const double ahead =
+      service_queue.queue.RequestsAhead(request, account.limits.weight);
   const Duration wait =
-      free ? Duration(0) : lane.rate.TimeToDrain(ahead + 1.0, capacity);
+      free ? Duration(0)
+           : service_queue.rate.TimeToDrain(ahead + 1.0, capacity);
   if (now + wait <= request.latest_start) {
     return std::nullopt;
   }
   return MakeRefusal(request.id, RefusalReason::kDeadline,
-                     ComeBack(lane, wait));
+                     RetryAfter(service_queue, wait));
 }
 
-Duration Admission::ComeBack(const Lane& lane, Duration wait) const {
-  const double drained =
-      static_cast<double>(lane.capacity) / ToSeconds(lane.rate.RunTime(0));
-  const double excess = lane.arrivals / std::max(drained, 0.01);
-  const double factor = std::clamp(excess, 1.0, kLargestExcess);
+Duration Admission::RetryAfter(const ServiceQueue& service_queue,
+                               Duration wait) const {
+  const double drained = static_cast<double>(service_queue.capacity) /
+                         ToSeconds(service_queue.rate.RunTime(0));
+  const double excess = service_queue.arrivals / std::max(drained, 0.01);
+  const double factor = std::clamp(excess, 1.0, kMaxExcess);
   return Duration(
       static_cast<Duration::rep>(factor * static_cast<double>(wait.count())));
 }
 
 void Admission::MakeRoom(const QueuedRequest& request,
-                         Lane& lane,
+                         ServiceQueue& service_queue,
                          double weight,
                          TimePoint now,
                          Actions& actions) {
-  if (lane.queue.size() <= options_.max_queued) {
+  if (service_queue.queue.size() <= options_.max_queued) {
     return;
   }
   const bool still_queued = queued_.contains(request.id);
   BILBERRYSPOOL_INVARIANT(still_queued, "only a queued arrival overfills");
-  lane.queue.Remove(request.id);
-  const AdmissionId victim = lane.queue.Victim(request, weight);
+  service_queue.queue.Remove(request.id);
+  const AdmissionId victim = service_queue.queue.Victim(request, weight);
   if (victim != request.id) {
-    const auto shed = lane.queue.Remove(victim);
+    const auto shed = service_queue.queue.Remove(victim);
     Account& account = accounts_.at(shed->workspace);
     if (account.limits.tokens_per_second > 0.0) {
       account.tokens.Charge(-static_cast<double>(shed->tokens), now);
     }
-    lane.queue.Push(request, weight);
+    service_queue.queue.Push(request, weight);
   }
   queued_.erase(victim);
-  const double behind = static_cast<double>(lane.queue.size());
-  const Duration wait = lane.rate.TimeToDrain(
-      behind, static_cast<double>(std::max<std::size_t>(1, lane.capacity)));
+  const double behind = static_cast<double>(service_queue.queue.size());
+  const Duration wait = service_queue.rate.TimeToDrain(
+      behind,
+      static_cast<double>(std::max<std::size_t>(1, service_queue.capacity)));
   const RefusalReason reason =
       victim == request.id ? RefusalReason::kQueueFull : RefusalReason::kShed;
-  actions.emplace_back(MakeRefusal(victim, reason, ComeBack(lane, wait)));
+  actions.emplace_back(
+      MakeRefusal(victim, reason, RetryAfter(service_queue, wait)));
 }
 
 void Admission::Release(const Running& ended) {
-  Lane& lane = LaneOf(ended.service);
+  ServiceQueue& service_queue = ServiceQueueOf(ended.service);
   Account& account = accounts_.at(ended.workspace);
-  BILBERRYSPOOL_INVARIANT(lane.running > 0 && account.running > 0,
+  BILBERRYSPOOL_INVARIANT(service_queue.running > 0 && account.running > 0,
                           "what ends was running");
-  --lane.running;
+  --service_queue.running;
   --account.running;
 }
 
 Refuse Admission::MakeRefusal(AdmissionId id,
                               RefusalReason reason,
                               Duration wait) {
-  const Duration base = std::max(wait, options_.least_retry_after);
-  return Refuse{id, reason, Spread(base, random_)};
+  const Duration base = std::max(wait, options_.min_retry_after);
+  return Refuse{id, reason, AddJitter(base, random_)};
 }
 
-Admission::Lane& Admission::LaneOf(const ServiceId& service) {
-  return lanes_.try_emplace(service, options_.initial_run_time).first->second;
+Admission::ServiceQueue& Admission::ServiceQueueOf(const ServiceId& service) {
+  return service_queues_.try_emplace(service, options_.initial_run_time)
+      .first->second;
 }
 
 Admission::Account& Admission::AccountOf(const Workspace& workspace,
@@ -387,13 +395,13 @@
 }
 
 std::size_t Admission::queued(const ServiceId& service) const {
-  const auto found = lanes_.find(service);
-  return found == lanes_.end() ? 0 : found->second.queue.size();
+  const auto found = service_queues_.find(service);
+  return found == service_queues_.end() ? 0 : found->second.queue.size();
 }
 
 std::size_t Admission::running(const ServiceId& service) const {
-  const auto found = lanes_.find(service);
-  return found == lanes_.end() ? 0 : found->second.running;
+  const auto found = service_queues_.find(service);
+  return found == service_queues_.end() ? 0 : found->second.running;
 }
 
 std::size_t Admission::running(const Workspace& workspace) const {
@@ -410,17 +418,18 @@
 }
 
 Duration Admission::ExpectedWait(const ServiceId& service) const {
-  const auto found = lanes_.find(service);
-  if (found == lanes_.end()) {
+  const auto found = service_queues_.find(service);
+  if (found == service_queues_.end()) {
     return Duration(0);
   }
-  const Lane& lane = found->second;
-  if (lane.queue.size() == 0 && lane.running < lane.capacity) {
+  const ServiceQueue& service_queue = found->second;
+  if (service_queue.queue.size() == 0 &&
+      service_queue.running < service_queue.capacity) {
     return Duration(0);
   }
-  return lane.rate.TimeToDrain(
-      static_cast<double>(lane.queue.size()) + 1.0,
-      static_cast<double>(std::max<std::size_t>(1, lane.capacity)));
+  return service_queue.rate.TimeToDrain(
+      static_cast<double>(service_queue.queue.size()) + 1.0,
+      static_cast<double>(std::max<std::size_t>(1, service_queue.capacity)));
 }
 
 }  // namespace bilberryspool::limits
--- a/src/libs/limits/admission.h
+++ b/src/libs/limits/admission.h
@@ -38,9 +38,9 @@
   // Longest wait in the queue, whatever the deadline: an answer that starts
   // later is silence on the line. Background work may wait until it is too late
   // for its deadline.
-  Duration longest_wait = Seconds(1);
+  Duration max_queue_wait = Seconds(1);
   // The least hint to a refused caller, before spreading.
-  Duration least_retry_after = Milliseconds(100);
+  Duration min_retry_after = Milliseconds(100);
   // Hint where a service has no usable target.
   Duration no_capacity_retry = Seconds(2);
   DemandShareOptions share;
@@ -73,8 +73,8 @@
 
  private:
   using Actions = std::vector<AdmissionAction>;
-  struct Lane {
-    explicit Lane(Duration initial_run_time) : rate(initial_run_time) {}
+  struct ServiceQueue {
+    explicit ServiceQueue(Duration initial_run_time) : rate(initial_run_time) {}
     FairQueue queue;
     DrainRate rate;
     std::size_t capacity = 0;
@@ -106,24 +106,24 @@
   void On(const Tick& event, TimePoint now, Actions& actions);
 
   // Admits what fits.
-  void Pump(const ServiceId& service, TimePoint now, Actions& actions);
-  void PumpAll(TimePoint now, Actions& actions);
-  void RefuseHopeless(TimePoint now, Actions& actions);
+  void AdmitQueued(const ServiceId& service, TimePoint now, Actions& actions);
+  void AdmitAllQueued(TimePoint now, Actions& actions);
+  void RefuseExpired(TimePoint now, Actions& actions);
   std::optional<Refuse> Check(const RequestArrived& event,
                               const QueuedRequest& request,
-                              const Lane& lane,
+                              const ServiceQueue& service_queue,
                               const Account& account,
                               TimePoint now);
   std::optional<Refuse> CheckDeadline(const QueuedRequest& request,
-                                      const Lane& lane,
+                                      const ServiceQueue& service_queue,
                                       const Account& account,
                                       TimePoint now);
-  static void CountArrival(Lane& lane, TimePoint now);
+  static void CountArrival(ServiceQueue& service_queue, TimePoint now);
   QueuedRequest MakeQueued(const RequestArrived& event,
-                           const Lane& lane,
+                           const ServiceQueue& service_queue,
                            TimePoint now) const;
   void MakeRoom(const QueuedRequest& request,
-                Lane& lane,
+                ServiceQueue& service_queue,
                 double weight,
                 TimePoint now,
                 Actions& actions);
@@ -132,9 +132,9 @@
 
   // When to come back, so that those who do meet a queue they fit into: the
   // wait, times how often the arrivals exceed what the lane drains.
-  Duration ComeBack(const Lane& lane, Duration wait) const;
+  Duration RetryAfter(const ServiceQueue& service_queue, Duration wait) const;
 
-  Lane& LaneOf(const ServiceId& service);
+  ServiceQueue& ServiceQueueOf(const ServiceId& service);
   Account& AccountOf(const Workspace& workspace, TimePoint now);
   void SetLimits(Account& account,
                  const WorkspaceLimits& limits,
@@ -147,7 +147,7 @@
   AdmissionOptions options_;
   Random random_;
   DemandShare share_;
-  std::map<ServiceId, Lane> lanes_;
+  std::map<ServiceId, ServiceQueue> service_queues_;
   std::unordered_map<Workspace, Account> accounts_;
   std::unordered_map<AdmissionId, Running> running_;
   // The service of each queued request.
--- a/src/libs/limits/backoff.cc
+++ b/src/libs/limits/backoff.cc
@@ -13,11 +13,11 @@
                       std::uint32_t retry,
                       Random& random) {
   const auto factor = std::int64_t{1} << std::min(retry, kMaxDoublings);
-  const Duration step = std::min(options.first * factor, options.longest);
+  const Duration step = std::min(options.first * factor, options.max);
   return random.Between(step / 2, step);
 }
 
-Duration Spread(Duration base, Random& random) {
+Duration AddJitter(Duration base, Random& random) {
   return random.Between(base, base + base / 2);
 }
 
--- a/src/libs/limits/backoff.h
+++ b/src/libs/limits/backoff.h
@@ -10,7 +10,7 @@
 
 struct BackoffOptions {
   Duration first = Milliseconds(50);
-  Duration longest = Seconds(5);
+  Duration max = Seconds(5);
 };
 
 // Waiting time before retry number `retry` (from 0): exponential, drawn from
@@ -21,7 +21,7 @@
 
 // A hint for a caller: `base` and up to half as much again, so that callers
 // refused together don't return together.
-Duration Spread(Duration base, Random& random);
+Duration AddJitter(Duration base, Random& random);
 
 }  // namespace bilberryspool::limits
 
--- a/src/libs/limits/demand_share.cc
+++ b/src/libs/limits/demand_share.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Below this a workspace counts as silent.
-constexpr double kLeastRate = 0.01;
+constexpr double kMinRate = 0.01;
 
 double RateIn(const std::unordered_map<Workspace, double>& rates,
               const Workspace& workspace) {
@@ -19,7 +19,7 @@
 
 DemandShare::DemandShare(DemandShareOptions options) : options_(options) {}
 
-void DemandShare::Arrived(const Workspace& workspace, TimePoint now) {
+void DemandShare::OnArrival(const Workspace& workspace, TimePoint now) {
   Rate& rate = arrivals_[workspace];
   rate.per_second = Decayed(rate, now) + 1.0 / ToSeconds(options_.averaging);
   rate.last = now;
@@ -30,7 +30,7 @@
   Announcement announcement{now, {}};
   for (auto it = arrivals_.begin(); it != arrivals_.end();) {
     const double rate = Decayed(it->second, now);
-    if (rate < kLeastRate) {
+    if (rate < kMinRate) {
       it = arrivals_.erase(it);
       continue;
     }
@@ -45,25 +45,25 @@
   return demands;
 }
 
-void DemandShare::Heard(const NodeId& peer,
-                        const std::vector<WorkspaceDemand>& demands,
-                        TimePoint now) {
+void DemandShare::OnPeerDemand(const NodeId& peer,
+                               const std::vector<WorkspaceDemand>& demands,
+                               TimePoint now) {
   Peer& known = peers_[peer];
-  known.heard_at = now;
+  known.received_at = now;
   known.rates.clear();
   for (const WorkspaceDemand& demand : demands) {
     known.rates[demand.workspace] = demand.requests_per_second;
   }
 }
 
-void DemandShare::Forget(const NodeId& peer) {
+void DemandShare::ErasePeer(const NodeId& peer) {
   peers_.erase(peer);
 }
 
 void DemandShare::Prune(TimePoint now) {
   for (auto it = peers_.begin(); it != peers_.end();) {
-    const bool silent = now - it->second.heard_at > options_.peer_memory;
-    it = silent ? peers_.erase(it) : std::next(it);
+    const bool expired = now - it->second.received_at > options_.peer_memory;
+    it = expired ? peers_.erase(it) : std::next(it);
   }
 }
 
@@ -72,13 +72,13 @@
     return 1.0;
   }
   const double entries = static_cast<double>(peers_.size()) + 1.0;
-  const double own = EffectiveOwn(workspace);
+  const double own = MaturedOwnRate(workspace);
   double total = own;
   for (const auto& [node, peer] : peers_) {
     total += RateIn(peer.rates, workspace);
   }
-  const double least = options_.floor / entries;
-  return total <= 0.0 ? least : std::max(least, own / total);
+  const double minimum = options_.floor / entries;
+  return total <= 0.0 ? minimum : std::max(minimum, own / total);
 }
 
 double DemandShare::EntryShare(TimePoint now) const {
@@ -93,8 +93,8 @@
       total += rate;
     }
   }
-  const double least = options_.floor / entries;
-  return total <= kLeastRate ? 1.0 / entries : std::max(least, own / total);
+  const double minimum = options_.floor / entries;
+  return total <= kMinRate ? 1.0 / entries : std::max(minimum, own / total);
 }
 
 double DemandShare::Decayed(const Rate& rate, TimePoint now) const {
@@ -102,7 +102,7 @@
   return rate.per_second * std::exp(-passed / ToSeconds(options_.averaging));
 }
 
-double DemandShare::EffectiveOwn(const Workspace& workspace) const {
+double DemandShare::MaturedOwnRate(const Workspace& workspace) const {
   const bool matured =
       !announced_.empty() &&
       announced_.back().at - announced_.front().at >= options_.maturity;
@@ -111,11 +111,11 @@
   }
   // A fall counts at once, a rise once it has matured: the least of the
   // announcements that some other entry may still act upon.
-  double least = RateIn(announced_.front().rates, workspace);
+  double minimum = RateIn(announced_.front().rates, workspace);
   for (const Announcement& announcement : announced_) {
-    least = std::min(least, RateIn(announcement.rates, workspace));
+    minimum = std::min(minimum, RateIn(announcement.rates, workspace));
   }
-  return least;
+  return minimum;
 }
 
 }  // namespace bilberryspool::limits
--- a/src/libs/limits/demand_share.h
+++ b/src/libs/limits/demand_share.h
@@ -38,13 +38,13 @@
  public:
   explicit DemandShare(DemandShareOptions options);
 
-  void Arrived(const Workspace& workspace, TimePoint now);
+  void OnArrival(const Workspace& workspace, TimePoint now);
   // The summary to send to all other entries, every fraction of `maturity`.
   std::vector<WorkspaceDemand> Announce(TimePoint now);
-  void Heard(const NodeId& peer,
-             const std::vector<WorkspaceDemand>& demands,
-             TimePoint now);
-  void Forget(const NodeId& peer);
+  void OnPeerDemand(const NodeId& peer,
+                    const std::vector<WorkspaceDemand>& demands,
+                    TimePoint now);
+  void ErasePeer(const NodeId& peer);
   // Drops peers that were silent for too long.
   void Prune(TimePoint now);
 
@@ -66,12 +66,12 @@
     Rates rates;
   };
   struct Peer {
-    TimePoint heard_at;
+    TimePoint received_at;
     Rates rates;
   };
 
   double Decayed(const Rate& rate, TimePoint now) const;
-  double EffectiveOwn(const Workspace& workspace) const;
+  double MaturedOwnRate(const Workspace& workspace) const;
 
   DemandShareOptions options_;
   std::unordered_map<Workspace, Rate> arrivals_;
--- a/src/libs/limits/drain_rate.cc
+++ b/src/libs/limits/drain_rate.cc
@@ -6,34 +6,34 @@
 namespace {
 
 constexpr double kSmoothing = 0.05;
-constexpr double kLeastFactor = 0.25;
-constexpr double kLargestFactor = 4.0;
-constexpr double kLeastSeconds = 1e-4;
-constexpr double kLongestSeconds = 3600.0;
+constexpr double kMinFactor = 0.25;
+constexpr double kMaxFactor = 4.0;
+constexpr double kMinSeconds = 1e-4;
+constexpr double kMaxSeconds = 3600.0;
 
 Duration FromSeconds(double seconds) {
-  const double bounded = std::min(seconds, kLongestSeconds);
+  const double bounded = std::min(seconds, kMaxSeconds);
   return Duration(static_cast<Duration::rep>(bounded * 1e6));
 }
 
 }  // namespace
 
 DrainRate::DrainRate(Duration initial)
-    : mean_seconds_(std::max(kLeastSeconds, ToSeconds(initial))) {}
+    : mean_seconds_(std::max(kMinSeconds, ToSeconds(initial))) {}
 
 void DrainRate::Observe(Duration run_time, std::uint32_t tokens) {
   ++observed_;
   const double share =
       std::max(kSmoothing, 1.0 / static_cast<double>(observed_));
   mean_seconds_ += share * (ToSeconds(run_time) - mean_seconds_);
-  mean_seconds_ = std::max(mean_seconds_, kLeastSeconds);
+  mean_seconds_ = std::max(mean_seconds_, kMinSeconds);
   mean_tokens_ += share * (static_cast<double>(tokens) - mean_tokens_);
 }
 
 Duration DrainRate::RunTime(std::uint32_t tokens) const {
   double factor = 1.0;
   if (tokens > 0 && mean_tokens_ > 0.0) {
-    factor = std::clamp(tokens / mean_tokens_, kLeastFactor, kLargestFactor);
+    factor = std::clamp(tokens / mean_tokens_, kMinFactor, kMaxFactor);
   }
   return FromSeconds(mean_seconds_ * factor);
 }
--- a/src/libs/limits/fair_queue.cc
+++ b/src/libs/limits/fair_queue.cc
@@ -9,7 +9,7 @@
 namespace bilberryspool::limits {
 namespace {
 
-constexpr double kLeastWeight = 1e-3;
+constexpr double kMinWeight = 1e-3;
 constexpr std::size_t kMaxFinishes = 256;
 
 bool IsBackground(const QueuedRequest& request) {
@@ -26,9 +26,9 @@
 }
 
 void FairQueue::Push(const QueuedRequest& request, double weight) {
-  Line& line = lines_[request.workspace];
-  line.weight = std::max(weight, kLeastWeight);
-  line.requests.insert(request);
+  WorkspaceQueue& queue = workspace_queues_[request.workspace];
+  queue.weight = std::max(weight, kMinWeight);
+  queue.requests.insert(request);
   by_latest_start_.emplace(request.latest_start, request.id);
   const bool added = requests_.emplace(request.id, request).second;
   BILBERRYSPOOL_INVARIANT(added, "an admission id is queued once");
@@ -37,8 +37,8 @@
 std::optional<QueuedRequest> FairQueue::Pop(const MayRun& may_run) {
   const QueuedRequest* next = nullptr;
   double next_start = 0.0;
-  for (const auto& [workspace, line] : lines_) {
-    const QueuedRequest& first = *line.requests.begin();
+  for (const auto& [workspace, queue] : workspace_queues_) {
+    const QueuedRequest& first = *queue.requests.begin();
     const double start = StartOf(workspace);
     if (next != nullptr &&
         std::make_pair(IsBackground(first), start) >=
@@ -55,9 +55,9 @@
     return std::nullopt;
   }
   const QueuedRequest popped = *next;
-  const double weight = lines_.at(popped.workspace).weight;
+  const double weight = workspace_queues_.at(popped.workspace).weight;
   virtual_time_ = std::max(virtual_time_, next_start);
-  finishes_[popped.workspace] =
+  virtual_finishes_[popped.workspace] =
       next_start + ToSeconds(popped.run_time) / weight;
   Erase(popped);
   PruneFinishes();
@@ -74,14 +74,14 @@
   return removed;
 }
 
-std::optional<QueuedRequest> FairQueue::PopHopeless(TimePoint now) {
+std::optional<QueuedRequest> FairQueue::PopExpired(TimePoint now) {
   if (by_latest_start_.empty() || by_latest_start_.begin()->first >= now) {
     return std::nullopt;
   }
   return Remove(by_latest_start_.begin()->second);
 }
 
-std::optional<TimePoint> FairQueue::next_hopeless() const {
+std::optional<TimePoint> FairQueue::next_expiry() const {
   if (by_latest_start_.empty()) {
     return std::nullopt;
   }
@@ -94,19 +94,19 @@
   // incoming request counts as queued.
   using Rank = std::pair<bool, double>;
   const auto rank_of = [&](const QueuedRequest& last, std::size_t queued,
-                           double line_weight) {
-    return Rank(IsBackground(last), static_cast<double>(queued) / line_weight);
+                           double queue_weight) {
+    return Rank(IsBackground(last), static_cast<double>(queued) / queue_weight);
   };
-  const double own_weight = std::max(weight, kLeastWeight);
+  const double own_weight = std::max(weight, kMinWeight);
   const QueuedRequest* victim = &incoming;
   Rank highest = rank_of(incoming, SizeOf(incoming.workspace) + 1, own_weight);
-  for (const auto& [workspace, line] : lines_) {
+  for (const auto& [workspace, queue] : workspace_queues_) {
     const bool own = workspace == incoming.workspace;
-    const QueuedRequest& last = *line.requests.rbegin();
+    const QueuedRequest& last = *queue.requests.rbegin();
     const QueuedRequest& least =
         own && Order()(last, incoming) ? incoming : last;
     const Rank rank =
-        rank_of(least, line.requests.size() + (own ? 1 : 0), line.weight);
+        rank_of(least, queue.requests.size() + (own ? 1 : 0), queue.weight);
     if (rank > highest || (own && victim == &incoming)) {
       highest = rank;
       victim = &least;
@@ -115,17 +115,18 @@
   return victim->id;
 }
 
-double FairQueue::Ahead(const QueuedRequest& incoming, double weight) const {
+double FairQueue::RequestsAhead(const QueuedRequest& incoming,
+                                double weight) const {
   const Turn turn = TurnOf(incoming, weight);
-  double ahead = turn.own_before;
-  for (const auto& [workspace, line] : lines_) {
+  double ahead = turn.own_ahead;
+  for (const auto& [workspace, queue] : workspace_queues_) {
     if (workspace == incoming.workspace) {
       continue;
     }
-    const bool other_background = IsBackground(*line.requests.begin());
+    const bool other_background = IsBackground(*queue.requests.begin());
     if (IsBackground(incoming) != other_background) {
       // Work that isn't background runs before all that is.
-      ahead += other_background ? 0.0 : Count(line);
+      ahead += other_background ? 0.0 : RequestCount(queue);
       continue;
     }
     const double lead = turn.start - StartOf(workspace);
@@ -133,8 +134,8 @@
       continue;
     }
     const double cost =
-        ToSeconds(line.requests.begin()->run_time) / line.weight;
-    ahead += std::min(Count(line), std::floor(lead / cost) + 1.0);
+        ToSeconds(queue.requests.begin()->run_time) / queue.weight;
+    ahead += std::min(RequestCount(queue), std::floor(lead / cost) + 1.0);
   }
   return ahead;
 }
@@ -143,45 +144,46 @@
                                   double weight) const {
   Turn turn;
   turn.start = StartOf(incoming.workspace);
-  const auto own = lines_.find(incoming.workspace);
-  if (own == lines_.end()) {
+  const auto own = workspace_queues_.find(incoming.workspace);
+  if (own == workspace_queues_.end()) {
     return turn;
   }
   for (const QueuedRequest& request : own->second.requests) {
     if (Order()(incoming, request)) {
       break;
     }
-    turn.own_before += 1.0;
-    turn.start += ToSeconds(request.run_time) / std::max(weight, kLeastWeight);
+    turn.own_ahead += 1.0;
+    turn.start += ToSeconds(request.run_time) / std::max(weight, kMinWeight);
   }
   return turn;
 }
 
-double FairQueue::Count(const Line& line) {
-  return static_cast<double>(line.requests.size());
+double FairQueue::RequestCount(const WorkspaceQueue& queue) {
+  return static_cast<double>(queue.requests.size());
 }
 
 std::size_t FairQueue::SizeOf(const Workspace& workspace) const {
-  const auto found = lines_.find(workspace);
-  return found == lines_.end() ? 0 : found->second.requests.size();
+  const auto found = workspace_queues_.find(workspace);
+  return found == workspace_queues_.end() ? 0 : found->second.requests.size();
 }
 
 double FairQueue::StartOf(const Workspace& workspace) const {
 #if defined(BILBERRYSPOOL_MUTATION_QUEUE_WITHOUT_FAIRNESS)
   return virtual_time_;
 #endif
-  const auto found = finishes_.find(workspace);
-  return found == finishes_.end() ? virtual_time_
-                                  : std::max(virtual_time_, found->second);
+  const auto found = virtual_finishes_.find(workspace);
+  return found == virtual_finishes_.end()
+             ? virtual_time_
+             : std::max(virtual_time_, found->second);
 }
 
 void FairQueue::Erase(const QueuedRequest& request) {
   // `request` may be a reference into one of the containers.
   const QueuedRequest copy = request;
-  const auto line = lines_.find(copy.workspace);
-  line->second.requests.erase(copy);
-  if (line->second.requests.empty()) {
-    lines_.erase(line);
+  const auto queue = workspace_queues_.find(copy.workspace);
+  queue->second.requests.erase(copy);
+  if (queue->second.requests.empty()) {
+    workspace_queues_.erase(queue);
   }
   by_latest_start_.erase({copy.latest_start, copy.id});
   requests_.erase(copy.id);
@@ -190,12 +192,12 @@
 }
 
 void FairQueue::PruneFinishes() {
-  if (finishes_.size() <= kMaxFinishes) {
+  if (virtual_finishes_.size() <= kMaxFinishes) {
     return;
   }
-  for (auto it = finishes_.begin(); it != finishes_.end();) {
+  for (auto it = virtual_finishes_.begin(); it != virtual_finishes_.end();) {
     const bool past = it->second <= virtual_time_;
-    it = past ? finishes_.erase(it) : std::next(it);
+    it = past ? virtual_finishes_.erase(it) : std::next(it);
   }
 }
 
--- a/src/libs/limits/fair_queue.h
+++ b/src/libs/limits/fair_queue.h
@@ -43,9 +43,9 @@
   std::optional<QueuedRequest> Pop(const MayRun& may_run);
   std::optional<QueuedRequest> Remove(AdmissionId id);
   // One that can no longer meet its deadline when started at `now`.
-  std::optional<QueuedRequest> PopHopeless(TimePoint now);
-  // The first moment when PopHopeless will give something.
-  std::optional<TimePoint> next_hopeless() const;
+  std::optional<QueuedRequest> PopExpired(TimePoint now);
+  // The first moment when PopExpired will give something.
+  std::optional<TimePoint> next_expiry() const;
 
   // The request to drop when `incoming` finds the queue full; may be
   // `incoming` itself. Background first, then the least important of the
@@ -54,7 +54,7 @@
   // Requests that would run before `incoming`, as the queue stands: its virtual
   // start decides, so a workspace that has had little is let in even where
   // those of the others fill the queue.
-  double Ahead(const QueuedRequest& incoming, double weight) const;
+  double RequestsAhead(const QueuedRequest& incoming, double weight) const;
 
   std::size_t size() const { return requests_.size(); }
   std::size_t SizeOf(const Workspace& workspace) const;
@@ -64,7 +64,7 @@
     bool operator()(const QueuedRequest& left,
                     const QueuedRequest& right) const;
   };
-  struct Line {
+  struct WorkspaceQueue {
     std::set<QueuedRequest, Order> requests;
     double weight = 1.0;
   };
@@ -76,19 +76,19 @@
   // own workspace come first.
   struct Turn {
     double start = 0.0;
-    double own_before = 0.0;
+    double own_ahead = 0.0;
   };
 
   Turn TurnOf(const QueuedRequest& incoming, double weight) const;
-  static double Count(const Line& line);
+  static double RequestCount(const WorkspaceQueue& queue);
   double StartOf(const Workspace& workspace) const;
   void Erase(const QueuedRequest& request);
   void PruneFinishes();
 
-  std::map<Workspace, Line> lines_;
+  std::map<Workspace, WorkspaceQueue> workspace_queues_;
   std::map<AdmissionId, QueuedRequest> requests_;
   std::set<std::pair<TimePoint, AdmissionId>> by_latest_start_;
-  Finish finishes_;
+  Finish virtual_finishes_;
   double virtual_time_ = 0.0;
 };
 
--- a/src/libs/limits/retry_budget.cc
+++ b/src/libs/limits/retry_budget.cc
@@ -8,7 +8,7 @@
     : options_(options), global_{options.global_burst, TimePoint()} {}
 
 void RetryBudget::OnFirstAttempt(const Workspace& workspace, TimePoint now) {
-  Account& account = Of(workspace, now);
+  Account& account = AccountOf(workspace, now);
   account.level =
       std::min(options_.workspace_burst, account.level + options_.ratio);
   Refill(global_, options_.global_reserve, options_.global_burst, now);
@@ -17,7 +17,7 @@
 }
 
 bool RetryBudget::TryRetry(const Workspace& workspace, TimePoint now) {
-  Account& account = Of(workspace, now);
+  Account& account = AccountOf(workspace, now);
   Refill(global_, options_.global_reserve, options_.global_burst, now);
   if (account.level < 1.0 || global_.level < 1.0) {
     return false;
@@ -38,8 +38,8 @@
   }
 }
 
-RetryBudget::Account& RetryBudget::Of(const Workspace& workspace,
-                                      TimePoint now) {
+RetryBudget::Account& RetryBudget::AccountOf(const Workspace& workspace,
+                                             TimePoint now) {
   const auto [found, added] = workspaces_.try_emplace(
       workspace, Account{options_.workspace_burst, now});
   if (!added) {
--- a/src/libs/limits/retry_budget.h
+++ b/src/libs/limits/retry_budget.h
@@ -42,7 +42,7 @@
     TimePoint last;
   };
 
-  Account& Of(const Workspace& workspace, TimePoint now);
+  Account& AccountOf(const Workspace& workspace, TimePoint now);
   static void Refill(Account& account,
                      double reserve,
                      double burst,
--- a/src/libs/limits/token_bucket.cc
+++ b/src/libs/limits/token_bucket.cc
@@ -5,7 +5,7 @@
 namespace bilberryspool::limits {
 namespace {
 
-constexpr Duration kLongestWait = Seconds(3600);
+constexpr Duration kMaxWait = Seconds(3600);
 constexpr double kRounding = 1e-6;
 
 }  // namespace
@@ -40,8 +40,8 @@
     return Duration(0);
   }
   const double seconds = rate_ > 0.0 ? missing / rate_ : 1e9;
-  if (seconds >= ToSeconds(kLongestWait)) {
-    return kLongestWait;
+  if (seconds >= ToSeconds(kMaxWait)) {
+    return kMaxWait;
   }
   return Duration(static_cast<Duration::rep>(seconds * 1e6) + 1);
 }
--- a/src/tools/routing_bench/main.cc
+++ b/src/tools/routing_bench/main.cc
@@ -81,7 +81,7 @@
       Duration(static_cast<Duration::rep>(FLAGS_half_life * 1e6));
   options.entry.router.headroom = FLAGS_headroom;
   options.entry.router.overfill = FLAGS_overfill;
-  options.entry.admission.longest_wait =
+  options.entry.admission.max_queue_wait =
       Duration(static_cast<Duration::rep>(FLAGS_wait * 1e6));
   options.entry.limited = variant.limited;
   options.phases = {Phase{Seconds(40), 0.7}, Phase{Seconds(40), FLAGS_load},
--- a/tests/auto/limits/adaptive_limit_test.cc
+++ b/tests/auto/limits/adaptive_limit_test.cc
@@ -45,10 +45,10 @@
   AdaptiveLimit limit(AdaptiveLimitOptions{}, 10);
   const TimePoint now = TimeAt(Seconds(5));
   for (int i = 0; i < 50; ++i) {
-    limit.Overloaded(now + Milliseconds(i));
+    limit.OnOverload(now + Milliseconds(i));
   }
   CHECK(limit.limit() == 8);
-  limit.Overloaded(now + Seconds(1));
+  limit.OnOverload(now + Seconds(1));
   CHECK(limit.limit() == 6);
 }
 
--- a/tests/auto/limits/demand_share_test.cc
+++ b/tests/auto/limits/demand_share_test.cc
@@ -47,7 +47,7 @@
     for (std::size_t i = 0; i < kEntries; ++i) {
       for (std::size_t j = 0; j < kEntries; ++j) {
         if (i != j) {
-          entries[i].Heard(Node(j), {}, TimeAt(Seconds(1)));
+          entries[i].OnPeerDemand(Node(j), {}, TimeAt(Seconds(1)));
         }
       }
     }
@@ -57,8 +57,8 @@
       if (random.Chance(0.05)) {
         busy = random.Below(kEntries);
       }
-      entries[busy].Arrived(kDairy, now);
-      entries[random.Below(kEntries)].Arrived(kDairy, now);
+      entries[busy].OnArrival(kDairy, now);
+      entries[random.Below(kEntries)].OnArrival(kDairy, now);
       if (step % 5 == 0) {
         for (std::size_t i = 0; i < kEntries; ++i) {
           const auto demands = entries[i].Announce(now);
@@ -73,7 +73,8 @@
       for (const Message& message : messages) {
         if (message.arrives > now - Milliseconds(100) &&
             message.arrives <= now) {
-          entries[message.to].Heard(Node(message.from), message.demands, now);
+          entries[message.to].OnPeerDemand(Node(message.from), message.demands,
+                                           now);
         }
       }
       REQUIRE(SumOfShares(entries) <= 1.0 + options.floor + 1e-9);
@@ -83,10 +84,10 @@
 
 TEST_CASE("callers that all use one entry get the whole limit there") {
   DemandShare entry{DemandShareOptions{}};
-  entry.Heard(Node(1), {}, TimeAt(Seconds(1)));
+  entry.OnPeerDemand(Node(1), {}, TimeAt(Seconds(1)));
   CHECK(entry.Share(kDairy) == doctest::Approx(0.125));
   for (int i = 0; i < 50; ++i) {
-    entry.Arrived(kDairy, TimeAt(Seconds(1) + Milliseconds(100) * i));
+    entry.OnArrival(kDairy, TimeAt(Seconds(1) + Milliseconds(100) * i));
     entry.Announce(TimeAt(Seconds(1) + Milliseconds(100) * i));
   }
   CHECK(entry.Share(kDairy) == doctest::Approx(1.0));
@@ -95,14 +96,14 @@
 TEST_CASE("a silent entry keeps its share for a while, a gone one doesn't") {
   DemandShare entry{DemandShareOptions{}};
   const TimePoint start = TimeAt(Seconds(1));
-  entry.Heard(Node(1), {WorkspaceDemand{kDairy, 5.0}}, start);
+  entry.OnPeerDemand(Node(1), {WorkspaceDemand{kDairy, 5.0}}, start);
   entry.Prune(start + Seconds(29));
   CHECK(entry.peers() == 1);
   entry.Prune(start + Seconds(31));
   CHECK(entry.peers() == 0);
   CHECK(entry.Share(kDairy) == 1.0);
-  entry.Heard(Node(1), {WorkspaceDemand{kDairy, 5.0}}, start);
-  entry.Forget(Node(1));
+  entry.OnPeerDemand(Node(1), {WorkspaceDemand{kDairy, 5.0}}, start);
+  entry.ErasePeer(Node(1));
   CHECK(entry.Share(kDairy) == 1.0);
 }
 
--- a/tests/auto/limits/fair_queue_test.cc
+++ b/tests/auto/limits/fair_queue_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // Of the requests drawn, in seconds.
-constexpr double kLargestCost = 2.0;
+constexpr double kMaxCost = 2.0;
 
 bool All(const Workspace& /*workspace*/) {
   return true;
@@ -67,8 +67,8 @@
         for (const std::string& other : names) {
           const double apart =
               served[one] / weights[one] - served[other] / weights[other];
-          REQUIRE(apart <= kLargestCost / weights[one] +
-                               kLargestCost / weights[other] + 1e-6);
+          REQUIRE(apart <=
+                  kMaxCost / weights[one] + kMaxCost / weights[other] + 1e-6);
         }
       }
     }
@@ -123,9 +123,10 @@
   for (int i = 0; i < 10; ++i) {
     queue.Pop(&All);
   }
-  CHECK(queue.Ahead(Request(99, "small"), 1.0) <= 1.0);
-  CHECK(queue.Ahead(Request(99, "large"), 1.0) == 40.0);
-  CHECK(queue.Ahead(Request(99, "small", Priority::kBackground), 1.0) == 40.0);
+  CHECK(queue.RequestsAhead(Request(99, "small"), 1.0) <= 1.0);
+  CHECK(queue.RequestsAhead(Request(99, "large"), 1.0) == 40.0);
+  CHECK(queue.RequestsAhead(Request(99, "small", Priority::kBackground), 1.0) ==
+        40.0);
 }
 
 }  // namespace
