--- a/src/libs/limits/adaptive_limit.cc
+++ b/src/libs/limits/adaptive_limit.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kMinGradient = 0.5;
-// Share of the limit that must be in use before it grows.
+// Fraction of the limit that must be in use before it grows.
 constexpr double kMinUtilization = 0.9;
 
 }  // namespace
@@ -27,10 +27,10 @@
   const double ratio =
       options_.tolerance * ToSeconds(baseline_) / ToSeconds(latency);
   const double gradient = std::clamp(ratio, kMinGradient, 1.0);
-  // Room for a little queueing, so that the limit can find a higher rate.
+  // Allows a little queueing, so that the limit can discover a higher rate.
   const double room = std::sqrt(limit_);
   const double wanted = limit_ * gradient + room;
-  // A limit that isn't used says nothing about a higher one.
+  // A limit that isn't used gives no evidence for a higher one.
   if (wanted > limit_ &&
       static_cast<double>(in_flight) < kMinUtilization * std::floor(limit_)) {
     return;
@@ -64,7 +64,7 @@
   if (now - window_start_ < options_.baseline_window) {
     return;
   }
-  // A target that became slower for good needs a new baseline.
+  // A target that has become slower permanently needs a new baseline.
   baseline_ = window_min_latency_;
   window_min_latency_ = latency;
   window_start_ = now;
--- a/src/libs/limits/adaptive_limit.h
+++ b/src/libs/limits/adaptive_limit.h
@@ -11,35 +11,37 @@
 struct AdaptiveLimitOptions {
   double min = 1.0;
   double max = 512.0;
-  // Latency over the baseline that is no sign of queueing yet.
+  // Ratio of latency to baseline up to which no queueing is assumed.
   double tolerance = 2.0;
-  // Weight of a new limit against the present one.
+  // Weight of a new limit against the current one.
   double smoothing = 0.2;
-  // The baseline is the least latency of the last one to two windows.
+  // The baseline is the minimum latency of the last one to two windows.
   Duration baseline_window = Seconds(30);
-  // Factor on a timeout or a "busy" answer.
+  // Factor applied to the limit after a timeout or a "busy" answer.
   double decrease = 0.8;
-  // At most one decrease in this time: one incident ends many requests.
+  // At most one decrease per interval, since one incident can fail many
+  // requests.
   Duration decrease_interval = Milliseconds(200);
 };
 
-// How many requests one entry may have at one target, from what the target
-// shows: grows while first tokens come as fast as at its best, shrinks when
-// they queue. Guards against constants that are wrong after the model, the
-// prompts or the number of entries changed.
+// Adaptive limit on the number of requests that one entry runs at one target.
+// It grows while first tokens arrive about as fast as at the baseline, and
+// shrinks when requests queue at the target. Guards against fixed limits that
+// become wrong when the model, the prompts or the number of entries change.
 class AdaptiveLimit {
  public:
-  // Starts at the target's own number of slots.
+  // Starts with the number of slots that the target declares.
   AdaptiveLimit(AdaptiveLimitOptions options, std::uint32_t slots);
 
-  // A first token after `latency`, with `in_flight` own requests at the time.
+  // Records a first token after `latency`, with `in_flight` requests of this
+  // entry at the time.
   void Observe(Duration latency, std::size_t in_flight, TimePoint now);
-  // A timeout, or "busy" from the target.
+  // Records a timeout or a "busy" answer of the target.
   void OnOverload(TimePoint now);
 
   // In requests, at least 1.
   std::size_t limit() const;
-  // The least recent latency; 0 before the first.
+  // The minimum recent latency; 0 before the first observation.
   Duration baseline() const { return baseline_; }
 
  private:
@@ -48,7 +50,7 @@
   AdaptiveLimitOptions options_;
   double limit_;
   Duration baseline_{0};
-  // Least latency of the present window.
+  // Minimum latency of the current window.
   Duration window_min_latency_{0};
   TimePoint window_start_;
   TimePoint last_decrease_;
--- a/src/libs/limits/admission.cc
+++ b/src/libs/limits/admission.cc
@@ -10,9 +10,9 @@
 namespace bilberryspool::limits {
 namespace {
 
-// Seconds over which the arrivals of a service are averaged.
+// Time constant of the average arrival rate of a service, in seconds.
 constexpr double kArrivalAveraging = 2.0;
-// Largest factor of an excess of arrivals on a hint.
+// Maximum factor of excess arrivals on a retry hint.
 constexpr double kMaxExcess = 20.0;
 
 }  // namespace
@@ -43,7 +43,7 @@
   Actions actions;
   RefuseExpired(now, actions);
   std::visit([&](const auto& typed) { On(typed, now, actions); }, event);
-  // The event itself may have queued one that can't wait at all.
+  // The event may have queued a request that can't wait at all.
   RefuseExpired(now, actions);
   return actions;
 }
@@ -182,8 +182,8 @@
 void Admission::SetLimits(Account& account,
                           const WorkspaceLimits& limits,
                           TimePoint now) {
-  // A new limit starts with its full burst; a changed one keeps its level, or
-  // every change of configuration would give a burst for free.
+  // A new limit starts with its full burst. A changed limit keeps its level;
+  // otherwise every change of configuration would grant another burst.
   if (account.limits.requests_per_second <= 0.0) {
     account.requests =
         TokenBucket(limits.requests_per_second, limits.request_burst);
@@ -236,7 +236,7 @@
                      Running{service, next->workspace, now, next->tokens});
     actions.emplace_back(Admit{next->id});
     BILBERRYSPOOL_INVARIANT(service_queue.running <= service_queue.capacity,
-                            "no more is admitted than may run");
+                            "no more requests are admitted than may run");
   }
 }
 
@@ -284,8 +284,8 @@
     const ServiceQueue& service_queue,
     const Account& account,
     TimePoint now) {
-  // With nothing running, nothing would correct a run time that was believed
-  // too long: such an entry would refuse everything for good.
+  // While no request runs, nothing can correct a run time that was estimated
+  // too high, and the entry would refuse everything permanently.
   if (service_queue.running == 0 && request.deadline > now) {
     return std::nullopt;
   }
@@ -324,7 +324,8 @@
     return;
   }
   const bool still_queued = queued_.contains(request.id);
-  BILBERRYSPOOL_INVARIANT(still_queued, "only a queued arrival overfills");
+  BILBERRYSPOOL_INVARIANT(still_queued,
+                          "only a queued arrival can overfill the queue");
   service_queue.queue.Remove(request.id);
   const AdmissionId victim = service_queue.queue.Victim(request, weight);
   if (victim != request.id) {
@@ -350,7 +351,7 @@
   ServiceQueue& service_queue = ServiceQueueOf(ended.service);
   Account& account = accounts_.at(ended.workspace);
   BILBERRYSPOOL_INVARIANT(service_queue.running > 0 && account.running > 0,
-                          "what ends was running");
+                          "a finished request was running");
   --service_queue.running;
   --account.running;
 }
--- a/src/libs/limits/admission.h
+++ b/src/libs/limits/admission.h
@@ -1,12 +1,14 @@
-// Admission: whether and when a request may run, as a pure decision.
+// Admission control: decides whether and when a request may run. Pure: events
+// and `now` in, decisions out.
 //
 // One Admission belongs to one entry. Each arrival gets exactly one outcome:
-// Admit, Refuse, or none where its caller left first. It guards against
-// - overload: the queue is bounded, and what can't meet its deadline is refused
-//   the moment that is known, with a hint from the present state;
-// - large workspaces starving small ones (fair queueing, limits);
-// - a retry storm keeping the overload alive: hints are spread out, and work
-//   that would end too late takes no capacity.
+// Admit, Refuse, or none if its caller abandons it first. It guards against
+// - overload: the queue is bounded, and requests that can't meet their deadline
+//   are refused as soon as that is known, with a retry hint derived from the
+//   current state;
+// - large workspaces that starve small ones, by fair queueing and limits;
+// - retry storms that prolong an overload: retry hints are spread out, and work
+//   that would finish too late takes no capacity.
 
 #ifndef LIBS_LIMITS_ADMISSION_H_
 #define LIBS_LIMITS_ADMISSION_H_
@@ -31,17 +33,17 @@
 namespace bilberryspool::limits {
 
 struct AdmissionOptions {
-  // Requests queued for one service.
+  // Maximum number of requests queued for one service.
   std::size_t max_queued = 1000;
-  // Believed of a service until requests of it have finished.
+  // Run time assumed for a service until requests of it have finished.
   Duration initial_run_time = Seconds(1);
-  // Longest wait in the queue, whatever the deadline: an answer that starts
-  // later is silence on the line. Background work may wait until it is too late
-  // for its deadline.
+  // Maximum wait in the queue, whatever the deadline, since the caller receives
+  // nothing until the answer starts. Background work may wait until it can no
+  // longer meet its deadline.
   Duration max_queue_wait = Seconds(1);
-  // The least hint to a refused caller, before spreading.
+  // Minimum retry hint to a refused caller, before jitter.
   Duration min_retry_after = Milliseconds(100);
-  // Hint where a service has no usable target.
+  // Retry hint if a service has no usable target.
   Duration no_capacity_retry = Seconds(2);
   DemandShareOptions share;
 };
@@ -50,39 +52,42 @@
  public:
   Admission(AdmissionOptions options, std::uint64_t seed);
 
-  // Handles one event. Refusals of queued requests that have become hopeless
-  // by `now` come first, whatever the event.
+  // Handles one event. Refusals of queued requests that have expired by `now`
+  // come first, whatever the event.
   std::vector<AdmissionAction> Handle(const AdmissionEvent& event,
                                       TimePoint now);
-  // When to hand in a Tick at the latest: the next queued request becomes
-  // hopeless then.
+  // The latest time for the next Tick, when the next queued request expires.
   std::optional<TimePoint> next_deadline() const;
 
-  // The demand summary to send to the other entries about every half second.
+  // The demand summary to send to the other entries about every 500 ms.
   std::vector<WorkspaceDemand> AnnounceDemand(TimePoint now);
 
   std::size_t queued(const ServiceId& service) const;
   std::size_t running(const ServiceId& service) const;
   std::size_t running(const Workspace& workspace) const;
-  // This entry's present share of a workspace's limits, in (0, 1].
+  // This entry's current share of a workspace's limits, in (0, 1].
   double share(const Workspace& workspace) const;
-  // This entry's present share of all demand, for Router::Capacity.
+  // This entry's current share of the total demand, in (0, 1], for
+  // Router::Capacity.
   double entry_share(TimePoint now) const;
-  // How long a request arriving now would wait, at most, given a fair turn.
+  // Upper estimate of the wait of a request that arrives now, assuming a fair
+  // turn.
   Duration ExpectedWait(const ServiceId& service) const;
 
  private:
   using Actions = std::vector<AdmissionAction>;
+  // Queue and running requests of one service.
   struct ServiceQueue {
     explicit ServiceQueue(Duration initial_run_time) : rate(initial_run_time) {}
     FairQueue queue;
     DrainRate rate;
     std::size_t capacity = 0;
     std::size_t running = 0;
-    // Arrivals a second, averaged; with those refused.
+    // Average arrivals per second, including refused ones.
     double arrivals = 0.0;
     TimePoint last_arrival;
   };
+  // Limits and running requests of one workspace.
   struct Account {
     WorkspaceLimits limits;
     TokenBucket requests{0.0, 0.0};
@@ -105,7 +110,7 @@
   void On(const PeerGone& event, TimePoint now, Actions& actions);
   void On(const Tick& event, TimePoint now, Actions& actions);
 
-  // Admits what fits.
+  // Admits queued requests while there is capacity.
   void AdmitQueued(const ServiceId& service, TimePoint now, Actions& actions);
   void AdmitAllQueued(TimePoint now, Actions& actions);
   void RefuseExpired(TimePoint now, Actions& actions);
@@ -130,8 +135,9 @@
   void Release(const Running& ended);
   Refuse MakeRefusal(AdmissionId id, RefusalReason reason, Duration wait);
 
-  // When to come back, so that those who do meet a queue they fit into: the
-  // wait, times how often the arrivals exceed what the lane drains.
+  // The retry hint of a refused request: the wait, multiplied by the ratio of
+  // arrivals to the drain rate of the service, so that callers who retry find a
+  // queue with room for them.
   Duration RetryAfter(const ServiceQueue& service_queue, Duration wait) const;
 
   ServiceQueue& ServiceQueueOf(const ServiceId& service);
@@ -139,9 +145,9 @@
   void SetLimits(Account& account,
                  const WorkspaceLimits& limits,
                  TimePoint now);
-  // Follows the present share.
+  // Adjusts the token buckets to the current share.
   void Refresh(Account& account, TimePoint now);
-  // This entry's part of the workspace's concurrency; at least 1.
+  // This entry's part of the workspace's concurrency limit; at least 1.
   double MaxRunning(const Account& account) const;
 
   AdmissionOptions options_;
--- a/src/libs/limits/admission_action.h
+++ b/src/libs/limits/admission_action.h
@@ -15,11 +15,12 @@
   kNoCapacity,
   kRequestRate,
   kTokenBudget,
-  // It can't end by its deadline, by the present queue and run times.
+  // The request can't finish by its deadline, given the current queue and run
+  // times.
   kDeadline,
-  // The queue is full and this request matters least.
+  // The queue is full, and this request is the least important one.
   kQueueFull,
-  // It was queued and gave way to one that matters more.
+  // The request was queued and removed in favor of a more important one.
   kShed,
 };
 
@@ -28,8 +29,8 @@
   AdmissionId id;
 };
 
-// Final: the request did not run and is forgotten here. To be answered at
-// once, with `retry_after`.
+// Final: the request did not run and is no longer tracked. The caller has to be
+// answered at once, with `retry_after`.
 struct Refuse {
   AdmissionId id;
   RefusalReason reason = RefusalReason::kNoCapacity;
--- a/src/libs/limits/admission_event.h
+++ b/src/libs/limits/admission_event.h
@@ -12,26 +12,26 @@
 
 namespace bilberryspool::limits {
 
-// One arrival of a request at one entry; chosen by the entry, never used
-// twice. A resend of the same RequestId is another arrival.
+// Identifies one arrival of a request at one entry. Chosen by the entry and
+// never reused; a resend of the same RequestId is another arrival.
 using AdmissionId = StrongNumber<struct AdmissionIdTag>;
 
-// Limits of one workspace over all entries together; 0 means none.
+// Limits of one workspace over all entries together; 0 means unlimited.
 struct WorkspaceLimits {
   Workspace workspace;
-  // Share of contended capacity against the other workspaces.
+  // Weight against other workspaces when capacity is contended.
   double weight = 1.0;
   double requests_per_second = 0.0;
   double request_burst = 0.0;
   double tokens_per_second = 0.0;
   double token_burst = 0.0;
-  // Requests running side by side.
+  // Maximum number of concurrently running requests.
   double concurrent = 0.0;
 
   bool operator==(const WorkspaceLimits&) const = default;
 };
 
-// What a workspace asks of one entry: all arrivals, refused ones too.
+// Demand of a workspace at one entry: all arrivals, including refused ones.
 struct WorkspaceDemand {
   Workspace workspace;
   double requests_per_second = 0.0;
@@ -44,36 +44,37 @@
   ServiceId service;
   Workspace workspace;
   Priority priority = Priority::kNormal;
-  // When the whole answer is due.
+  // Time by which the complete answer is due.
   TimePoint deadline;
-  // Prompt and answer together; 0 where unknown.
+  // Tokens of prompt and answer together; 0 if unknown.
   std::uint32_t expected_tokens = 0;
 };
 
-// An admitted request ended, however it went.
+// An admitted request has finished, whatever its outcome.
 struct RequestFinished {
   AdmissionId id;
   std::uint32_t tokens = 0;
 };
 
-// The caller left a request that is queued or running; there is no action.
+// The caller abandoned a queued or running request; no action follows for it.
 struct RequestAbandoned {
   AdmissionId id;
 };
 
-// How many requests of a service this entry may run (Router::Capacity).
+// Number of requests of a service that this entry may run (Router::Capacity).
 struct CapacityChanged {
   ServiceId service;
   std::size_t concurrent = 0;
 };
 
-// The accepted limits, whole. Workspaces without an entry have weight 1 and
-// no limits.
+// The complete set of accepted limits. Workspaces without an entry have weight
+// 1 and no limits.
 struct LimitsChanged {
   std::vector<WorkspaceLimits> limits;
 };
 
-// Another entry's demand summary, as its Admission::AnnounceDemand gave it.
+// Demand summary of another entry, as returned by its
+// Admission::AnnounceDemand().
 struct PeerDemand {
   NodeId peer;
   std::vector<WorkspaceDemand> demands;
--- a/src/libs/limits/backoff.h
+++ b/src/libs/limits/backoff.h
@@ -13,14 +13,15 @@
   Duration max = Seconds(5);
 };
 
-// Waiting time before retry number `retry` (from 0): exponential, drawn from
-// the upper half of the step so that retries neither come in step nor at once.
+// Delay before retry number `retry` (from 0): exponential, drawn at random from
+// the upper half of the step. Retries are then neither synchronized nor
+// immediate.
 Duration BackoffDelay(const BackoffOptions& options,
                       std::uint32_t retry,
                       Random& random);
 
-// A hint for a caller: `base` and up to half as much again, so that callers
-// refused together don't return together.
+// A retry hint for a caller: `base` plus a random part of up to half of it, so
+// that callers refused at the same time don't return at the same time.
 Duration AddJitter(Duration base, Random& random);
 
 }  // namespace bilberryspool::limits
--- a/src/libs/limits/demand_share.cc
+++ b/src/libs/limits/demand_share.cc
@@ -6,7 +6,7 @@
 namespace bilberryspool::limits {
 namespace {
 
-// Below this a workspace counts as silent.
+// Workspaces below this rate, in requests per second, have no demand.
 constexpr double kMinRate = 0.01;
 
 double RateIn(const std::unordered_map<Workspace, double>& rates,
@@ -109,8 +109,8 @@
   if (!matured) {
     return 0.0;
   }
-  // A fall counts at once, a rise once it has matured: the least of the
-  // announcements that some other entry may still act upon.
+  // A decrease counts at once, an increase only once it has matured: uses the
+  // minimum of the announcements that other entries may still act on.
   double minimum = RateIn(announced_.front().rates, workspace);
   for (const Announcement& announcement : announced_) {
     minimum = std::min(minimum, RateIn(announcement.rates, workspace));
--- a/src/libs/limits/drain_rate.cc
+++ b/src/libs/limits/drain_rate.cc
@@ -5,7 +5,9 @@
 namespace bilberryspool::limits {
 namespace {
 
+// Minimum weight of a new observation.
 constexpr double kSmoothing = 0.05;
+// Bounds of the ratio of a run time to the mean.
 constexpr double kMinFactor = 0.25;
 constexpr double kMaxFactor = 4.0;
 constexpr double kMinSeconds = 1e-4;
--- a/src/libs/limits/drain_rate.h
+++ b/src/libs/limits/drain_rate.h
@@ -8,16 +8,17 @@
 
 namespace bilberryspool::limits {
 
-// How long the requests of one service run, and so how fast its queue drains
-// when `capacity` of them run side by side.
+// Estimates the run time of the requests of one service, and from it how fast
+// the queue drains while `capacity` requests run concurrently.
 class DrainRate {
  public:
-  // `initial` is believed until requests have finished.
+  // `initial` is assumed until requests have finished.
   explicit DrainRate(Duration initial);
 
   void Observe(Duration run_time, std::uint32_t tokens);
 
-  // Expected time of a request of this many expected tokens (0: unknown).
+  // Expected run time of a request with this number of expected tokens (0:
+  // unknown).
   Duration RunTime(std::uint32_t tokens) const;
   // Expected time until `ahead` requests have left a queue served by
   // `capacity` slots.
--- a/src/libs/limits/fair_queue.cc
+++ b/src/libs/limits/fair_queue.cc
@@ -20,7 +20,7 @@
 
 bool FairQueue::Order::operator()(const QueuedRequest& left,
                                   const QueuedRequest& right) const {
-  // The first of the set runs first, so the priorities are swapped.
+  // The first element of the set runs first, so the priorities are swapped.
   return std::tie(right.priority, left.deadline, left.id) <
          std::tie(left.priority, right.deadline, right.id);
 }
@@ -90,8 +90,8 @@
 
 AdmissionId FairQueue::Victim(const QueuedRequest& incoming,
                               double weight) const {
-  // Whether there is background work, then the queue for the weight; the
-  // incoming request counts as queued.
+  // Rank of a candidate: whether it is background work, then the queue length
+  // relative to the weight. The incoming request counts as queued.
   using Rank = std::pair<bool, double>;
   const auto rank_of = [&](const QueuedRequest& last, std::size_t queued,
                            double queue_weight) {
@@ -125,7 +125,7 @@
     }
     const bool other_background = IsBackground(*queue.requests.begin());
     if (IsBackground(incoming) != other_background) {
-      // Work that isn't background runs before all that is.
+      // All other work runs before background work.
       ahead += other_background ? 0.0 : RequestCount(queue);
       continue;
     }
--- a/src/libs/limits/fair_queue.h
+++ b/src/libs/limits/fair_queue.h
@@ -21,39 +21,43 @@
   Workspace workspace;
   Priority priority = Priority::kNormal;
   TimePoint deadline;
-  // A later start is of no use to its caller.
+  // A later start would not meet the caller's deadline or maximum wait.
   TimePoint latest_start;
   // Expected cost of running it; must be above 0.
   Duration run_time{1};
   std::uint32_t tokens = 0;
 };
 
-// Queue of one service: start-time fair queueing over the workspaces by their
-// weights, and within a workspace by priority, then deadline.
+// Queue of one service. Uses start-time fair queueing over the workspaces by
+// their weights; within a workspace, requests are ordered by priority, then
+// deadline.
 //
-// Guards small workspaces: one with a short queue waits about
-// its own queue times the sum of weights over its weight, however long the
-// queues of the others are. Background work is taken only where no other is.
+// Protects small workspaces: a workspace with a short queue waits about its own
+// queue times the sum of weights divided by its weight, however long the other
+// queues are. Background work runs only while no other work is queued.
 class FairQueue {
  public:
   using MayRun = std::function<bool(const Workspace&)>;
 
   void Push(const QueuedRequest& request, double weight);
-  // The next request among workspaces for which `may_run` holds.
+  // Removes and returns the next request among the workspaces for which
+  // `may_run` holds.
   std::optional<QueuedRequest> Pop(const MayRun& may_run);
   std::optional<QueuedRequest> Remove(AdmissionId id);
-  // One that can no longer meet its deadline when started at `now`.
+  // Removes and returns a request that can no longer meet its deadline if
+  // started at `now`.
   std::optional<QueuedRequest> PopExpired(TimePoint now);
-  // The first moment when PopExpired will give something.
+  // The earliest time at which PopExpired() returns a request.
   std::optional<TimePoint> next_expiry() const;
 
-  // The request to drop when `incoming` finds the queue full; may be
-  // `incoming` itself. Background first, then the least important of the
-  // workspace with the most queued for its weight.
+  // The request to drop if `incoming` finds the queue full; may be `incoming`
+  // itself. Background work is dropped first, then the least important request
+  // of the workspace with the longest queue relative to its weight.
   AdmissionId Victim(const QueuedRequest& incoming, double weight) const;
-  // Requests that would run before `incoming`, as the queue stands: its virtual
-  // start decides, so a workspace that has had little is let in even where
-  // those of the others fill the queue.
+  // Number of requests that would run before `incoming`, given the current
+  // queue. Its virtual start time decides, so a workspace that has received
+  // little service is admitted even while the requests of others fill the
+  // queue.
   double RequestsAhead(const QueuedRequest& incoming, double weight) const;
 
   std::size_t size() const { return requests_.size(); }
@@ -64,16 +68,17 @@
     bool operator()(const QueuedRequest& left,
                     const QueuedRequest& right) const;
   };
+  // Queued requests of one workspace.
   struct WorkspaceQueue {
     std::set<QueuedRequest, Order> requests;
     double weight = 1.0;
   };
-  // Kept while it is ahead of the virtual time, so that a workspace doesn't
-  // gain by emptying its line.
+  // Virtual finish times. Kept while they are ahead of the virtual time, so
+  // that a workspace gains nothing by emptying its queue.
   using Finish = std::unordered_map<Workspace, double>;
 
-  // When a request would have its turn, in virtual time, and how many of its
-  // own workspace come first.
+  // The virtual start time of a request, and the number of requests of its own
+  // workspace that come first.
   struct Turn {
     double start = 0.0;
     double own_ahead = 0.0;
@@ -83,6 +88,7 @@
   static double RequestCount(const WorkspaceQueue& queue);
   double StartOf(const Workspace& workspace) const;
   void Erase(const QueuedRequest& request);
+  // Erases finish times that the virtual time has passed.
   void PruneFinishes();
 
   std::map<Workspace, WorkspaceQueue> workspace_queues_;
--- a/src/libs/limits/priority.h
+++ b/src/libs/limits/priority.h
@@ -5,13 +5,13 @@
 
 namespace bilberryspool::limits {
 
-// How much a request matters; the first is shed first.
+// Importance of a request; requests of the lowest priority are shed first.
 enum class Priority : std::uint8_t {
-  // Work nobody waits for. Runs only while no other work is queued.
+  // Work that nobody waits for. Runs only while no other work is queued.
   kBackground,
   kNormal,
-  // Goes before the other work of its own workspace. It doesn't overtake other
-  // workspaces, so that marking all work as high gains nothing over them.
+  // Runs before other work of its own workspace. It doesn't overtake other
+  // workspaces, so that marking all work as high gives no advantage over them.
   kHigh,
 };
 
--- a/src/libs/limits/retry_budget.h
+++ b/src/libs/limits/retry_budget.h
@@ -9,31 +9,31 @@
 namespace bilberryspool::limits {
 
 struct RetryBudgetOptions {
-  // Retries allowed for each first attempt.
+  // Number of retries allowed per first attempt.
   double ratio = 0.1;
-  // Most retries that can be saved up, for one workspace and for all.
+  // Maximum number of retries that can be saved up, per workspace and in total.
   double workspace_burst = 5.0;
   double global_burst = 20.0;
-  // Retries a second allowed without any first attempts, so that a quiet
-  // workspace can retry.
+  // Retries per second that are allowed without first attempts, so that a
+  // workspace with few requests can retry.
   double workspace_reserve = 0.2;
   double global_reserve = 1.0;
 };
 
-// Bounds retries to a share of the first attempts, per workspace and over all.
-// Guards against retry storms: with failures everywhere, unlimited retries
-// multiply the load exactly when there is no room for it.
+// Limits retries to a fraction of the first attempts, per workspace and in
+// total. Guards against retry storms: when everything fails, unlimited retries
+// multiply the load exactly while there is no capacity for it.
 //
-// Over any time, the retries of all are at most
-// ratio * first attempts + global_burst + global_reserve * seconds.
+// Over any period, the total number of retries is at most ratio * first
+// attempts + global_burst + global_reserve * seconds.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options);
 
   void OnFirstAttempt(const Workspace& workspace, TimePoint now);
-  // Whether one retry may be sent now; counts it where it may.
+  // Returns whether one retry may be sent now, and counts it if so.
   bool TryRetry(const Workspace& workspace, TimePoint now);
-  // Forgets workspaces that are full again; to be called now and then.
+  // Erases workspaces whose budget is full again; to be called periodically.
   void Prune(TimePoint now);
 
  private:
--- a/src/libs/limits/token_bucket.h
+++ b/src/libs/limits/token_bucket.h
@@ -5,21 +5,21 @@
 
 namespace bilberryspool::limits {
 
-// Rate limit with a burst. May be overdrawn by costs known only afterwards;
-// the debt is paid before the next one passes.
+// Rate limiter with a burst. May be overdrawn by costs that are known only
+// afterwards; the debt is repaid before the next request passes.
 class TokenBucket {
  public:
-  // `rate` in units a second, `burst` in units. Starts full.
+  // `rate` in units per second, `burst` in units. The bucket starts full.
   TokenBucket(double rate, double burst);
 
-  // Keeps the present level, cut to the new burst.
+  // Keeps the current level, reduced to the new burst if it is higher.
   void Configure(double rate, double burst, TimePoint now);
-  // Takes `cost` where the level covers it, or where the bucket is full: a
-  // cost above the burst would never pass otherwise.
+  // Takes `cost` if the level covers it, or if the bucket is full: a cost above
+  // the burst would never pass otherwise.
   bool TryTake(double cost, TimePoint now);
-  // Takes or gives back (negative) without a check.
+  // Takes `cost`, or returns it if negative, without a check.
   void Charge(double cost, TimePoint now);
-  // Until TryTake(cost) would pass; 0 where it would now.
+  // Time until TryTake(cost) would succeed; 0 if it would now.
   Duration WaitFor(double cost, TimePoint now) const;
 
   double level(TimePoint now) const;
--- a/tests/auto/declared_limits/limit_granter_test.cc
+++ b/tests/auto/declared_limits/limit_granter_test.cc
@@ -160,9 +160,7 @@
   CHECK(planner.GrantsToRequest(kService, true, kStart + Seconds(1)) == 26);
 }
 
-TEST_CASE(
-    "after a denial or with unlimited targets, grants are requested less "
-    "often") {
+TEST_CASE("denials and unlimited targets reduce the rate of grant requests") {
   GrantPlanner planner{GrantPlannerOptions{}};
   planner.OnAnswer(kService, /*is_denied=*/true, kStart);
   CHECK_FALSE(planner.GrantsToRequest(kService, true, kStart).has_value());
@@ -175,8 +173,7 @@
         1);
 }
 
-TEST_CASE(
-    "grant requests and answers survive a round trip, others are rejected") {
+TEST_CASE("grant requests and answers survive a round trip through JSON") {
   GrantRequest request = RequestFor(2, 0.5, 7);
   request.is_first_choice = false;
   const auto read = GrantRequestFromJson(ToJson(request));
--- a/tests/auto/limits/adaptive_limit_test.cc
+++ b/tests/auto/limits/adaptive_limit_test.cc
@@ -5,8 +5,8 @@
 namespace bilberryspool::limits {
 namespace {
 
-// An engine of `slots` whose first token takes 100 ms and longer once more
-// requests are at it than it has slots.
+// An engine whose first token takes 100 ms, and longer while it has more
+// requests than slots.
 Duration LatencyAt(std::size_t in_flight, std::size_t slots) {
   const std::size_t waiting = in_flight > slots ? in_flight - slots : 0;
   return Milliseconds(100 + static_cast<std::int64_t>(waiting * 50));
--- a/tests/auto/limits/admission_property_test.cc
+++ b/tests/auto/limits/admission_property_test.cc
@@ -13,8 +13,7 @@
 
 const ServiceId kServices[] = {ServiceId("drafter"), ServiceId("dispatch")};
 
-// Feeds an Admission random events and keeps count of what became of each
-// request.
+// Feeds random events to an Admission and records the outcome of each request.
 class Run {
  public:
   explicit Run(std::uint64_t seed)
@@ -46,7 +45,7 @@
     return options;
   }
 
-  // Ticks at each deadline on the way, as the program does.
+  // Sends a Tick at each deadline on the way, as the program does.
   void Advance(Duration step) {
     const TimePoint end = now_ + step;
     while (true) {
@@ -103,7 +102,7 @@
     Handle(RequestFinished{id, 100});
   }
 
-  // Leaving counts as the outcome of one that was still queued.
+  // Abandoning counts as the outcome of a request that was still queued.
   void Abandon() {
     if (ids_ == 0) {
       return;
@@ -132,7 +131,7 @@
         REQUIRE(std::get<Refuse>(action).retry_after >= Milliseconds(100));
       }
     }
-    // What became hopeless by now was refused by now.
+    // Requests that expired by now were refused by now.
     const auto next = admission_.next_deadline();
     REQUIRE((!next.has_value() || *next > now_));
     for (const ServiceId& service : kServices) {
@@ -158,11 +157,11 @@
   std::set<AdmissionId> running_;
 };
 
-// Symptom: a caller hears nothing, or hears two answers.
-// Sequence: arrivals, ends, departures, changes of capacity and limits, in any
-// order; requests shed, refused and admitted in the same step.
-// Cause: an outcome that is lost or given twice, or late.
-TEST_CASE("each request gets exactly one outcome, a hopeless one at once") {
+// Guards against outcomes that are lost, given twice or late, so that a caller
+// gets no answer or two. Arrivals, completions, abandoned requests and changes
+// of capacity and limits occur in any order; requests are shed, refused and
+// admitted in the same step.
+TEST_CASE("each request gets exactly one outcome, an expired one at once") {
   ForEachSeed(300, [](std::uint64_t seed) {
     CAPTURE(seed);
     Run run(seed);
--- a/tests/auto/limits/admission_test.cc
+++ b/tests/auto/limits/admission_test.cc
@@ -39,7 +39,7 @@
   return nullptr;
 }
 
-TEST_CASE("a queued request is admitted when another ends") {
+TEST_CASE("a queued request is admitted when another one finishes") {
   Admission admission(AdmissionOptions{}, 1);
   admission.Handle(CapacityChanged{kDrafter, 1}, kStart);
   const TimePoint deadline = kStart + Seconds(60);
@@ -50,11 +50,11 @@
   CHECK(IsAdmitted(actions, 2));
 }
 
-// Symptom: a caller waits in silence and is refused near its deadline.
-// Sequence: the queue is long; the request is queued although the requests
-// before it take longer than it can wait.
-// Cause: refusing by expiry only instead of by the expected wait.
-TEST_CASE("what can't start in time is refused at once, with a later hint") {
+// Guards against a caller that waits without an answer and is refused only near
+// its deadline. This happens if a request is queued although the requests
+// before it take longer than it can wait, and refusals depend on expiry instead
+// of the expected wait.
+TEST_CASE("a start that is too late is refused at once, with a later hint") {
   struct Row {
     Duration run_time;
     Duration deadline;
@@ -65,7 +65,7 @@
       {Milliseconds(100), Seconds(60), 3, false},
       {Milliseconds(100), Seconds(60), 30, true},       // the wait is too long
       {Milliseconds(100), Milliseconds(150), 3, true},  // the deadline is near
-      {Seconds(5), Seconds(4), 0, true}};  // it can't end in time at all
+      {Seconds(5), Seconds(4), 0, true}};  // it can't finish in time at all
   for (const Row& row : rows) {
     AdmissionOptions options;
     options.initial_run_time = row.run_time;
@@ -86,10 +86,10 @@
   }
 }
 
-// Symptom: after an overload the refused callers come back together, are
-// refused again, and keep the overload alive.
-// Sequence: all are told the same short time, whatever their number.
-// Cause: a hint from the queue alone, without those who wait outside it.
+// Guards against refused callers that return together after an overload, are
+// refused again and prolong the overload. This happens if all are told the same
+// short time, because the hint considers the queue alone and not the callers
+// that wait outside it.
 TEST_CASE("the hint grows with the arrivals that exceed the capacity") {
   Duration last{0};
   for (const std::uint64_t arrivals : {20, 100, 500}) {
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("an entry with a wrong run time doesn't refuse for good") {
+TEST_CASE("an entry with a wrong run time doesn't refuse permanently") {
   AdmissionOptions options;
   options.initial_run_time = Seconds(600);
   Admission admission(options, 1);
--- a/tests/auto/limits/budgets_test.cc
+++ b/tests/auto/limits/budgets_test.cc
@@ -12,10 +12,10 @@
 namespace bilberryspool::limits {
 namespace {
 
-// Symptom: after a short fault the targets stay overloaded for minutes.
-// Sequence: everything fails for a second; each entry retries each request;
-// the retries alone are more than the targets carry, so they fail as well.
-// Cause: retries without a bound in common.
+// Guards against targets that stay overloaded for minutes after a short fault.
+// Everything fails for a second and each entry retries each request; without a
+// common bound, the retries alone exceed the capacity of the targets and fail
+// as well.
 TEST_CASE("retries stay within the budget whatever the workspaces do") {
   ForEachSeed(200, [](std::uint64_t seed) {
     CAPTURE(seed);
@@ -46,7 +46,7 @@
   });
 }
 
-TEST_CASE("one workspace can't use up the retries of all") {
+TEST_CASE("one workspace can't use up the retries of the others") {
   RetryBudget budget(RetryBudgetOptions{});
   const TimePoint now = TimeAt(Seconds(1));
   int allowed = 0;
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("a bucket tells when it has enough again") {
+TEST_CASE("a bucket reports the time until it has enough again") {
   struct Row {
     double rate;
     double burst;
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE("the drain rate follows what requests took") {
+TEST_CASE("the drain rate follows the run times of requests") {
   DrainRate rate(Seconds(1));
   for (int i = 0; i < 200; ++i) {
     rate.Observe(Seconds(4), 100);
--- a/tests/auto/limits/demand_share_test.cc
+++ b/tests/auto/limits/demand_share_test.cc
@@ -33,10 +33,10 @@
   return sum;
 }
 
-// Symptom: a workspace runs at twice its limit for a while.
-// Sequence: its callers move from some entries to others; the new ones raise
-// their share before the old ones have heard of it.
-// Cause: a share that follows the own demand at once.
+// Guards against a workspace that runs at twice its limit for a while. Its
+// callers move from some entries to others, and the new ones raise their share
+// before the old ones have received the change; this happens if a share follows
+// the entry's own demand at once.
 TEST_CASE("the shares of all entries stay bounded while demand moves") {
   ForEachSeed(100, [](std::uint64_t seed) {
     CAPTURE(seed);
@@ -93,7 +93,7 @@
   CHECK(entry.Share(kDairy) == doctest::Approx(1.0));
 }
 
-TEST_CASE("a silent entry keeps its share for a while, a gone one doesn't") {
+TEST_CASE("a silent peer keeps its share for a while, a removed one doesn't") {
   DemandShare entry{DemandShareOptions{}};
   const TimePoint start = TimeAt(Seconds(1));
   entry.OnPeerDemand(Node(1), {WorkspaceDemand{kDairy, 5.0}}, start);
--- a/tests/auto/limits/fair_queue_test.cc
+++ b/tests/auto/limits/fair_queue_test.cc
@@ -11,7 +11,7 @@
 namespace bilberryspool::limits {
 namespace {
 
-// Of the requests drawn, in seconds.
+// Maximum cost of a random request, in seconds.
 constexpr double kMaxCost = 2.0;
 
 bool All(const Workspace& /*workspace*/) {
@@ -32,10 +32,9 @@
   return request;
 }
 
-// Symptom: a small workspace's calls end in silence while a large one runs.
-// Sequence: the large one fills the queue; first come, first served then gives
-// it all slots.
-// Cause: a queue that doesn't know whose requests it holds.
+// Guards against requests of a small workspace that time out while a large
+// workspace runs. The large one fills the queue and gets all slots if the queue
+// serves first come, first served, without regard to workspaces.
 TEST_CASE("backlogged workspaces get service in proportion to their weights") {
   ForEachSeed(200, [](std::uint64_t seed) {
     CAPTURE(seed);
@@ -98,9 +97,9 @@
   };
   // Queued: 1 to 4 of "large" (4 is high), 5 of "small".
   const Row rows[] = {
-      {"small", Priority::kNormal, 3},      // the longest line gives way
-      {"large", Priority::kNormal, 9},      // itself is the last of its line
-      {"large", Priority::kHigh, 3},        // in its own line, less important
+      {"small", Priority::kNormal, 3},      // the longest queue makes room
+      {"large", Priority::kNormal, 9},      // is itself the last of its queue
+      {"large", Priority::kHigh, 3},        // less important, in the same queue
       {"small", Priority::kBackground, 9},  // background goes first
       {"other", Priority::kHigh, 3}};
   for (const Row& row : rows) {
@@ -115,7 +114,8 @@
   }
 }
 
-TEST_CASE("a workspace that has had little isn't behind the lines of others") {
+TEST_CASE(
+    "a workspace with little service doesn't wait for the queues of others") {
   FairQueue queue;
   for (std::uint64_t id = 1; id <= 50; ++id) {
     queue.Push(Request(id, "large"), 1.0);
--- a/tests/auto/limits/seeds.h
+++ b/tests/auto/limits/seeds.h
@@ -20,8 +20,8 @@
   std::abort();
 }
 
-// Runs `body(seed)` for each seed; BILBERRYSPOOL_SEEDS raises their number for
-// long runs. A broken invariant prints the seed.
+// Runs `body(seed)` for each seed; BILBERRYSPOOL_SEEDS increases their number
+// for long runs. A violated invariant prints the seed.
 template <typename Body>
 void ForEachSeed(std::uint64_t count, const Body& body) {
   const char* wanted = std::getenv("BILBERRYSPOOL_SEEDS");
--- a/tests/auto/quarantine/quarantine_registry_test.cc
+++ b/tests/auto/quarantine/quarantine_registry_test.cc
@@ -38,8 +38,7 @@
 // The decision delay of 100 ms after the third termination.
 constexpr Duration kRefusedAt = Seconds(10) + Milliseconds(100);
 
-TEST_CASE(
-    "a request runs one at a time after a termination, not at all after 3") {
+TEST_CASE("one termination restricts a request to one run, three refuse it") {
   QuarantineRegistry registry{QuarantineOptions{}};
   CHECK(registry.VerdictOf(kRequest, TimeAt(Seconds(0))) == Verdict::kFree);
   CHECK(registry.OnTermination(TerminationOf(0), TimeAt(Seconds(0))));
@@ -81,9 +80,7 @@
 
 // Guards against refusing a popular request for terminations that another
 // request caused at the same targets.
-TEST_CASE(
-    "of two requests at the same targets the one with more terminations is "
-    "refused") {
+TEST_CASE("of two requests the one with more terminations is refused") {
   const RequestFingerprint other{2, 2};
   QuarantineRegistry registry{QuarantineOptions{}};
   const auto both = [&](std::int64_t target, Duration at) {
--- a/tests/auto/quarantine/quarantine_view_test.cc
+++ b/tests/auto/quarantine/quarantine_view_test.cc
@@ -73,9 +73,7 @@
 // Guards against sending the request again before the control nodes have
 // received a termination, and against a disconnected gateway that never refuses
 // it.
-TEST_CASE(
-    "own observations count until control nodes know them, or if none is "
-    "reachable") {
+TEST_CASE("own observations count until reported, or if no node is reachable") {
   QuarantineView view{QuarantineViewOptions{}};
   view.Adopt("a", {}, true, kNow);
   for (std::int64_t i = 0; i < 3; ++i) {
@@ -88,8 +86,7 @@
   CHECK(view.Judge(kRequest, last + Seconds(3)).verdict == Verdict::kRefused);
 }
 
-TEST_CASE(
-    "a request that completed here is cleared, and the completion reported") {
+TEST_CASE("an own completion clears a reported request and is passed on") {
   QuarantineView view{QuarantineViewOptions{}};
   CHECK_FALSE(view.OnCompleted(kRequest, kNow));
   const auto clearing = view.Adopt(
--- a/tests/auto/quarantine/request_fingerprint_test.cc
+++ b/tests/auto/quarantine/request_fingerprint_test.cc
@@ -28,9 +28,7 @@
   CHECK(FingerprintOf(Base()) == FingerprintOf(Base()));
 }
 
-TEST_CASE(
-    "a fingerprint survives a round trip through text, other text is "
-    "rejected") {
+TEST_CASE("a fingerprint survives a round trip, other text is rejected") {
   const RequestFingerprint fingerprint = FingerprintOf(Base());
   CHECK(fingerprint.ToText().size() == 32);
   CHECK(RequestFingerprint::FromText(fingerprint.ToText()) == fingerprint);
