--- a/src/libs/quarantine/quarantine_registry.cc
+++ b/src/libs/quarantine/quarantine_registry.cc
@@ -14,13 +14,13 @@
 
 std::map<RequestFingerprint, Verdict> UrgentVerdicts(
     const std::vector<QuarantineRecord>& records) {
-  std::map<RequestFingerprint, Verdict> held;
+  std::map<RequestFingerprint, Verdict> verdicts;
   for (const QuarantineRecord& record : records) {
     if (record.terminations > 1 || record.verdict == Verdict::kRefused) {
-      held.emplace(record.request, record.verdict);
+      verdicts.emplace(record.request, record.verdict);
     }
   }
-  return held;
+  return verdicts;
 }
 
 bool QuarantineRegistry::OnTermination(const TerminationObserved& end,
