--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -11,7 +11,7 @@
 
 #include "libs/links/link_server.h"
 #include "libs/net/fiber_signal.h"
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 #include "libs/telemetry/line_budget.h"
 #include "libs/telemetry/log.h"
 
@@ -68,7 +68,7 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  quarantine::QuarantineBook book_;
+  quarantine::QuarantineRegistry book_;
   std::vector<quarantine::QuarantineRecord> told_;
   std::uint64_t told_revision_ = 0;
   std::uint64_t urgent_revision_ = 0;
--- a/tests/auto/declared_limits/limit_random_test.cc
+++ b/tests/auto/declared_limits/limit_random_test.cc
@@ -1,4 +1,5 @@
-// Many gateways and control nodes before a target with a limit, many seeds.
+// Simulates many gateways and control nodes with limited targets, over many
+// seeds.
 
 #include <doctest/doctest.h>
 
@@ -11,9 +12,9 @@
 namespace bilberryspool::declared_limits {
 namespace {
 
-// Guards against gateways that each take a limit for themselves: what they send
-// together stays within it, and the limit is used where there is demand.
-TEST_CASE("all gateways together keep to a target's limit, and use it") {
+// Guards against gateways that each use the whole limit: their total must stay
+// within it, and the limit must be used where there is demand.
+TEST_CASE("all gateways together stay within a target's limit, and use it") {
   for (const std::size_t gateways : {7, 40, 149}) {
     for (const double limit : {0.5, 1.0, 5.0, 50.0}) {
       CAPTURE(gateways);
@@ -21,23 +22,22 @@
       LimitWorldOptions options;
       options.gateways = gateways;
       options.limit = limit;
-      // A target that is held below the others is the first choice wherever
-      // it may take one more.
+      // A target that gets less load than the others is the first choice of
+      // every gateway that may send it one more request.
       options.demand =
           std::max(3.0 * static_cast<double>(gateways), 6.0 * limit);
       ForEachSeed(gateways < 100 ? 6 : 2, [&](std::uint64_t seed) {
         CAPTURE(seed);
         const LimitWorldResult result = LimitWorld(options, seed).Run();
-        CHECK(result.most_over <= 0.0);
+        CHECK(result.max_excess <= 0.0);
         CHECK(result.used > 0.6);
       });
     }
   }
 }
 
-// Guards against limits that are divided beforehand: callers are refused while
-// most of each limit goes unused, since no gateway has a whole request saved
-// up.
+// Guards against dividing limits in advance: callers are refused while most of
+// each limit is unused, since no gateway has saved up a whole request.
 TEST_CASE("nobody is refused while the limits have room") {
   for (const std::size_t gateways : {7, 40, 149}) {
     for (const double skew : {0.0, 0.5, 0.9}) {
@@ -53,7 +53,7 @@
         CAPTURE(seed);
         const LimitWorldResult result = LimitWorld(options, seed).Run();
         CHECK(result.refused < 0.005);
-        CHECK(result.most_over <= 0.0);
+        CHECK(result.max_excess <= 0.0);
       });
     }
   }
@@ -78,7 +78,7 @@
             CAPTURE(seed);
             const LimitWorldResult result = LimitWorld(options, seed).Run();
             CHECK(result.used >= 0.9);
-            CHECK(result.most_over <= 0.0);
+            CHECK(result.max_excess <= 0.0);
           });
         }
       }
@@ -86,8 +86,8 @@
   }
 }
 
-// Guards against limited targets that stand idle beside others.
-TEST_CASE("limits of a few targets are used beside others without any") {
+// Guards against limited targets that stay idle beside unlimited ones.
+TEST_CASE("limits of a few targets are used beside unlimited targets") {
   LimitWorldOptions options;
   options.gateways = 24;
   options.targets = 2;
@@ -97,7 +97,7 @@
     CAPTURE(seed);
     const LimitWorldResult result = LimitWorld(options, seed).Run();
     CHECK(result.used >= 0.9);
-    CHECK(result.most_over <= 0.0);
+    CHECK(result.max_excess <= 0.0);
   });
 }
 
@@ -122,9 +122,9 @@
   add("control nodes restart",
       [](LimitWorldOptions& options) { options.control_restarts = 0.3; });
   add("gateways are cut off",
-      [](LimitWorldOptions& options) { options.cuts = 0.2; });
+      [](LimitWorldOptions& options) { options.disconnects = 0.2; });
   add("questions for grants are lost", [](LimitWorldOptions& options) {
-    options.lost_questions = 0.3;
+    options.lost_grant_requests = 0.3;
     options.targets = 3;
   });
   add("all of it, 40 gateways", [](LimitWorldOptions& options) {
@@ -132,18 +132,18 @@
     options.changes = 3.0;
     options.gateway_restarts = 0.2;
     options.control_restarts = 0.1;
-    options.cuts = 0.2;
-    options.lost_questions = 0.1;
+    options.disconnects = 0.2;
+    options.lost_grant_requests = 0.1;
   });
   return cases;
 }
 
-TEST_CASE("a limit holds while it changes, and gateways come and go") {
+TEST_CASE("a limit holds during changes, restarts and disconnects") {
   for (const Case& one : Cases()) {
     CAPTURE(one.name);
     ForEachSeed(20, [&](std::uint64_t seed) {
       CAPTURE(seed);
-      CHECK(LimitWorld(one.options, seed).Run().most_over <= 0.0);
+      CHECK(LimitWorld(one.options, seed).Run().max_excess <= 0.0);
     });
   }
 }
--- a/tests/auto/declared_limits/limit_world.h
+++ b/tests/auto/declared_limits/limit_world.h
@@ -1,5 +1,5 @@
-// Gateways and control nodes as pure machines before targets that each declare
-// a limit, with changes of the limit and faults.
+// Simulates gateways and control nodes on the pure state machines, with targets
+// that each declare a limit, changes of the limit, and faults.
 
 #ifndef AUTO_DECLARED_LIMITS_LIMIT_WORLD_H_
 #define AUTO_DECLARED_LIMITS_LIMIT_WORLD_H_
@@ -15,8 +15,8 @@
 #include "libs/base/random.h"
 #include "libs/declared_limits/grant_planner.h"
 #include "libs/declared_limits/limit_accounts.h"
-#include "libs/declared_limits/limit_book.h"
 #include "libs/declared_limits/limit_granter.h"
+#include "libs/declared_limits/limit_registry.h"
 
 namespace bilberryspool::declared_limits {
 
@@ -25,30 +25,32 @@
   std::size_t controls = 3;
   std::size_t targets = 1;
   double limit = 1.0;
-  // Whether other targets of the service declare none.
+  // Whether the service has other targets, without a limit.
   bool has_others = false;
-  // Requests a second that would go to the targets, over all gateways.
+  // Requests per second for the targets, over all gateways.
   double demand = 20.0;
-  // Part of the demand that comes to the first gateway; else even.
+  // Part of the demand that arrives at the first gateway; the rest is spread
+  // evenly.
   double skew = 0.0;
-  // Chances a second.
+  // Probability per second of each fault.
   double gateway_restarts = 0.0;
   double control_restarts = 0.0;
-  double cuts = 0.0;
-  // Chance of a question for grants to be lost at the first node asked.
-  double lost_questions = 0.0;
-  // The limit is changed by up to this factor, up or down; 1: never.
+  double disconnects = 0.0;
+  // Probability that a grant request to the first control node is lost.
+  double lost_grant_requests = 0.0;
+  // Maximum factor by which the limit changes, up or down; 1: never.
   double changes = 1.0;
   Duration length = Seconds(40);
 };
 
 struct LimitWorldResult {
-  // The most arrivals in 4 s beyond what is allowed there, from gateways that
-  // count; none is over where it is not positive.
-  double most_over = -1e9;
-  // Arrivals from the first settling time on, as a part of all limits.
+  // Maximum excess of the arrivals within 4 s over what is allowed, from
+  // gateways that count. Not positive if the limit was never exceeded.
+  double max_excess = -1e9;
+  // Arrivals after the first settling time, as a fraction of all limits.
   double used = 0.0;
-  // Requests from then on that no target could be sent, as a part of all.
+  // Requests after that time that could be sent to no target, as a fraction of
+  // all.
   double refused = 0.0;
 };
 
@@ -61,9 +63,9 @@
   struct Gateway {
     std::unique_ptr<LimitAccounts> accounts;
     std::unique_ptr<GrantPlanner> planner;
-    bool is_cut = false;
-    TimePoint disturbed_at;
-    std::optional<TimePoint> passed_on_at;
+    bool is_disconnected = false;
+    TimePoint last_fault_ended_at;
+    std::optional<TimePoint> limit_received_at;
     std::map<std::size_t, std::uint64_t> revisions;
   };
   struct Arrival {
@@ -78,21 +80,23 @@
 
   void After(Duration delay, std::function<void()> event);
   Duration Delay();
-  bool Strikes(double per_second);
+  bool Occurs(double per_second);
   std::string NameOf(std::size_t gateway) const;
   void Traffic();
   static TargetRun RunOf(std::size_t target);
-  // A request comes to the gateway.
+  // A request arrives at the gateway.
   void Arrive(std::size_t gateway);
   void AskForGrants(std::size_t gateway, std::uint32_t wanted);
-  // Sends it to a target that may have it; else it is refused.
+  // Sends the request to a target that may take it; refuses it if there is
+  // none.
   void Choose(std::size_t gateway);
   void Send(std::size_t gateway, std::size_t target);
-  // One question of a gateway to a control node, held until there is news.
+  // One watch request of a gateway to a control node, which is answered when
+  // there is an update.
   void Watch(std::size_t gateway, std::size_t control);
   void Answer(std::size_t gateway, std::size_t control, TimePoint limit);
-  void StrikeFaults();
-  void NameGateways(std::size_t control);
+  void InjectFaults();
+  void SetGatewayNames(std::size_t control);
   LimitWorldResult Judge() const;
 
   LimitWorldOptions options_;
@@ -102,7 +106,7 @@
   TimePoint end_;
   std::multimap<TimePoint, std::function<void()>> events_;
   struct Control {
-    LimitBook book{LimitBookOptions{}};
+    LimitRegistry registry{LimitRegistryOptions{}};
     LimitGranter granter{LimitGranterOptions{}};
   };
   std::vector<std::unique_ptr<Control>> controls_;
--- a/tests/auto/limits/adaptive_limit_test.cc
+++ b/tests/auto/limits/adaptive_limit_test.cc
@@ -5,8 +5,8 @@
 namespace bilberryspool::limits {
 namespace {
 
-// An engine of `slots` whose first token takes 100 ms and longer once more
-// requests are at it than it has slots.
+// An engine whose first token takes 100 ms, and longer while it has more
+// requests than slots.
 Duration LatencyAt(std::size_t in_flight, std::size_t slots) {
   const std::size_t waiting = in_flight > slots ? in_flight - slots : 0;
   return Milliseconds(100 + static_cast<std::int64_t>(waiting * 50));
@@ -45,10 +45,10 @@
   AdaptiveLimit limit(AdaptiveLimitOptions{}, 10);
   const TimePoint now = TimeAt(Seconds(5));
   for (int i = 0; i < 50; ++i) {
-    limit.Overloaded(now + Milliseconds(i));
+    limit.OnOverload(now + Milliseconds(i));
   }
   CHECK(limit.limit() == 8);
-  limit.Overloaded(now + Seconds(1));
+  limit.OnOverload(now + Seconds(1));
   CHECK(limit.limit() == 6);
 }
 
--- a/tests/auto/quarantine/quarantine_world.h
+++ b/tests/auto/quarantine/quarantine_world.h
@@ -1,5 +1,6 @@
-// Gateways, control nodes and targets as pure machines, with a request that
-// ends each target that runs it, others that don't, and faults.
+// Simulates gateways, control nodes and targets on the pure state machines,
+// with a request that terminates each target that runs it, harmless requests,
+// and faults.
 
 #ifndef AUTO_QUARANTINE_QUARANTINE_WORLD_H_
 #define AUTO_QUARANTINE_QUARANTINE_WORLD_H_
@@ -14,7 +15,7 @@
 #include <vector>
 
 #include "libs/base/random.h"
-#include "libs/quarantine/quarantine_book.h"
+#include "libs/quarantine/quarantine_registry.h"
 #include "libs/quarantine/quarantine_view.h"
 
 namespace bilberryspool::quarantine {
@@ -23,36 +24,38 @@
   std::size_t gateways = 7;
   std::size_t controls = 3;
   std::size_t targets = 16;
-  // Requests a second, over all gateways.
-  double ending_rate = 4.0;
+  // Requests per second over all gateways.
+  double terminating_rate = 4.0;
   double unique_rate = 80.0;
   double popular_rate = 20.0;
-  // So many copies of the request that ends targets come at one moment.
+  // Copies of the terminating request that arrive at the same time.
   std::size_t burst = 1;
-  // Chances a second of each fault.
+  // Probability per second of each fault.
   double control_restarts = 0.0;
   double gateway_restarts = 0.0;
-  double cuts = 0.0;
-  // Most targets end at one moment, for another reason.
-  double herds = 0.0;
-  // The targets are ranks of one group: with one all stand still, cut off what
-  // they have a while later, and begin anew once all are back.
+  double disconnects = 0.0;
+  // Most targets terminate at the same time, for another reason.
+  double mass_terminations = 0.0;
+  // The targets are ranks of one group: when one terminates, all are stalled,
+  // abort their calls after a while, and form again once all have restarted.
   bool is_group = false;
-  // Before anything ends.
+  // Time before the first termination.
   Duration quiet_start = Seconds(0);
   Duration length = Seconds(60);
   Duration target_restart = Seconds(3);
 };
 
 struct WorldResult {
-  // Targets that the request ended, and sends of it that reached a target
-  // later than the settling time after the third, from gateways in touch.
-  std::size_t ends = 0;
+  // Targets that the request terminated, and sends of it that reached a target
+  // later than the settling time after the third termination, from connected
+  // gateways.
+  std::size_t terminations = 0;
   std::size_t late_sends = 0;
-  // Requests that end nothing and were refused for good.
-  std::size_t innocents_refused = 0;
-  std::size_t innocents_held_back = 0;
-  std::size_t innocents_served = 0;
+  // Harmless requests that were refused by a verdict, given up waiting for a
+  // permission, or served.
+  std::size_t harmless_refused = 0;
+  std::size_t harmless_held_back = 0;
+  std::size_t harmless_served = 0;
 };
 
 class QuarantineWorld {
@@ -63,12 +66,12 @@
  private:
   struct Call {
     RequestFingerprint request;
-    bool ends_targets = false;
+    bool terminates_targets = false;
     std::size_t gateway = 0;
     int sends = 0;
     std::string id;
     std::string trial;
-    TimePoint held_since;
+    TimePoint waiting_since;
   };
   using CallPointer = std::shared_ptr<Call>;
   struct Target {
@@ -78,40 +81,40 @@
   };
   struct Gateway {
     std::unique_ptr<QuarantineView> view;
-    bool is_cut = false;
-    // When a fault of it last ended.
-    TimePoint disturbed_at;
+    bool is_disconnected = false;
+    // When the last fault of this gateway ended.
+    TimePoint last_fault_ended_at;
   };
 
   void At(TimePoint at, std::function<void()> event);
   void After(Duration delay, std::function<void()> event);
   Duration Delay();
-  bool Strikes(double per_second, Duration step);
+  bool Occurs(double per_second, Duration step);
 
-  void Arrive(const RequestFingerprint& request, bool ends_targets);
+  void Arrive(const RequestFingerprint& request, bool terminates_targets);
   void Try(const CallPointer& call);
-  void AskLeave(const CallPointer& call, const Judgement& judgement);
+  void RequestPermission(const CallPointer& call, const Judgement& judgement);
   void OnDenied(const CallPointer& call);
   void Send(const CallPointer& call);
-  void EndTarget(std::size_t target);
+  void TerminateTarget(std::size_t target);
   bool IsRunning(std::size_t target,
                  std::uint64_t incarnation,
                  std::uint64_t epoch) const;
   void BreakGroup();
-  void CutOff(const CallPointer& call);
+  void AbortCall(const CallPointer& call);
   void TryToForm();
-  void OnTargetEnded(const CallPointer& call, const TargetRun& run);
+  void OnTargetTerminated(const CallPointer& call, const TargetRun& run);
   void OnCompleted(const CallPointer& call);
   void Report(std::size_t gateway, const Observation& observation);
-  void TakeReport(std::size_t control, const Observation& observation);
-  void TellGateways(std::size_t control);
+  void ReceiveReport(std::size_t control, const Observation& observation);
+  void ReportToGateways(std::size_t control);
   void SaveRefusals(std::size_t control);
-  void TellGateway(std::size_t control, std::size_t gateway);
+  void ReportToGateway(std::size_t control, std::size_t gateway);
   void EndTrial(const CallPointer& call);
-  void StrikeFaults();
+  void InjectFaults();
   void RestartControl(std::size_t control);
   void RestartGateway(std::size_t gateway);
-  void Cut(std::size_t gateway);
+  void Disconnect(std::size_t gateway);
   void Traffic();
   void TickControls();
 
@@ -121,20 +124,22 @@
   TimePoint end_;
   TimePoint next_tick_;
   std::multimap<TimePoint, std::function<void()>> events_;
-  std::vector<std::unique_ptr<QuarantineBook>> controls_;
-  // By control node: news on their way, and what was told last.
-  std::set<std::size_t> about_to_tell_;
-  std::map<std::size_t, TimePoint> told_at_;
-  // When one that has restarted tells gateways again.
-  std::map<std::size_t, TimePoint> settled_at_;
+  std::vector<std::unique_ptr<QuarantineRegistry>> controls_;
+  // By control node: reports that are scheduled, and time of the last report.
+  std::set<std::size_t> pending_reports_;
+  std::map<std::size_t, TimePoint> last_reported_at_;
+  // By control node: end of the startup after a restart, from which its reports
+  // are complete.
+  std::map<std::size_t, TimePoint> startup_ends_at_;
   std::vector<QuarantineRecord> saved_;
-  std::map<std::size_t, std::map<RequestFingerprint, Verdict>> held_;
+  std::map<std::size_t, std::map<RequestFingerprint, Verdict>>
+      last_urgent_verdicts_;
   std::vector<Gateway> gateways_;
   std::vector<Target> targets_;
   enum class GroupState { kOpen, kStalled, kBroken };
   GroupState group_ = GroupState::kOpen;
   std::uint64_t epoch_ = 0;
-  std::optional<TimePoint> third_end_;
+  std::optional<TimePoint> third_termination_at_;
   std::uint64_t next_id_ = 0;
   WorldResult result_;
 };
