--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -19,14 +19,14 @@
 namespace {
 
 // Operators ask another node after a second without an answer.
-constexpr Duration kSubmitPatience = Milliseconds(2500);
-constexpr Duration kReadPatience = Milliseconds(800);
-constexpr Duration kSpreadPatience = Milliseconds(500);
+constexpr Duration kSubmitTimeout = Milliseconds(2500);
+constexpr Duration kReadTimeout = Milliseconds(800);
+constexpr Duration kNotifyPeerTimeout = Milliseconds(500);
 // Where no leader is known yet, a call waits so long for one.
-constexpr Duration kLeaderPatience = Milliseconds(700);
-constexpr Duration kLeaderPoll = Milliseconds(50);
+constexpr Duration kLeaderWaitTimeout = Milliseconds(700);
+constexpr Duration kLeaderPollInterval = Milliseconds(50);
 // Control nodes ask each other once a second.
-constexpr Duration kNodeMemory = Seconds(6);
+constexpr Duration kNodeRetention = Seconds(6);
 constexpr Duration kTickInterval = Milliseconds(250);
 // Announcements that may be missed in a row before a target counts as silent.
 constexpr int kMissedAnnouncements = 3;
@@ -150,7 +150,7 @@
   is_saving_ = true;
   loop_.Spawn([this, driver, records = *unsaved] {
     const auto result = driver->Propose(
-        ReplicatedState::ProposeRefusals(records), kSubmitPatience);
+        ReplicatedState::ProposeRefusals(records), kSubmitTimeout);
     if (!result.has_value()) {
       log_.Warn("The refused requests could not be saved in time.",
                 {{"records", records.size()}});
@@ -172,28 +172,28 @@
     return ConfigurationInvalid{*fault};
   }
   const packing::PackedText packed = packing::Pack(text);
-  SubmitOutcome outcome = ConfigurationUnclear{"no leader is known"};
-  const TimePoint limit = SteadyNow() + kLeaderPatience;
+  SubmitOutcome outcome = ConfigurationOutcomeUnknown{"no leader is known"};
+  const TimePoint limit = SteadyNow() + kLeaderWaitTimeout;
   while (true) {
     if (replica_.is_leader()) {
-      outcome = SubmitHere(proposed.version, packed);
+      outcome = SubmitLocally(proposed.version, packed);
       break;
     }
-    for (const net::Endpoint& node : FindWhomToAsk()) {
-      outcome = SubmitAt(node, proposed.version, packed);
-      if (!std::holds_alternative<ConfigurationUnclear>(outcome)) {
+    for (const net::Endpoint& node : FindLeaderCandidates()) {
+      outcome = SubmitToNode(node, proposed.version, packed);
+      if (!std::holds_alternative<ConfigurationOutcomeUnknown>(outcome)) {
         break;
       }
     }
-    if (!std::holds_alternative<ConfigurationUnclear>(outcome)) {
+    if (!std::holds_alternative<ConfigurationOutcomeUnknown>(outcome)) {
       break;
     }
     if (SteadyNow() >= limit) {
       break;
     }
-    loop_.SleepFor(kLeaderPoll);
+    loop_.SleepFor(kLeaderPollInterval);
   }
-  const auto* unclear = std::get_if<ConfigurationUnclear>(&outcome);
+  const auto* unclear = std::get_if<ConfigurationOutcomeUnknown>(&outcome);
   log_.Info("Handled a configuration.",
             {{"version", proposed.version},
              {"outcome", unclear == nullptr ? "accepted" : unclear->why},
@@ -201,42 +201,42 @@
   return outcome;
 }
 
-SubmitOutcome ControlNode::SubmitHere(std::uint64_t version,
-                                      const packing::PackedText& text) {
+SubmitOutcome ControlNode::SubmitLocally(std::uint64_t version,
+                                         const packing::PackedText& text) {
   control::ReplicaDriver* driver = replica_.driver();
   if (driver == nullptr) {
-    return ConfigurationUnclear{"the data folder is being opened"};
+    return ConfigurationOutcomeUnknown{"the data folder is being opened"};
   }
   // Applied here means committed, which no later leader takes back.
   if (version <= configuration().version()) {
     return ConfigurationAccepted{version};
   }
   const auto result = driver->Propose(
-      config::NumberedConfiguration::Propose(version, text), kSubmitPatience);
+      config::NumberedConfiguration::Propose(version, text), kSubmitTimeout);
   if (!result.has_value()) {
-    return ConfigurationUnclear{"no majority answered in time"};
+    return ConfigurationOutcomeUnknown{"no majority answered in time"};
   }
   if (std::holds_alternative<consensus::Accepted>(*result)) {
     return ConfigurationAccepted{version};
   }
-  return ConfigurationUnclear{"this node does not lead any more"};
+  return ConfigurationOutcomeUnknown{"this node does not lead any more"};
 }
 
-SubmitOutcome ControlNode::SubmitAt(const net::Endpoint& leader,
-                                    std::uint64_t version,
-                                    const packing::PackedText& text) {
+SubmitOutcome ControlNode::SubmitToNode(const net::Endpoint& leader,
+                                        std::uint64_t version,
+                                        const packing::PackedText& text) {
   const auto result = client_.Call(leader, "control.submit",
                                    {{"version", version}, {"text", text.value}},
-                                   kSubmitPatience);
+                                   kSubmitTimeout);
   const auto* value = std::get_if<Json>(&result);
   if (value == nullptr) {
     client_.DropIdle(leader);
-    return ConfigurationUnclear{"the leader does not answer"};
+    return ConfigurationOutcomeUnknown{"the leader does not answer"};
   }
   if (value->is_bool() && value->as_bool()) {
     return ConfigurationAccepted{version};
   }
-  return ConfigurationUnclear{"the leader did not accept it in time"};
+  return ConfigurationOutcomeUnknown{"the leader did not accept it in time"};
 }
 
 std::optional<ControlNode::Json> ControlNode::OnSubmit(const Json& params) {
@@ -253,22 +253,22 @@
   if (!replica_.is_leader()) {
     return Json(false);
   }
-  const SubmitOutcome outcome = SubmitHere(
+  const SubmitOutcome outcome = SubmitLocally(
       version,
       packing::PackedText{std::string(object->at("text").as_string())});
   return Json(std::holds_alternative<ConfigurationAccepted>(outcome));
 }
 
-std::optional<packing::PackedText> ControlNode::ReadHere() {
+std::optional<packing::PackedText> ControlNode::ReadLocally() {
   control::ReplicaDriver* driver = replica_.driver();
-  if (driver == nullptr || !driver->WaitUntilCurrent(kReadPatience) ||
+  if (driver == nullptr || !driver->WaitUntilCurrent(kReadTimeout) ||
       configuration().version() == 0) {
     return std::nullopt;
   }
   return configuration().text();
 }
 
-std::vector<net::Endpoint> ControlNode::FindWhomToAsk() const {
+std::vector<net::Endpoint> ControlNode::FindLeaderCandidates() const {
   if (const auto leader = replica_.FindLeader()) {
     return {*leader};
   }
@@ -285,11 +285,11 @@
 
 std::optional<packing::PackedText> ControlNode::ReadPacked() {
   if (replica_.is_leader()) {
-    return ReadHere();
+    return ReadLocally();
   }
-  for (const net::Endpoint& node : FindWhomToAsk()) {
-    const auto result = client_.Call(node, "control.read",
-                                     boost::json::object{}, kReadPatience);
+  for (const net::Endpoint& node : FindLeaderCandidates()) {
+    const auto result =
+        client_.Call(node, "control.read", boost::json::object{}, kReadTimeout);
     const auto* value = std::get_if<Json>(&result);
     if (value == nullptr) {
       client_.DropIdle(node);
@@ -304,7 +304,7 @@
   if (!replica_.is_leader()) {
     return Json(nullptr);
   }
-  const auto text = ReadHere();
+  const auto text = ReadLocally();
   return text.has_value() ? Json(text->value) : Json(nullptr);
 }
 
@@ -322,24 +322,24 @@
              {"sequence", announcement.sequence}});
   changed_.NotifyAll();
   if (announcement.standing != traffic::Standing::kReady) {
-    Spread(targets_.records().at(announcement.target));
+    NotifyPeersOfTarget(targets_.records().at(announcement.target));
   }
 }
 
-void ControlNode::NoteUnreadable(const TargetId& target) {
-  constexpr Duration kBetweenLines = Seconds(1);
-  ++unreadable_;
+void ControlNode::OnUnreadableAnnouncement(const TargetId& target) {
+  constexpr Duration kMinLogInterval = Seconds(1);
+  ++unreadable_announcements_;
   const TimePoint now = SteadyNow();
   if (unreadable_logged_at_ != TimePoint{} &&
-      now - unreadable_logged_at_ < kBetweenLines) {
+      now - unreadable_logged_at_ < kMinLogInterval) {
     return;
   }
   unreadable_logged_at_ = now;
   // The name is whatever the sender put into the path.
-  constexpr std::size_t kMostBytes = 64;
+  constexpr std::size_t kMaxLoggedBytes = 64;
   log_.Warn("An announcement can't be read and names no target to use.",
-            {{"target", target.value().substr(0, kMostBytes)},
-             {"so_far", unreadable_}});
+            {{"target", target.value().substr(0, kMaxLoggedBytes)},
+             {"so_far", unreadable_announcements_}});
 }
 
 void ControlNode::Withdraw(const TargetId& target, Incarnation incarnation) {
@@ -349,20 +349,21 @@
   log_.Info("Target left.",
             {{"target", target.value()}, {"incarnation", incarnation.value()}});
   changed_.NotifyAll();
-  Spread(targets_.records().at(target));
+  NotifyPeersOfTarget(targets_.records().at(target));
 }
 
 void ControlNode::SetSlowTargets(std::map<std::string, double> by_address) {
   // Each change is told to all gateways at once; hundreds of them take a small
   // node a fifth of a second.
-  constexpr Duration kBetweenChanges = Milliseconds(500);
+  constexpr Duration kMinUpdateInterval = Milliseconds(500);
   const TimePoint now = SteadyNow();
-  if (by_address == slow_targets_ || now - slow_told_at_ < kBetweenChanges) {
+  if (by_address == slow_targets_ ||
+      now - slow_targets_published_at_ < kMinUpdateInterval) {
     return;
   }
   LogSlowTargets(by_address);
   slow_targets_ = std::move(by_address);
-  slow_told_at_ = now;
+  slow_targets_published_at_ = now;
   ++slow_revision_;
   changed_.NotifyAll();
 }
@@ -390,32 +391,33 @@
   std::vector<net::Endpoint> nodes = replica_.FindMembers();
   std::set<net::Endpoint> known(nodes.begin(), nodes.end());
   const TimePoint now = SteadyNow();
-  for (const auto& [node, heard_at] : heard_nodes_) {
-    if (now - heard_at < kNodeMemory && known.insert(node).second) {
+  for (const auto& [node, heard_at] : node_last_seen_at_) {
+    if (now - heard_at < kNodeRetention && known.insert(node).second) {
       nodes.push_back(node);
     }
   }
   return nodes;
 }
 
-void ControlNode::NoteNode(const net::Endpoint& node) {
-  heard_nodes_[node] = SteadyNow();
+void ControlNode::OnNodeResponded(const net::Endpoint& node) {
+  node_last_seen_at_[node] = SteadyNow();
 }
 
 // A target that was told that its leaving is known must get no new work, also
 // where this node dies the moment after. So the others are told beside the
 // gateways; they need not answer, since a cut would hold up the target.
-void ControlNode::Spread(const traffic::TargetRecord& record) {
-  TellPeers("control.target", traffic::ToJson(record));
+void ControlNode::NotifyPeersOfTarget(const traffic::TargetRecord& record) {
+  NotifyPeers("control.target", traffic::ToJson(record));
 }
 
-void ControlNode::TellPeers(const std::string& method, const Json& params) {
+void ControlNode::NotifyPeers(const std::string& method, const Json& params) {
   for (const net::Endpoint& peer : FindNodes()) {
     if (peer.ToString() == replica_.self().value()) {
       continue;
     }
     loop_.Spawn([this, peer, method, params] {
-      const auto result = client_.Call(peer, method, params, kSpreadPatience);
+      const auto result =
+          client_.Call(peer, method, params, kNotifyPeerTimeout);
       if (std::holds_alternative<links::LinkError>(result)) {
         client_.DropIdle(peer);
       }
@@ -428,7 +430,7 @@
   const bool was_held = quarantine_.Release(request, SteadyNow());
   const std::vector<quarantine::Observation> release = {
       quarantine::ReleaseOrdered{request, Duration::zero()}};
-  TellPeers("quarantine.report", quarantine::ToJson(release));
+  NotifyPeers("quarantine.report", quarantine::ToJson(release));
   return was_held;
 }
 
@@ -437,12 +439,13 @@
   if (!record.has_value()) {
     return std::nullopt;
   }
-  const traffic::TargetAnnouncement& told = record->announcement;
-  const bool is_news =
-      told.standing == traffic::Standing::kGone
-          ? targets_.Withdraw(told.target, told.incarnation, SteadyNow())
-          : targets_.Announce(told, SteadyNow());
-  if (is_news) {
+  const traffic::TargetAnnouncement& announcement = record->announcement;
+  const bool is_change =
+      announcement.standing == traffic::Standing::kGone
+          ? targets_.Withdraw(announcement.target, announcement.incarnation,
+                              SteadyNow())
+          : targets_.Announce(announcement, SteadyNow());
+  if (is_change) {
     changed_.NotifyAll();
   }
   return Json(true);
--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -33,15 +33,16 @@
   std::uint64_t version = 0;
 };
 struct ConfigurationInvalid {
-  std::string why;
+  std::string reason;
 };
 // Not known to be accepted: no leader, or no answer in time. The same may be
 // sent again.
-struct ConfigurationUnclear {
-  std::string why;
+struct ConfigurationOutcomeUnknown {
+  std::string reason;
 };
-using SubmitOutcome = std::
-    variant<ConfigurationAccepted, ConfigurationInvalid, ConfigurationUnclear>;
+using SubmitOutcome = std::variant<ConfigurationAccepted,
+                                   ConfigurationInvalid,
+                                   ConfigurationOutcomeUnknown>;
 
 // Runs in the control loop; calls may suspend the fiber.
 class ControlNode {
@@ -66,7 +67,7 @@
   void Announce(const traffic::TargetAnnouncement& announcement);
   void Withdraw(const TargetId& target, Incarnation incarnation);
   // An announcement could not be read; logged once a second at most.
-  void NoteUnreadable(const TargetId& target);
+  void OnUnreadableAnnouncement(const TargetId& target);
 
   // The targets that this node, as the leader, has found slow, by address,
   // with how many times as long as healthy ones they take. To be called again
@@ -83,7 +84,7 @@
   // gateways and the other nodes must go on asking it.
   std::vector<net::Endpoint> FindNodes() const;
   // A control node has asked this one, or answered it.
-  void NoteNode(const net::Endpoint& node);
+  void OnNodeResponded(const net::Endpoint& node);
 
   const config::NumberedConfiguration& configuration() const {
     return state_.configuration();
@@ -106,21 +107,21 @@
   using Json = boost::json::value;
 
   ReplicaHost::Hooks MakeHooks();
-  SubmitOutcome SubmitHere(std::uint64_t version,
-                           const packing::PackedText& text);
-  SubmitOutcome SubmitAt(const net::Endpoint& leader,
-                         std::uint64_t version,
-                         const packing::PackedText& text);
+  SubmitOutcome SubmitLocally(std::uint64_t version,
+                              const packing::PackedText& text);
+  SubmitOutcome SubmitToNode(const net::Endpoint& leader,
+                             std::uint64_t version,
+                             const packing::PackedText& text);
   std::optional<packing::PackedText> ReadPacked();
-  std::optional<packing::PackedText> ReadHere();
+  std::optional<packing::PackedText> ReadLocally();
   // The leader, where one is known, or the nodes that may be it.
-  std::vector<net::Endpoint> FindWhomToAsk() const;
+  std::vector<net::Endpoint> FindLeaderCandidates() const;
   std::optional<Json> OnSubmit(const Json& params);
   std::optional<Json> OnRead();
   std::optional<Json> OnTarget(const Json& params);
   // Tells the other control nodes that a target leaves.
-  void Spread(const traffic::TargetRecord& record);
-  void TellPeers(const std::string& method, const Json& params);
+  void NotifyPeersOfTarget(const traffic::TargetRecord& record);
+  void NotifyPeers(const std::string& method, const Json& params);
   void LogSlowTargets(const std::map<std::string, double>& by_address);
   void Tick();
   // Proposes the requests that are refused where the log does not have them.
@@ -134,11 +135,11 @@
   traffic::TargetBook targets_;
   std::map<std::string, double> slow_targets_;
   std::uint64_t slow_revision_ = 0;
-  TimePoint slow_told_at_;
+  TimePoint slow_targets_published_at_;
   bool is_saving_ = false;
-  std::map<net::Endpoint, TimePoint> heard_nodes_;
+  std::map<net::Endpoint, TimePoint> node_last_seen_at_;
   // Announcements that could not be read.
-  std::uint64_t unreadable_ = 0;
+  std::uint64_t unreadable_announcements_ = 0;
   TimePoint unreadable_logged_at_;
   net::FiberSignal changed_;
   QuarantineKeeper quarantine_{changed_};
--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -20,7 +20,7 @@
 // may double it.
 constexpr std::size_t kMaxPeerBodyBytes = 16UL * 1024 * 1024;
 // Questions for metrics have no body.
-constexpr std::size_t kMaxQuestionBytes = 4UL * 1024;
+constexpr std::size_t kMaxMetricsRequestBytes = 4UL * 1024;
 constexpr std::size_t kMaxOperatorBodyBytes = 8UL * 1024 * 1024;
 
 net::Endpoint ToEndpoint(const settings::SocketAddress& address) {
@@ -64,7 +64,7 @@
                    interface.make_handler(node_)),
         metrics_server_(
             loop_,
-            OptionsFor(settings.metrics_listen, kMaxQuestionBytes),
+            OptionsFor(settings.metrics_listen, kMaxMetricsRequestBytes),
             [this](net::HttpExchange& exchange) { Serve(exchange); }) {}
 
   void Run() {
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -207,7 +207,7 @@
   if (answer->quarantine.has_value()) {
     node_.quarantine().Adopt(*answer->quarantine, SteadyNow());
   }
-  node_.NoteNode(peer);
+  node_.OnNodeResponded(peer);
   node_.replica().LearnMembers(answer->members);
   for (const std::string& member : answer->members) {
     if (const auto endpoint = net::ParseEndpoint(member)) {
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -116,8 +116,8 @@
 
 // What the pauses and first events of callers follow from; one line a second.
 void GroupTask::NoteState(TimePoint now) {
-  constexpr Duration kBetweenLines = Seconds(1);
-  if (now - state_at_ < kBetweenLines) {
+  constexpr Duration kMinLogInterval = Seconds(1);
+  if (now - state_at_ < kMinLogInterval) {
     return;
   }
   std::uint32_t running = 0;
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -26,7 +26,7 @@
     NoteGateway(*query);
   }
   if (const auto node = net::ParseEndpoint(query->control_address)) {
-    node_.NoteNode(*node);
+    node_.OnNodeResponded(*node);
   }
   const bool knows_this_boot = query->boot == node_.boot();
   const std::uint64_t revision = knows_this_boot ? query->revision : 0;
