--- a/src/plugins/control_node/engine_calls.cc
+++ b/src/plugins/control_node/engine_calls.cc
@@ -14,15 +14,15 @@
 
 // A sidecar that did not answer is not asked again for this long. Short, since
 // groups that form anew after a cut are else asked from afar, with a lag.
-constexpr Duration kSidecarRest = Milliseconds(700);
+constexpr Duration kSidecarCooldown = Milliseconds(700);
 // An engine's reports describe it as it was up to this long before, unless a
 // sidecar asks.
 constexpr Duration kReportLag = Milliseconds(300);
 
-net::HttpRequest Relayed(net::HttpRequest request,
-                         const EngineCalls::Patience& patience) {
+net::HttpRequest MakeRelayRequest(net::HttpRequest request,
+                                  const EngineCalls::CallTimeouts& timeouts) {
   request.headers.Set(sidecar::kPatienceField,
-                      std::to_string(patience.engine / Milliseconds(1)));
+                      std::to_string(timeouts.engine / Milliseconds(1)));
   return request;
 }
 
@@ -36,39 +36,40 @@
       sidecar_port_(sidecar_port),
       log_("groups") {}
 
-bool EngineCalls::HasSidecar(const net::Endpoint& engine, TimePoint now) const {
-  const auto found = sidecar_rests_.find(engine.address);
-  return found == sidecar_rests_.end() || now >= found->second;
+bool EngineCalls::IsSidecarUsable(const net::Endpoint& engine,
+                                  TimePoint now) const {
+  const auto found = sidecar_cooldown_until_.find(engine.address);
+  return found == sidecar_cooldown_until_.end() || now >= found->second;
 }
 
-EngineCalls::Answer EngineCalls::Ask(const net::Endpoint& engine,
-                                     const net::HttpRequest& request,
-                                     const Patience& patience) {
-  if (HasSidecar(engine, SteadyNow())) {
-    if (auto answer = TrySidecar(engine, request, patience)) {
+EngineCalls::Answer EngineCalls::CallEngine(const net::Endpoint& engine,
+                                            const net::HttpRequest& request,
+                                            const CallTimeouts& timeouts) {
+  if (IsSidecarUsable(engine, SteadyNow())) {
+    if (auto answer = TrySidecar(engine, request, timeouts)) {
       return *std::move(answer);
     }
   }
-  return AskDirectly(engine, request, patience.engine + patience.way);
+  return CallDirectly(engine, request, timeouts.engine + timeouts.transit);
 }
 
-EngineCalls::Answer EngineCalls::AskSidecar(const net::Endpoint& engine,
-                                            const net::HttpRequest& request,
-                                            const Patience& patience) {
-  if (!HasSidecar(engine, SteadyNow())) {
+EngineCalls::Answer EngineCalls::CallSidecar(const net::Endpoint& engine,
+                                             const net::HttpRequest& request,
+                                             const CallTimeouts& timeouts) {
+  if (!IsSidecarUsable(engine, SteadyNow())) {
     return {};
   }
-  return TrySidecar(engine, request, patience).value_or(Answer{});
+  return TrySidecar(engine, request, timeouts).value_or(Answer{});
 }
 
 std::optional<EngineCalls::Answer> EngineCalls::TrySidecar(
     const net::Endpoint& engine,
     const net::HttpRequest& request,
-    const Patience& patience) {
+    const CallTimeouts& timeouts) {
   const TimePoint asked = SteadyNow();
   const net::Endpoint sidecar{engine.address, sidecar_port_};
-  auto result = links_.Send(sidecar, Relayed(request, patience),
-                            patience.engine + patience.way);
+  auto result = links_.Send(sidecar, MakeRelayRequest(request, timeouts),
+                            timeouts.engine + timeouts.transit);
   if (auto* response = std::get_if<net::HttpResponse>(&result)) {
     sidecar_failed_at_.erase(engine.address);
     // The sidecar is well; its engine did not answer it, nor would it us.
@@ -86,30 +87,31 @@
       sidecar_failed_at_.try_emplace(engine.address, SteadyNow());
   if (was_refused || (!is_first && asked >= failed->second)) {
     sidecar_failed_at_.erase(failed);
-    sidecar_rests_[engine.address] = SteadyNow() + kSidecarRest;
+    sidecar_cooldown_until_[engine.address] = SteadyNow() + kSidecarCooldown;
     log_.Info("Sidecar lost; asking the engine directly for a while.",
               {{"engine", engine.ToString()}, {"why", error.text}});
   }
   return was_refused ? std::nullopt : std::optional<Answer>(Answer{});
 }
 
-EngineCalls::Answer EngineCalls::AskThrough(const net::Endpoint& helper,
-                                            const net::Endpoint& engine,
-                                            const net::HttpRequest& request,
-                                            const Patience& patience) {
-  net::HttpRequest relayed = Relayed(request, patience);
+EngineCalls::Answer EngineCalls::CallThroughNode(
+    const net::Endpoint& helper,
+    const net::Endpoint& engine,
+    const net::HttpRequest& request,
+    const CallTimeouts& timeouts) {
+  net::HttpRequest relayed = MakeRelayRequest(request, timeouts);
   relayed.headers.Set(sidecar::kEngineField, engine.ToString());
   Answer answer =
-      AskNode(helper, std::move(relayed), patience.engine + patience.way);
+      CallNode(helper, std::move(relayed), timeouts.engine + timeouts.transit);
   answer.as_of -= kReportLag;
   return answer;
 }
 
-EngineCalls::Answer EngineCalls::AskNode(const net::Endpoint& node,
-                                         net::HttpRequest request,
-                                         Duration patience) {
+EngineCalls::Answer EngineCalls::CallNode(const net::Endpoint& node,
+                                          net::HttpRequest request,
+                                          Duration timeouts) {
   const TimePoint asked = SteadyNow();
-  auto result = links_.Send(node, std::move(request), patience);
+  auto result = links_.Send(node, std::move(request), timeouts);
   auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     links_.DropIdle(node);
@@ -121,11 +123,11 @@
   return {response->head.status, std::move(response->body), asked};
 }
 
-EngineCalls::Answer EngineCalls::AskDirectly(const net::Endpoint& engine,
-                                             const net::HttpRequest& request,
-                                             Duration patience) {
+EngineCalls::Answer EngineCalls::CallDirectly(const net::Endpoint& engine,
+                                              const net::HttpRequest& request,
+                                              Duration timeouts) {
   const TimePoint asked = SteadyNow();
-  auto result = client_.Send(engine, request, patience);
+  auto result = client_.Send(engine, request, timeouts);
   auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     client_.DropIdle(engine);
--- a/src/plugins/control_node/engine_calls.h
+++ b/src/plugins/control_node/engine_calls.h
@@ -32,49 +32,49 @@
               std::uint16_t sidecar_port);
 
   // Whether its sidecar has not failed lately.
-  bool HasSidecar(const net::Endpoint& engine, TimePoint now) const;
+  bool IsSidecarUsable(const net::Endpoint& engine, TimePoint now) const;
   // How long an answer may take.
-  struct Patience {
+  struct CallTimeouts {
     Duration engine;  // from a caller beside it
     // To its sidecar and back, with what waits here to be sent before.
-    Duration way = Milliseconds(40);
+    Duration transit = Milliseconds(40);
   };
 
   // Blocks the calling fiber.
-  Answer Ask(const net::Endpoint& engine,
-             const net::HttpRequest& request,
-             const Patience& patience);
+  Answer CallEngine(const net::Endpoint& engine,
+                    const net::HttpRequest& request,
+                    const CallTimeouts& timeouts);
   // The same without asking the engine from afar where its sidecar is not
   // there.
-  Answer AskSidecar(const net::Endpoint& engine,
-                    const net::HttpRequest& request,
-                    const Patience& patience);
+  Answer CallSidecar(const net::Endpoint& engine,
+                     const net::HttpRequest& request,
+                     const CallTimeouts& timeouts);
   // The same by way of `helper`, another control node; the status is the
-  // helper's, see JudgePassing().
-  Answer AskThrough(const net::Endpoint& helper,
-                    const net::Endpoint& engine,
-                    const net::HttpRequest& request,
-                    const Patience& patience);
+  // helper's, see ClassifyRelayStatus().
+  Answer CallThroughNode(const net::Endpoint& helper,
+                         const net::Endpoint& engine,
+                         const net::HttpRequest& request,
+                         const CallTimeouts& timeouts);
   // What another control node itself answers.
-  Answer AskNode(const net::Endpoint& node,
-                 net::HttpRequest request,
-                 Duration patience);
+  Answer CallNode(const net::Endpoint& node,
+                  net::HttpRequest request,
+                  Duration timeouts);
 
  private:
   // Nothing where the sidecar refused the connection: nothing was sent.
   std::optional<Answer> TrySidecar(const net::Endpoint& engine,
                                    const net::HttpRequest& request,
-                                   const Patience& patience);
-  Answer AskDirectly(const net::Endpoint& engine,
-                     const net::HttpRequest& request,
-                     Duration patience);
+                                   const CallTimeouts& timeouts);
+  Answer CallDirectly(const net::Endpoint& engine,
+                      const net::HttpRequest& request,
+                      Duration timeouts);
 
   net::HttpClient client_;
   links::LinkClient& links_;
   std::uint16_t sidecar_port_;
   telemetry::Logger log_;
   // When a sidecar that failed is tried again, by its VM.
-  std::map<std::string, TimePoint> sidecar_rests_;
+  std::map<std::string, TimePoint> sidecar_cooldown_until_;
   // When a call that a sidecar did not answer was given up, by its VM; until
   // the next answer.
   std::map<std::string, TimePoint> sidecar_failed_at_;
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -138,7 +138,7 @@
   void OnAnswer(const groups::RankOrder& order, int status);
   EngineCalls::Answer AskForHold(const net::Endpoint& engine,
                                  const net::HttpRequest& request);
-  EngineCalls::Patience PatienceFor(const groups::EngineOrder& order) const;
+  EngineCalls::CallTimeouts PatienceFor(const groups::EngineOrder& order) const;
 
   net::NetworkLoop& loop_;
   EngineCalls& calls_;
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-EngineCalls::Patience GroupTask::PatienceFor(
+EngineCalls::CallTimeouts GroupTask::PatienceFor(
     const groups::EngineOrder& order) const {
   const bool has_map = std::holds_alternative<groups::PrepareMap>(order);
   return {kOrderPatience,
@@ -47,8 +47,9 @@
         std::holds_alternative<groups::HoldStep>(order.order) ||
         std::holds_alternative<groups::ReleaseStep>(order.order);
     const EngineCalls::Answer answer =
-        is_about_hold ? AskForHold(engine, request)
-                      : calls_.Ask(engine, request, PatienceFor(order.order));
+        is_about_hold
+            ? AskForHold(engine, request)
+            : calls_.CallEngine(engine, request, PatienceFor(order.order));
     OnAnswer(order, answer.status);
     Pump();
   });
@@ -133,8 +134,8 @@
     return std::nullopt;
   }
   const EngineCalls::Answer answer =
-      calls_.AskNode(*part.reader, OrderSpreader::RequestFor(wide),
-                     OrderSpreader::PatienceFor(wide) + kOrderWay);
+      calls_.CallNode(*part.reader, OrderSpreader::RequestFor(wide),
+                      OrderSpreader::PatienceFor(wide) + kOrderWay);
   return answer.status == net::status::kOk
              ? groups::DecodeWideAnswer(answer.body)
              : std::nullopt;
@@ -142,20 +143,20 @@
 
 EngineCalls::Answer GroupTask::AskForHold(const net::Endpoint& engine,
                                           const net::HttpRequest& request) {
-  constexpr EngineCalls::Patience kPatience{kOrderPatience, kOrderWay};
+  constexpr EngineCalls::CallTimeouts kPatience{kOrderPatience, kOrderWay};
   const auto helper = helpers_.Next();
   if (!helper.has_value()) {
-    return calls_.Ask(engine, request, kPatience);
+    return calls_.CallEngine(engine, request, kPatience);
   }
   EngineCalls::Answer answer =
-      calls_.AskThrough(*helper, engine, request, kPatience);
-  const Passing passing = JudgePassing(answer.status);
-  helpers_.OnPassed(*helper, passing);
-  if (passing == Passing::kHelperFailed) {
+      calls_.CallThroughNode(*helper, engine, request, kPatience);
+  const RelayResult result = ClassifyRelayStatus(answer.status);
+  helpers_.OnRelayed(*helper, result);
+  if (result == RelayResult::kHelperFailed) {
     log_.Info("An order about a hold goes by way of another node.",
               {{"failed", helper->ToString()}, {"status", answer.status}});
   }
-  return passing == Passing::kAnswered ? answer : EngineCalls::Answer{};
+  return result == RelayResult::kAnswered ? answer : EngineCalls::Answer{};
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -27,7 +27,7 @@
 constexpr std::size_t kAsksAtOnce = 8;
 // For a reader's answer, beside the time that it may take for its ranks.
 constexpr Duration kRoundWay = Milliseconds(300);
-constexpr EngineCalls::Patience kReportPatience{Milliseconds(300)};
+constexpr EngineCalls::CallTimeouts kReportPatience{Milliseconds(300)};
 // The map of a group that has just formed: experts in turn.
 std::shared_ptr<const placement::ExpertMap> FirstMap(
     const traffic::EngineModel& engine,
@@ -58,8 +58,8 @@
     return rounds_.Read(question);
   }
   const EngineCalls::Answer answer =
-      calls_.AskNode(*round.reader, RankRounds::RequestFor(question),
-                     RankRounds::kRoundPatience + kRoundWay);
+      calls_.CallNode(*round.reader, RankRounds::RequestFor(question),
+                      RankRounds::kRoundPatience + kRoundWay);
   return answer.status == net::status::kOk ? groups::DecodeAnswer(answer.body)
                                            : std::nullopt;
 }
@@ -162,8 +162,8 @@
 void GroupTask::AskReport(RankIndex rank, const net::Endpoint& endpoint) {
   Spawn([this, rank, endpoint] {
     const TimePoint asked = SteadyNow();
-    const EngineCalls::Answer answer =
-        calls_.Ask(endpoint, protocol_.report_request(), kReportPatience);
+    const EngineCalls::Answer answer = calls_.CallEngine(
+        endpoint, protocol_.report_request(), kReportPatience);
     const auto report = protocol_.read_report(answer.body);
     if (!report.has_value()) {
       if (!silence_.WasLateSince(asked, SteadyNow())) {
@@ -221,7 +221,9 @@
   for (const auto& [rank, endpoint] : addresses_) {
     Spawn([this, reading, rank = rank, endpoint = endpoint] {
       const auto read = protocol_.read_experts(
-          calls_.Ask(endpoint, protocol_.experts_request(), kReportPatience)
+          calls_
+              .CallEngine(endpoint, protocol_.experts_request(),
+                          kReportPatience)
               .body);
       if (!read.has_value() || read->version != reading->version ||
           read->experts.size() != engine_.expert_layers) {
--- a/src/plugins/control_node/order_helpers.h
+++ b/src/plugins/control_node/order_helpers.h
@@ -25,18 +25,18 @@
 namespace bilberryspool::control_node {
 
 // What the status that a helper answered says; 0: it did not answer.
-enum class Passing {
+enum class RelayResult {
   kAnswered,      // the engine's own answer
   kEngineSilent,  // the helper is well, its engine did not answer it
   kHelperFailed,  // out of reach, or it does not know the engine
 };
 
-inline Passing JudgePassing(int status) {
+inline RelayResult ClassifyRelayStatus(int status) {
   if (status == 0 || status == net::status::kNotFound) {
-    return Passing::kHelperFailed;
+    return RelayResult::kHelperFailed;
   }
-  return status < net::status::kServerError ? Passing::kAnswered
-                                            : Passing::kEngineSilent;
+  return status < net::status::kServerError ? RelayResult::kAnswered
+                                            : RelayResult::kEngineSilent;
 }
 
 class OrderHelpers {
@@ -50,21 +50,21 @@
     if (nodes_.empty()) {
       return std::nullopt;
     }
-    return nodes_[turn_++ % nodes_.size()];
+    return nodes_[next_index_++ % nodes_.size()];
   }
 
   // What became of an order by way of `node`. An engine that leaves orders
   // unanswered says nothing against whoever passed them on: were that node left
   // out too, two lost orders would lead back to the VM beside the engine.
-  void OnPassed(const net::Endpoint& node, Passing passing) {
-    if (passing == Passing::kHelperFailed) {
+  void OnRelayed(const net::Endpoint& node, RelayResult result) {
+    if (result == RelayResult::kHelperFailed) {
       std::erase(nodes_, node);
     }
   }
 
  private:
   std::vector<net::Endpoint> nodes_;
-  std::size_t turn_ = 0;
+  std::size_t next_index_ = 0;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/order_spreader.cc
+++ b/src/plugins/control_node/order_spreader.cc
@@ -61,8 +61,8 @@
 groups::WideAnswer OrderSpreader::Spread(const groups::WideOrder& order) {
   const auto request =
       std::make_shared<const net::HttpRequest>(RequestToEngines(order));
-  const EngineCalls::Patience patience{order.patience,
-                                       PatienceFor(order) - order.patience};
+  const EngineCalls::CallTimeouts patience{order.patience,
+                                           PatienceFor(order) - order.patience};
   auto replies = std::make_shared<Replies>();
   replies->missing = order.ranks.size();
   replies->answer.statuses.resize(order.ranks.size());
@@ -71,7 +71,7 @@
                  engine = net::ParseEndpoint(order.ranks[i].engine)] {
       if (engine.has_value()) {
         const EngineCalls::Answer answer =
-            calls_.AskSidecar(*engine, *request, patience);
+            calls_.CallSidecar(*engine, *request, patience);
         replies->answer.statuses[i] = static_cast<std::uint32_t>(answer.status);
       }
       --replies->missing;
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_rounds.cc
@@ -20,8 +20,8 @@
 constexpr char kRoundTarget[] = "/rank-round";
 // An engine's report and counts are ready within a few milliseconds; the
 // sidecar has 0.15 of a core to read them.
-constexpr EngineCalls::Patience kReadingPatience{Milliseconds(60),
-                                                 Milliseconds(60)};
+constexpr EngineCalls::CallTimeouts kReadingPatience{Milliseconds(60),
+                                                     Milliseconds(60)};
 // A group that was not asked for this long has another reader, or is gone.
 constexpr Duration kForgotten = Seconds(10);
 
@@ -108,7 +108,7 @@
   if (!endpoint.has_value() || !BeginReading(group, rank.rank)) {
     return std::nullopt;
   }
-  const EngineCalls::Answer answer = calls_.AskSidecar(
+  const EngineCalls::Answer answer = calls_.CallSidecar(
       *endpoint, ReadingRequest(groups_.at(group).marks.at(rank.rank).last),
       kReadingPatience);
   // It may have been forgotten meanwhile.
--- a/tests/auto/control_node/order_helpers_test.cc
+++ b/tests/auto/control_node/order_helpers_test.cc
@@ -28,11 +28,11 @@
 TEST_CASE("a node that failed is passed over until it is told of again") {
   OrderHelpers helpers;
   helpers.Set({kOne, kTwo});
-  helpers.OnPassed(kOne, Passing::kHelperFailed);
+  helpers.OnRelayed(kOne, RelayResult::kHelperFailed);
   for (int i = 0; i < 3; ++i) {
     CHECK(helpers.Next() == kTwo);
   }
-  helpers.OnPassed(kTwo, Passing::kHelperFailed);
+  helpers.OnRelayed(kTwo, RelayResult::kHelperFailed);
   CHECK_FALSE(helpers.Next().has_value());
   helpers.Set({kOne});
   CHECK(helpers.Next() == kOne);
@@ -49,7 +49,7 @@
   for (int i = 0; i < 6; ++i) {
     const auto helper = helpers.Next();
     REQUIRE(helper.has_value());
-    helpers.OnPassed(*helper, JudgePassing(net::status::kBadGateway));
+    helpers.OnRelayed(*helper, ClassifyRelayStatus(net::status::kBadGateway));
   }
   CHECK(helpers.Next().has_value());
 }
@@ -57,15 +57,15 @@
 TEST_CASE("what a helper's status says") {
   struct Row {
     int status;
-    Passing passing;
+    RelayResult result;
   };
   const Row rows[] = {
-      {0, Passing::kHelperFailed}, {200, Passing::kAnswered},
-      {202, Passing::kAnswered},   {404, Passing::kHelperFailed},
-      {409, Passing::kAnswered},   {502, Passing::kEngineSilent}};
+      {0, RelayResult::kHelperFailed}, {200, RelayResult::kAnswered},
+      {202, RelayResult::kAnswered},   {404, RelayResult::kHelperFailed},
+      {409, RelayResult::kAnswered},   {502, RelayResult::kEngineSilent}};
   for (const Row& row : rows) {
     CAPTURE(row.status);
-    CHECK(JudgePassing(row.status) == row.passing);
+    CHECK(ClassifyRelayStatus(row.status) == row.result);
   }
 }
 
