--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -90,8 +90,8 @@
     return state_.configuration();
   }
   const traffic::TargetBook& targets() const { return targets_; }
-  QuarantineKeeper& quarantine() { return quarantine_; }
-  LimitKeeper& limits() { return limits_; }
+  QuarantineManager& quarantine() { return quarantine_; }
+  LimitManager& limits() { return limits_; }
   // Lets a request pass here, and tells the other control nodes. False where
   // nothing is held against it here.
   bool ReleaseRequest(const quarantine::RequestFingerprint& request);
@@ -142,8 +142,8 @@
   std::uint64_t unreadable_announcements_ = 0;
   TimePoint unreadable_logged_at_;
   net::FiberSignal changed_;
-  QuarantineKeeper quarantine_{changed_};
-  LimitKeeper limits_{changed_};
+  QuarantineManager quarantine_{changed_};
+  LimitManager limits_{changed_};
   std::uint64_t boot_;
   ReplicaHost replica_;
 };
--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -192,7 +192,7 @@
   WatchService watch_;
   QuarantineService quarantine_service_;
   links::LinkClient links_;
-  GroupKeeper groups_;
+  GroupManager groups_;
   links::LinkServer peers_;
   net::HttpServer operators_;
   net::HttpServer metrics_server_;
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -21,19 +21,19 @@
 constexpr Duration kCollectInterval = Seconds(1);
 // While ranks of a group are not known: after a takeover or a restart of all
 // control nodes it keeps a map that may not fit until the last is found.
-constexpr Duration kHastyInterval = Milliseconds(250);
-constexpr Duration kLearnPatience = Milliseconds(500);
-constexpr std::uint64_t kVersionsOfATerm = 1ULL << 20U;
+constexpr Duration kIncompleteCollectInterval = Milliseconds(250);
+constexpr Duration kPeerPollTimeout = Milliseconds(500);
+constexpr std::uint64_t kVersionsPerTerm = 1ULL << 20U;
 
 }  // namespace
 
-GroupKeeper::GroupKeeper(net::NetworkLoop& loop,
-                         links::LinkClient& client,
-                         ControlNode& node,
-                         const FailureDomain& domain,
-                         std::uint16_t sidecar_port,
-                         sidecar::EngineProtocol protocol,
-                         traffic::ConfigurationReader read_configuration)
+GroupManager::GroupManager(net::NetworkLoop& loop,
+                           links::LinkClient& client,
+                           ControlNode& node,
+                           const FailureDomain& domain,
+                           std::uint16_t sidecar_port,
+                           sidecar::EngineProtocol protocol,
+                           traffic::ConfigurationReader read_configuration)
     : loop_(loop),
       links_(client),
       calls_(loop, client, sidecar_port),
@@ -44,38 +44,40 @@
       protocol_(std::move(protocol)),
       read_configuration_(std::move(read_configuration)),
       log_("groups"),
-      others_(traffic::TargetBookOptions{}) {}
+      peer_targets_(traffic::TargetBookOptions{}) {}
 
-void GroupKeeper::Start() {
+void GroupManager::Start() {
   loop_.Spawn([this] { Run(); });
 }
 
-void GroupKeeper::Run() {
+void GroupManager::Run() {
   while (true) {
     loop_.SleepFor(kTickInterval);
     const bool is_due = SteadyNow() >= collect_due_;
     if (is_due) {
       collect_due_ =
-          SteadyNow() + (LacksRanks() ? kHastyInterval : kCollectInterval);
-      LearnFromMembers();
+          SteadyNow() + (HasIncompleteGroup() ? kIncompleteCollectInterval
+                                              : kCollectInterval);
+      PollPeers();
     }
-    ForgetEnded();
+    EraseFinishedTasks();
     const bool leads = node_.replica().is_leader();
     const Term term =
         leads ? node_.replica().driver()->replica().term() : Term();
-    const Tenure::Verdict verdict = tenure_.Note(leads, term);
-    if (verdict == Tenure::Verdict::kRests) {
+    const LeadershipTerm::Verdict verdict =
+        leadership_term_.Update(leads, term);
+    if (verdict == LeadershipTerm::Verdict::kNotLeading) {
       node_.SetSlowTargets({});
       continue;
     }
-    if (verdict == Tenure::Verdict::kBeginsAnew) {
+    if (verdict == LeadershipTerm::Verdict::kNewTerm) {
       term_ = term;
       for (auto& [group, task] : tasks_) {
-        ended_.push_back(std::move(task));
+        retired_tasks_.push_back(std::move(task));
       }
       tasks_.clear();
     }
-    if (is_due || verdict == Tenure::Verdict::kBeginsAnew) {
+    if (is_due || verdict == LeadershipTerm::Verdict::kNewTerm) {
       CollectRanks();
     }
     std::map<std::string, double> slow;
@@ -90,7 +92,7 @@
   }
 }
 
-std::map<GroupId, GroupFigures> GroupKeeper::figures(TimePoint now) const {
+std::map<GroupId, GroupFigures> GroupManager::figures(TimePoint now) const {
   std::map<GroupId, GroupFigures> by_group;
   if (!node_.replica().is_leader()) {
     return by_group;
@@ -101,17 +103,18 @@
   return by_group;
 }
 
-bool GroupKeeper::LacksRanks() const {
+bool GroupManager::HasIncompleteGroup() const {
   return std::any_of(tasks_.begin(), tasks_.end(), [](const auto& item) {
     return !item.second->has_all_ranks();
   });
 }
 
-void GroupKeeper::ForgetEnded() {
-  std::erase_if(ended_, [](const auto& task) { return !task->is_calling(); });
+void GroupManager::EraseFinishedTasks() {
+  std::erase_if(retired_tasks_,
+                [](const auto& task) { return !task->is_calling(); });
 }
 
-void GroupKeeper::Serve(net::HttpExchange& exchange) {
+void GroupManager::Serve(net::HttpExchange& exchange) {
   if (RankRounds::IsAsked(exchange.request())) {
     rounds_.Answer(exchange);
     return;
@@ -123,7 +126,7 @@
   Relay(exchange);
 }
 
-void GroupKeeper::Relay(net::HttpExchange& exchange) {
+void GroupManager::Relay(net::HttpExchange& exchange) {
   const auto engine = net::ParseEndpoint(
       exchange.request().headers.ValueOr(sidecar::kEngineField, ""));
   if (!engine.has_value() || !KnowsEngine(*engine)) {
@@ -139,9 +142,9 @@
   }
 }
 
-bool GroupKeeper::KnowsEngine(const net::Endpoint& engine) const {
+bool GroupManager::KnowsEngine(const net::Endpoint& engine) const {
   const std::string address = engine.ToString();
-  for (const traffic::TargetBook* book : {&others_, &node_.targets()}) {
+  for (const traffic::TargetBook* book : {&peer_targets_, &node_.targets()}) {
     for (const auto& [target, record] : book->records()) {
       if (record.announcement.address == address &&
           record.announcement.group.has_value()) {
@@ -152,42 +155,42 @@
   return false;
 }
 
-std::vector<net::Endpoint> GroupKeeper::Helpers() const {
+std::vector<net::Endpoint> GroupManager::Helpers() const {
   // Each is asked once a second and may take half a second to answer.
-  constexpr Duration kLately = Milliseconds(1600);
+  constexpr Duration kMaxResponseAge = Milliseconds(1600);
   const TimePoint now = SteadyNow();
   std::vector<net::Endpoint> helpers;
-  for (const auto& [node, mark] : marks_) {
-    if (now - mark.heard_at < kLately) {
+  for (const auto& [node, peer_state] : peer_states_) {
+    if (now - peer_state.heard_at < kMaxResponseAge) {
       helpers.push_back(node);
     }
   }
   return helpers;
 }
 
-void GroupKeeper::LearnFromMembers() {
-  std::set<net::Endpoint> nodes = std::exchange(told_nodes_, {});
+void GroupManager::PollPeers() {
+  std::set<net::Endpoint> nodes = std::exchange(reported_nodes_, {});
   for (const net::Endpoint& node : node_.FindNodes()) {
     nodes.insert(node);
   }
   for (const net::Endpoint& node : nodes) {
     if (node.ToString() != node_.replica().self().value()) {
-      loop_.Spawn([this, node] { LearnFrom(node); });
+      loop_.Spawn([this, node] { PollPeer(node); });
     }
   }
 }
 
-void GroupKeeper::LearnFrom(const net::Endpoint& peer) {
-  const Mark mark = marks_[peer];
+void GroupManager::PollPeer(const net::Endpoint& peer) {
+  const PeerState peer_state = peer_states_[peer];
   traffic::WatchQuery query;
   query.control_address = node_.replica().self().value();
-  query.boot = mark.boot;
-  query.revision = mark.revision;
+  query.boot = peer_state.boot;
+  query.revision = peer_state.revision;
   query.version = node_.configuration().version();
   query.wants_configuration = false;
-  query.quarantine_revision = mark.quarantine_revision;
+  query.quarantine_revision = peer_state.quarantine_revision;
   const auto result = links_.Call(peer, "control.watch", traffic::ToJson(query),
-                                  kLearnPatience);
+                                  kPeerPollTimeout);
   const auto* json = std::get_if<boost::json::value>(&result);
   if (json == nullptr) {
     links_.DropIdle(peer);
@@ -202,8 +205,8 @@
               {{"node", peer.ToString()}});
     return;
   }
-  marks_[peer] = {answer->boot, answer->revision, SteadyNow(),
-                  answer->quarantine_revision};
+  peer_states_[peer] = {answer->boot, answer->revision, SteadyNow(),
+                        answer->quarantine_revision};
   if (answer->quarantine.has_value()) {
     node_.quarantine().Adopt(*answer->quarantine, SteadyNow());
   }
@@ -211,20 +214,20 @@
   node_.replica().LearnMembers(answer->members);
   for (const std::string& member : answer->members) {
     if (const auto endpoint = net::ParseEndpoint(member)) {
-      told_nodes_.insert(*endpoint);
+      reported_nodes_.insert(*endpoint);
     }
   }
   for (const traffic::TargetRecord& record : *targets) {
     if (record.announcement.standing == traffic::Standing::kGone) {
-      others_.Withdraw(record.announcement.target,
-                       record.announcement.incarnation, SteadyNow());
+      peer_targets_.Withdraw(record.announcement.target,
+                             record.announcement.incarnation, SteadyNow());
     } else if (!record.is_silent) {
-      others_.Announce(record.announcement, SteadyNow());
+      peer_targets_.Announce(record.announcement, SteadyNow());
     }
   }
 }
 
-const traffic::EngineModel* GroupKeeper::EngineOf(const ServiceId& service) {
+const traffic::EngineModel* GroupManager::EngineOf(const ServiceId& service) {
   const config::NumberedConfiguration& accepted = node_.configuration();
   if (accepted.version() != read_version_) {
     const auto text = packing::Unpack(accepted.text());
@@ -245,9 +248,9 @@
 
 // Several targets may have told of one place: one that ended without a word,
 // and its successor. The one of the newest epoch, heard last, counts.
-void GroupKeeper::CollectRanks() {
+void GroupManager::CollectRanks() {
   const std::initializer_list<const traffic::TargetBook*> books = {
-      &others_, &node_.targets()};
+      &peer_targets_, &node_.targets()};
   std::map<std::pair<GroupId, std::uint32_t>, const traffic::TargetRecord*>
       latest;
   for (const traffic::TargetBook* book : books) {
@@ -267,25 +270,25 @@
     }
   }
   for (const auto& [place, record] : latest) {
-    Tend(record->announcement);
+    UpdateTask(record->announcement);
   }
 }
 
-void GroupKeeper::Tend(const traffic::TargetAnnouncement& told) {
-  const traffic::GroupMembership& place = *told.group;
-  const traffic::EngineModel* engine = EngineOf(told.service);
-  const auto endpoint = net::ParseEndpoint(told.address);
+void GroupManager::UpdateTask(const traffic::TargetAnnouncement& announcement) {
+  const traffic::GroupMembership& place = *announcement.group;
+  const traffic::EngineModel* engine = EngineOf(announcement.service);
+  const auto endpoint = net::ParseEndpoint(announcement.address);
   if (engine == nullptr || engine->expert_layers == 0 || place.size == 0 ||
       !endpoint.has_value()) {
     return;
   }
   auto& task = tasks_[place.group];
   if (task == nullptr || task->ranks() != place.size) {
-    MapVersion first(term_.value() * kVersionsOfATerm + 1);
+    MapVersion first(term_.value() * kVersionsPerTerm + 1);
     if (task != nullptr) {
       // Orders of the old task may still be carried out, late.
       first = std::max(first, task->unused_version());
-      ended_.push_back(std::move(task));
+      retired_tasks_.push_back(std::move(task));
     }
     task = std::make_unique<GroupTask>(loop_, calls_, rounds_, protocol_,
                                        place.group, *engine, place.size, first);
@@ -295,7 +298,7 @@
                                          {"ranks", place.size},
                                          {"term", term_.value()}});
   }
-  task->SetAddress(RankIndex(place.rank), *endpoint, told.domain);
+  task->SetAddress(RankIndex(place.rank), *endpoint, announcement.domain);
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_keeper.h
@@ -25,15 +25,15 @@
 
 namespace bilberryspool::control_node {
 
-class GroupKeeper {
+class GroupManager {
  public:
-  GroupKeeper(net::NetworkLoop& loop,
-              links::LinkClient& client,
-              ControlNode& node,
-              const FailureDomain& domain,
-              std::uint16_t sidecar_port,
-              sidecar::EngineProtocol protocol,
-              traffic::ConfigurationReader read_configuration);
+  GroupManager(net::NetworkLoop& loop,
+               links::LinkClient& client,
+               ControlNode& node,
+               const FailureDomain& domain,
+               std::uint16_t sidecar_port,
+               sidecar::EngineProtocol protocol,
+               traffic::ConfigurationReader read_configuration);
 
   void Start();
   // What the control node that leads asks of this one: to read ranks, or to
@@ -44,7 +44,7 @@
 
  private:
   // What this node has read of another's targets.
-  struct Mark {
+  struct PeerState {
     std::uint64_t boot = 0;
     std::uint64_t revision = 0;
     TimePoint heard_at;
@@ -54,15 +54,15 @@
   // 404 for an engine that this node does not know.
   void Relay(net::HttpExchange& exchange);
   void Run();
-  bool LacksRanks() const;
+  bool HasIncompleteGroup() const;
   // Ended tasks whose last call has returned.
-  void ForgetEnded();
+  void EraseFinishedTasks();
   void CollectRanks();
-  void Tend(const traffic::TargetAnnouncement& told);
+  void UpdateTask(const traffic::TargetAnnouncement& announcement);
   // Targets announce themselves to any control node, and whichever leads next
   // needs all of them at once; so each node reads what the others know.
-  void LearnFromMembers();
-  void LearnFrom(const net::Endpoint& peer);
+  void PollPeers();
+  void PollPeer(const net::Endpoint& peer);
   const traffic::EngineModel* EngineOf(const ServiceId& service);
   bool KnowsEngine(const net::Endpoint& engine) const;
   // Other control nodes that have answered lately.
@@ -81,12 +81,12 @@
   // Of this term; a new leadership starts with new ones.
   std::map<GroupId, std::unique_ptr<GroupTask>> tasks_;
   // Their fibers may still run.
-  std::vector<std::unique_ptr<GroupTask>> ended_;
-  traffic::TargetBook others_;
-  std::map<net::Endpoint, Mark> marks_;
+  std::vector<std::unique_ptr<GroupTask>> retired_tasks_;
+  traffic::TargetBook peer_targets_;
+  std::map<net::Endpoint, PeerState> peer_states_;
   // Nodes that others have told of, to be asked once.
-  std::set<net::Endpoint> told_nodes_;
-  Tenure tenure_;
+  std::set<net::Endpoint> reported_nodes_;
+  LeadershipTerm leadership_term_;
   std::uint64_t read_version_ = 0;
   std::map<ServiceId, traffic::Service> services_;
   Term term_;
--- a/src/plugins/control_node/limit_keeper.cc
+++ b/src/plugins/control_node/limit_keeper.cc
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-LimitKeeper::LimitKeeper(net::FiberSignal& changed)
+LimitManager::LimitManager(net::FiberSignal& changed)
     : changed_(changed),
       log_("limits"),
       lines_(kMostLinesASecond),
       book_(declared_limits::LimitBookOptions{}),
       granter_(declared_limits::LimitGranterOptions{}) {}
 
-void LimitKeeper::Register(links::LinkServer& server) {
+void LimitManager::Register(links::LinkServer& server) {
   server.Register("limits.grant", [this](const boost::json::value& params) {
     return OnGrant(params);
   });
 }
 
-std::optional<boost::json::value> LimitKeeper::OnGrant(
+std::optional<boost::json::value> LimitManager::OnGrant(
     const boost::json::value& params) {
   const auto request = declared_limits::GrantRequestFromJson(params);
   if (!request.has_value()) {
@@ -47,7 +47,7 @@
   return declared_limits::ToJson(answer);
 }
 
-void LimitKeeper::Note(
+void LimitManager::Note(
     const std::string& gateway,
     const std::vector<declared_limits::LimitStatement>& statements,
     TimePoint now) {
@@ -72,19 +72,19 @@
   }
 }
 
-void LimitKeeper::SetGateways(std::vector<std::string> gateways,
-                              TimePoint now) {
+void LimitManager::SetGateways(std::vector<std::string> gateways,
+                               TimePoint now) {
   book_.SetGateways(std::move(gateways));
   Publish(now);
 }
 
-void LimitKeeper::Tick(TimePoint now) {
+void LimitManager::Tick(TimePoint now) {
   book_.Tick(now);
   granter_.Tick(now);
   Publish(now);
 }
 
-void LimitKeeper::Publish(TimePoint now) {
+void LimitManager::Publish(TimePoint now) {
   if (book_.revision() == told_revision_ || now - told_at_ < kBetweenNews) {
     return;
   }
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -20,10 +20,10 @@
 
 // Every control node hears of the limits from all gateways that ask it and
 // divides them for itself. Belongs to the control loop.
-class LimitKeeper {
+class LimitManager {
  public:
   // `changed` is notified where gateways have to be told.
-  explicit LimitKeeper(net::FiberSignal& changed);
+  explicit LimitManager(net::FiberSignal& changed);
 
   void Register(links::LinkServer& server);
 
--- a/src/plugins/control_node/quarantine_keeper.cc
+++ b/src/plugins/control_node/quarantine_keeper.cc
@@ -48,20 +48,20 @@
 
 }  // namespace
 
-QuarantineKeeper::QuarantineKeeper(net::FiberSignal& changed)
+QuarantineManager::QuarantineManager(net::FiberSignal& changed)
     : changed_(changed),
       log_("quarantine"),
       book_(quarantine::QuarantineOptions{}),
       lines_(kMostLinesASecond) {}
 
-void QuarantineKeeper::Register(links::LinkServer& server) {
+void QuarantineManager::Register(links::LinkServer& server) {
   server.Register("quarantine.report",
                   [this](const Json& params) { return OnReport(params); });
   server.Register("quarantine.trial",
                   [this](const Json& params) { return OnTrial(params); });
 }
 
-std::optional<boost::json::value> QuarantineKeeper::OnReport(
+std::optional<boost::json::value> QuarantineManager::OnReport(
     const Json& params) {
   const TimePoint now = SteadyNow();
   const bool is_read = Report(params, now);
@@ -69,7 +69,7 @@
   return is_read ? std::optional<Json>(true) : std::nullopt;
 }
 
-bool QuarantineKeeper::Report(const Json& reports, TimePoint now) {
+bool QuarantineManager::Report(const Json& reports, TimePoint now) {
   const auto observations = quarantine::ObservationsFromJson(reports);
   if (!observations.has_value()) {
     log_.Warn("Can't read what a gateway reports.", {});
@@ -81,8 +81,8 @@
   return true;
 }
 
-void QuarantineKeeper::Note(const quarantine::Observation& observation,
-                            TimePoint now) {
+void QuarantineManager::Note(const quarantine::Observation& observation,
+                             TimePoint now) {
   std::visit(
       Overloaded{
           [&](const quarantine::EndObserved& end) {
@@ -105,7 +105,7 @@
       observation);
 }
 
-std::optional<boost::json::value> QuarantineKeeper::OnTrial(
+std::optional<boost::json::value> QuarantineManager::OnTrial(
     const Json& params) {
   const auto* object = params.if_object();
   if (object == nullptr) {
@@ -130,7 +130,7 @@
   return Json(is_allowed);
 }
 
-void QuarantineKeeper::OnSaved(
+void QuarantineManager::OnSaved(
     std::vector<quarantine::QuarantineRecord> records,
     TimePoint now) {
   saved_ = std::move(records);
@@ -138,7 +138,7 @@
 }
 
 std::optional<std::vector<quarantine::QuarantineRecord>>
-QuarantineKeeper::Unsaved(TimePoint now) {
+QuarantineManager::Unsaved(TimePoint now) {
   if (saved_at_.has_value() || now - asked_to_save_at_ < kBetweenSaves) {
     return std::nullopt;
   }
@@ -155,7 +155,7 @@
   return refused;
 }
 
-void QuarantineKeeper::Tick(TimePoint now) {
+void QuarantineManager::Tick(TimePoint now) {
   first_tick_at_ = first_tick_at_.value_or(now);
   if (!is_settled_ && now - *first_tick_at_ > kSettling) {
     is_settled_ = true;
@@ -176,7 +176,7 @@
   Publish(now);
 }
 
-void QuarantineKeeper::Adopt(
+void QuarantineManager::Adopt(
     const std::vector<quarantine::QuarantineRecord>& records,
     TimePoint now) {
   for (const quarantine::QuarantineRecord& record : records) {
@@ -185,8 +185,8 @@
   Publish(now);
 }
 
-bool QuarantineKeeper::Release(const quarantine::RequestFingerprint& request,
-                               TimePoint now) {
+bool QuarantineManager::Release(const quarantine::RequestFingerprint& request,
+                                TimePoint now) {
   const bool is_held = book_.OnReleased({request, Duration::zero()}, now);
   if (is_held) {
     LogVerdict(request, now);
@@ -195,7 +195,7 @@
   return is_held;
 }
 
-void QuarantineKeeper::Publish(TimePoint now) {
+void QuarantineManager::Publish(TimePoint now) {
   if (book_.revision() == published_ || now - published_at_ < kBetweenNews) {
     return;
   }
@@ -210,8 +210,9 @@
   }
 }
 
-void QuarantineKeeper::LogVerdict(const quarantine::RequestFingerprint& request,
-                                  TimePoint now) {
+void QuarantineManager::LogVerdict(
+    const quarantine::RequestFingerprint& request,
+    TimePoint now) {
   const auto record = book_.RecordOf(request, now);
   if (!lines_.Take(now) || !record.has_value()) {
     return;
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -20,10 +20,10 @@
 // Every control node hears of the ends from all gateways that reach it, decides
 // for itself, and tells the gateways with their next watch; none leads. Belongs
 // to the control loop.
-class QuarantineKeeper {
+class QuarantineManager {
  public:
   // `changed` is notified where gateways have to be told.
-  explicit QuarantineKeeper(net::FiberSignal& changed);
+  explicit QuarantineManager(net::FiberSignal& changed);
 
   void Register(links::LinkServer& server);
   // To be called a few times a second.
--- a/src/plugins/control_node/tenure.h
+++ b/src/plugins/control_node/tenure.h
@@ -17,21 +17,21 @@
 
 namespace bilberryspool::control_node {
 
-class Tenure {
+class LeadershipTerm {
  public:
   enum class Verdict {
-    kRests,       // does not lead now; what was begun is kept
-    kActs,        // leads, in the same term as before
-    kBeginsAnew,  // leads in a term that is new to it
+    kNotLeading,  // does not lead now; what was begun is kept
+    kSameTerm,    // leads, in the same term as before
+    kNewTerm,     // leads in a term that is new to it
   };
 
-  Verdict Note(bool leads, Term term) {
+  Verdict Update(bool leads, Term term) {
     if (!leads) {
-      return Verdict::kRests;
+      return Verdict::kNotLeading;
     }
     const bool is_same = term_ == term;
     term_ = term;
-    return is_same ? Verdict::kActs : Verdict::kBeginsAnew;
+    return is_same ? Verdict::kSameTerm : Verdict::kNewTerm;
   }
 
  private:
