--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -148,40 +148,40 @@
         .GaugeFor({"bilberryspool_limit_denials",
                    "Questions for grants that this node had nothing for"})
         .Set(static_cast<double>(node_.limits().granter().denied()));
-    for (const auto& [group, figures] : groups_.figures(net::SteadyNow())) {
-      SetGroupMetrics(group, figures);
+    for (const auto& [group, stats] : groups_.stats(net::SteadyNow())) {
+      SetGroupMetrics(group, stats);
     }
     net::HttpResponseHead head;
     head.headers.Add("Content-Type", "text/plain; version=0.0.4");
     exchange.Respond(std::move(head), metrics_.ToPrometheusText());
   }
 
-  void SetGroupMetrics(const GroupId& group, const GroupFigures& figures) {
+  void SetGroupMetrics(const GroupId& group, const GroupStats& stats) {
     const telemetry::Labels labels = {{"group", group.value()}};
     metrics_
         .GaugeFor({"bilberryspool_group_ranks_heard", "Ranks ever heard"},
                   labels)
-        .Set(static_cast<double>(figures.heard));
+        .Set(static_cast<double>(stats.known_ranks));
     metrics_
         .GaugeFor(
             {"bilberryspool_group_ranks_missing", "Ranks asked in vain lately"},
             labels)
-        .Set(static_cast<double>(figures.missing));
+        .Set(static_cast<double>(stats.missing));
     metrics_
         .GaugeFor({"bilberryspool_group_oldest_sum_seconds",
                    "Age of the oldest sum of counts among the readers'"},
                   labels)
-        .Set(ToSeconds(figures.oldest_sum));
+        .Set(ToSeconds(stats.oldest_sum_age));
     metrics_
         .GaugeFor({"bilberryspool_group_last_plan_seconds",
                    "What the last plan of a map took"},
                   labels)
-        .Set(ToSeconds(figures.last_plan));
+        .Set(ToSeconds(stats.last_plan_duration));
     metrics_
         .GaugeFor({"bilberryspool_group_last_tick_seconds",
                    "Since the group was last looked after"},
                   labels)
-        .Set(ToSeconds(figures.last_tick));
+        .Set(ToSeconds(stats.time_since_tick));
   }
 
   const settings::ControlSettings& settings_;
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -86,19 +86,19 @@
         task->SetHelpers(Helpers());
       }
       task->Tick();
-      task->AddSlow(slow);
+      task->AddSlowTargets(slow);
     }
     node_.SetSlowTargets(std::move(slow));
   }
 }
 
-std::map<GroupId, GroupFigures> GroupManager::figures(TimePoint now) const {
-  std::map<GroupId, GroupFigures> by_group;
+std::map<GroupId, GroupStats> GroupManager::stats(TimePoint now) const {
+  std::map<GroupId, GroupStats> by_group;
   if (!node_.replica().is_leader()) {
     return by_group;
   }
   for (const auto& [group, task] : tasks_) {
-    by_group[group] = task->figures(now);
+    by_group[group] = task->stats(now);
   }
   return by_group;
 }
@@ -111,7 +111,7 @@
 
 void GroupManager::EraseFinishedTasks() {
   std::erase_if(retired_tasks_,
-                [](const auto& task) { return !task->is_calling(); });
+                [](const auto& task) { return !task->has_pending_calls(); });
 }
 
 void GroupManager::Serve(net::HttpExchange& exchange) {
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_keeper.h
@@ -40,7 +40,7 @@
   // pass an order on to engines.
   void Serve(net::HttpExchange& exchange);
   // Of the groups that this node looks after; none where it does not lead.
-  std::map<GroupId, GroupFigures> figures(TimePoint now) const;
+  std::map<GroupId, GroupStats> stats(TimePoint now) const;
 
  private:
   // What this node has read of another's targets.
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -92,32 +92,32 @@
     return;
   }
   const TimePoint now = SteadyNow();
-  NoteLateness(now);
+  DetectLateTick(now);
   silence_.Tick(now);
-  NoteState(now);
+  LogState(now);
   BeginRounds(now);
-  AskSilent(now);
-  Pump();
+  PollSilentRanks(now);
+  Advance();
   ReadMap();
 }
 
 // A node that is short of processor time may lose its lead in the middle of a
 // change, and the group then stands still until another node has taken over.
-void GroupTask::NoteLateness(TimePoint now) {
+void GroupTask::DetectLateTick(TimePoint now) {
   // A plan for a large group alone takes a tenth of a second; followers vote
   // anew after half a second without a word.
-  constexpr Duration kLate = Milliseconds(250);
-  constexpr Duration kCalm = Milliseconds(700);
-  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kLate) {
-    calm_from_ = now + kCalm;
+  constexpr Duration kMaxTickDelay = Milliseconds(250);
+  constexpr Duration kChangePause = Milliseconds(700);
+  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kMaxTickDelay) {
+    changes_allowed_from_ = now + kChangePause;
   }
   ticked_at_ = now;
 }
 
 // What the pauses and first events of callers follow from; one line a second.
-void GroupTask::NoteState(TimePoint now) {
+void GroupTask::LogState(TimePoint now) {
   constexpr Duration kMinLogInterval = Seconds(1);
-  if (now - state_at_ < kMinLogInterval) {
+  if (now - state_logged_at_ < kMinLogInterval) {
     return;
   }
   std::uint32_t running = 0;
@@ -131,8 +131,10 @@
     slowest = std::max(slowest, pace);
   }
   const std::uint64_t step = newest_step_.value();
-  const std::uint64_t steps = step > state_step_ ? step - state_step_ : 0;
-  const auto elapsed = static_cast<std::uint64_t>((now - state_at_).count());
+  const std::uint64_t steps =
+      step > state_logged_step_ ? step - state_logged_step_ : 0;
+  const auto elapsed =
+      static_cast<std::uint64_t>((now - state_logged_at_).count());
   constexpr std::uint64_t kMicrosecondsPerMs = 1000;
   constexpr double kPercent = 100.0;
   log_.Info("Group state.",
@@ -140,7 +142,7 @@
              {"epoch", switch_.epoch().value()},
              {"version", switch_.version().value()},
              {"step", step},
-             {"step_ms", steps == 0 || state_at_ == TimePoint{}
+             {"step_ms", steps == 0 || state_logged_at_ == TimePoint{}
                              ? 0
                              : elapsed / kMicrosecondsPerMs / steps},
              {"running", running},
@@ -150,25 +152,25 @@
              {"heard", silence_.heard()},
              {"missing", silence_.Missing(now).size()},
              {"counts", static_cast<std::uint64_t>(loads_.weight())},
-             {"sums", sums_},
-             {"oldest_sum_ms", OldestSum(now) / Milliseconds(1)}});
-  sums_ = 0;
-  state_at_ = now;
-  state_step_ = step;
+             {"sums", sums_since_log_},
+             {"oldest_sum_ms", OldestSumAge(now) / Milliseconds(1)}});
+  sums_since_log_ = 0;
+  state_logged_at_ = now;
+  state_logged_step_ = step;
 }
 
-GroupFigures GroupTask::figures(TimePoint now) const {
-  return {silence_.heard(), silence_.Missing(now).size(), OldestSum(now),
-          last_plan_, now - ticked_at_};
+GroupStats GroupTask::stats(TimePoint now) const {
+  return {silence_.heard(), silence_.Missing(now).size(), OldestSumAge(now),
+          last_plan_duration_, now - ticked_at_};
 }
 
 // Of the sums of present readers, how long ago the oldest one came.
-Duration GroupTask::OldestSum(TimePoint now) const {
-  constexpr Duration kLongReplaced = Seconds(30);
+Duration GroupTask::OldestSumAge(TimePoint now) const {
+  constexpr Duration kMaxReaderAge = Seconds(30);
   Duration oldest{};
-  for (const auto& [reader, sum] : sums_of_) {
+  for (const auto& [reader, sum] : last_sums_) {
     const Duration age = now - sum.at;
-    if (age < kLongReplaced) {
+    if (age < kMaxReaderAge) {
       oldest = std::max(oldest, age);
     }
   }
@@ -176,11 +178,11 @@
 }
 
 // Sends what is due, and plans as soon as there is room for a change.
-void GroupTask::Pump() {
+void GroupTask::Advance() {
   const TimePoint now = SteadyNow();
   SendDue(now);
   if (switch_.phase() == SwitchPhase::kIdle && now >= plan_due_ &&
-      now >= calm_from_ && !is_planning_) {
+      now >= changes_allowed_from_ && !is_planning_) {
     plan_due_ = now + kPlanInterval;
     is_planning_ = true;
     Spawn([this] {
@@ -195,20 +197,20 @@
     SendOrder(order);
   }
   const std::vector<RankIndex> asked = switch_.Questions(now);
-  if (asked.size() > kMostCalls) {
+  if (asked.size() > kMaxDirectCalls) {
     // The readers tell of all sooner than the leader could ask them.
     shares_.Hasten(now);
     BeginRounds(now);
-    NotePhase();
+    OnPhaseChecked();
     return;
   }
   for (const RankIndex rank : asked) {
-    AskReport(rank, addresses_.at(rank));
+    RequestReport(rank, addresses_.at(rank));
   }
-  NotePhase();
+  OnPhaseChecked();
 }
 
-void GroupTask::NotePhase() {
+void GroupTask::OnPhaseChecked() {
   if (switch_.phase() == last_phase_) {
     return;
   }
@@ -229,10 +231,10 @@
 }
 
 void GroupTask::Spawn(std::function<void()> body) {
-  ++calling_;
+  ++pending_calls_;
   loop_.Spawn([this, body = std::move(body)] {
     body();
-    --calling_;
+    --pending_calls_;
   });
 }
 
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -30,12 +30,12 @@
 namespace bilberryspool::control_node {
 
 // What the leader knows of a group's ranks, and how late that is.
-struct GroupFigures {
-  std::size_t heard = 0;  // ranks that were ever heard
+struct GroupStats {
+  std::size_t known_ranks = 0;  // ranks that were ever heard
   std::size_t missing = 0;
-  Duration oldest_sum{};  // of the readers' sums, since it came
-  Duration last_plan{};   // what the last plan took
-  Duration last_tick{};   // since the last tick; due every 25 ms
+  Duration oldest_sum_age{};      // of the readers' sums, since it came
+  Duration last_plan_duration{};  // what the last plan took
+  Duration time_since_tick{};     // since the last tick; due every 25 ms
 };
 
 // Runs in the control loop, while its node leads.
@@ -67,58 +67,58 @@
   void Tick();
   std::uint32_t ranks() const { return ranks_; }
   // Whether calls are still on their way; a task must outlive them.
-  bool is_calling() const { return calling_ > 0; }
+  bool has_pending_calls() const { return pending_calls_ > 0; }
   // Above every version that this task has given a map.
   MapVersion unused_version() const { return switch_.unused_version(); }
   // Adds the ranks that are too slow to be given requests, by address, with how
   // many times as long as a healthy one they take, and those that do not answer
   // (kMissingPace).
-  void AddSlow(std::map<std::string, double>& by_address) const;
+  void AddSlowTargets(std::map<std::string, double>& by_address) const;
   // For metrics.
-  GroupFigures figures(TimePoint now) const;
+  GroupStats stats(TimePoint now) const;
 
  private:
   // Calls to ranks that the leader makes at once by itself; more go by way of
   // the nodes that read them.
-  static constexpr std::size_t kMostCalls = 24;
+  static constexpr std::size_t kMaxDirectCalls = 24;
   static placement::RecentLoadsOptions LoadOptions(
       const traffic::EngineModel& engine);
   // group_task.cc
   void Spawn(std::function<void()> body);
-  void Pump();
+  void Advance();
   void SendDue(TimePoint now);
   // group_task_readings.cc
   void BeginRounds(TimePoint now);
-  void AskRound(const Round& round);
-  std::optional<groups::RoundAnswer> AnswerOf(
+  void PollRanks(const Round& round);
+  std::optional<groups::RoundAnswer> RequestAnswer(
       const Round& round,
       const groups::RoundQuestion& question);
   double read_work() const;
-  void NoteSum(const Round& round, const groups::RoundAnswer& answer);
-  void NoteSilent(const Round& round, const groups::RoundAnswer& answer);
-  void AskSilent(TimePoint now);
-  void AskReport(RankIndex rank, const net::Endpoint& endpoint);
-  void TakeReport(RankIndex rank,
-                  const groups::EngineReport& report,
-                  TimePoint as_of,
-                  TimePoint heard_at);
+  void RecordSum(const Round& round, const groups::RoundAnswer& answer);
+  void RecordSilentRanks(const Round& round, const groups::RoundAnswer& answer);
+  void PollSilentRanks(TimePoint now);
+  void RequestReport(RankIndex rank, const net::Endpoint& endpoint);
+  void ApplyReport(RankIndex rank,
+                   const groups::EngineReport& report,
+                   TimePoint as_of,
+                   TimePoint heard_at);
   void ReadMap();
   // The map in use, as the ranks tell of it one by one.
   struct MapReading {
     std::shared_ptr<placement::ExpertMap> map;
     MapVersion version;
     std::size_t missing = 0;
-    bool is_whole = true;
+    bool is_complete = true;
   };
   void AddExperts(placement::ExpertMap& map,
                   RankIndex rank,
                   const std::vector<std::vector<ExpertIndex>>& experts) const;
-  void EndReading(const MapReading& reading);
+  void FinishMapReading(const MapReading& reading);
   // group_task.cc
-  void NotePhase();
-  void NoteLateness(TimePoint now);
-  void NoteState(TimePoint now);
-  Duration OldestSum(TimePoint now) const;
+  void OnPhaseChecked();
+  void DetectLateTick(TimePoint now);
+  void LogState(TimePoint now);
+  Duration OldestSumAge(TimePoint now) const;
   // group_task_plan.cc
   void Plan();
   placement::BoundedPlanOptions PlanOptions();
@@ -133,8 +133,9 @@
   void SendPart(const Round& part,
                 const groups::RankOrder& order,
                 groups::WideOrder wide);
-  std::optional<groups::WideAnswer> AnswerOf(const Round& part,
-                                             const groups::WideOrder& wide);
+  std::optional<groups::WideAnswer> RequestAnswer(
+      const Round& part,
+      const groups::WideOrder& wide);
   void OnAnswer(const groups::RankOrder& order, int status);
   EngineCalls::Answer AskForHold(const net::Endpoint& engine,
                                  const net::HttpRequest& request);
@@ -156,16 +157,16 @@
   std::map<RankIndex, double> paces_;
   groups::SilentRanks silence_;
   // When those that no reader tells of were asked last.
-  std::map<RankIndex, TimePoint> asked_at_;
+  std::map<RankIndex, TimePoint> polled_at_;
   RoundShares shares_;
   // Of the last answer of each reader.
   struct Sum {
     placement::ReadingMark mark;
     TimePoint at;  // when it last held any work
   };
-  std::map<std::optional<net::Endpoint>, Sum> sums_of_;
+  std::map<std::optional<net::Endpoint>, Sum> last_sums_;
   // With work in them, since the state was logged last.
-  std::uint32_t sums_ = 0;
+  std::uint32_t sums_since_log_ = 0;
   struct RankLoad {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -173,20 +174,20 @@
   std::map<RankIndex, RankLoad> loads_at_;
   groups::StepNumber newest_step_;
   // When the state was logged last, and the step of that time.
-  TimePoint state_at_;
-  std::uint64_t state_step_ = 0;
+  TimePoint state_logged_at_;
+  std::uint64_t state_logged_step_ = 0;
   groups::SwitchPhase last_phase_ = groups::SwitchPhase::kObserving;
-  TimePoint silent_due_;
+  TimePoint silent_poll_due_;
   TimePoint plan_due_;
   TimePoint phase_since_;
   TimePoint ticked_at_;
   // No change is begun before.
-  TimePoint calm_from_;
+  TimePoint changes_allowed_from_;
   OrderHelpers helpers_;
   bool is_reading_map_ = false;
   bool is_planning_ = false;
-  Duration last_plan_{};
-  std::uint32_t calling_ = 0;
+  Duration last_plan_duration_{};
+  std::uint32_t pending_calls_ = 0;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -51,7 +51,7 @@
             ? AskForHold(engine, request)
             : calls_.CallEngine(engine, request, PatienceFor(order.order));
     OnAnswer(order, answer.status);
-    Pump();
+    Advance();
   });
 }
 
@@ -68,7 +68,7 @@
 std::vector<groups::RankOrder> GroupTask::SendWide(
     std::vector<groups::RankOrder> orders,
     TimePoint now) {
-  if (orders.size() <= kMostCalls) {
+  if (orders.size() <= kMaxDirectCalls) {
     return orders;
   }
   const groups::RankOrder first = orders.front();
@@ -113,7 +113,7 @@
   }
   Spawn([this, part, order, wide = std::move(wide)] {
     const TimePoint asked = SteadyNow();
-    const auto answer = AnswerOf(part, wide);
+    const auto answer = RequestAnswer(part, wide);
     if (!answer.has_value() && !silence_.WasLateSince(asked, SteadyNow())) {
       shares_.Rest(*part.reader, SteadyNow());
     }
@@ -123,11 +123,11 @@
       one.rank = part.ranks[i];
       OnAnswer(one, is_told ? static_cast<int>(answer->statuses[i]) : 0);
     }
-    Pump();
+    Advance();
   });
 }
 
-std::optional<groups::WideAnswer> GroupTask::AnswerOf(
+std::optional<groups::WideAnswer> GroupTask::RequestAnswer(
     const Round& part,
     const groups::WideOrder& wide) {
   if (!may_act_()) {
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -82,7 +82,7 @@
       placement::PlanSoonest(*map, loads, options, times);
   const double gain = 1.0 - plan.imbalance_after / plan.imbalance_before;
   const TimePoint now = SteadyNow();
-  last_plan_ = now - begun;
+  last_plan_duration_ = now - begun;
   // The group may have formed anew while the plan was made.
   const bool still_fits =
       switch_.phase() == SwitchPhase::kIdle && switch_.map() == map;
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -19,17 +19,17 @@
 namespace {
 
 // A rank that no reader told of for this long is asked by the leader.
-constexpr Duration kSilent = Milliseconds(250);
+constexpr Duration kSilenceTimeout = Milliseconds(250);
 // Ranks that the leader asks itself a second: what a control node of 0.15 of a
 // core can ask and read beside its other work.
-constexpr double kAsksPerSecond = 200.0;
+constexpr double kMaxPollsPerSecond = 200.0;
 // Of them at a time, so that they don't hold up all else.
-constexpr std::size_t kAsksAtOnce = 8;
+constexpr std::size_t kMaxPollsPerBatch = 8;
 // For a reader's answer, beside the time that it may take for its ranks.
-constexpr Duration kRoundWay = Milliseconds(300);
-constexpr EngineCalls::CallTimeouts kReportPatience{Milliseconds(300)};
+constexpr Duration kRoundTransit = Milliseconds(300);
+constexpr EngineCalls::CallTimeouts kReportTimeouts{Milliseconds(300)};
 // The map of a group that has just formed: experts in turn.
-std::shared_ptr<const placement::ExpertMap> FirstMap(
+std::shared_ptr<const placement::ExpertMap> InitialMap(
     const traffic::EngineModel& engine,
     std::uint32_t ranks) {
   auto map = std::make_shared<placement::ExpertMap>(engine.expert_layers,
@@ -47,11 +47,11 @@
 
 void GroupTask::BeginRounds(TimePoint now) {
   for (const Round& round : shares_.Due(now)) {
-    AskRound(round);
+    PollRanks(round);
   }
 }
 
-std::optional<groups::RoundAnswer> GroupTask::AnswerOf(
+std::optional<groups::RoundAnswer> GroupTask::RequestAnswer(
     const Round& round,
     const groups::RoundQuestion& question) {
   if (!round.reader.has_value()) {
@@ -59,23 +59,23 @@
   }
   const EngineCalls::Answer answer =
       calls_.CallNode(*round.reader, RankRounds::RequestFor(question),
-                      RankRounds::kRoundPatience + kRoundWay);
+                      RankRounds::kRoundPatience + kRoundTransit);
   return answer.status == net::status::kOk ? groups::DecodeAnswer(answer.body)
                                            : std::nullopt;
 }
 
-void GroupTask::AskRound(const Round& round) {
+void GroupTask::PollRanks(const Round& round) {
   Spawn([this, round] {
     groups::RoundQuestion question;
     question.group = group_;
-    question.mark = sums_of_[round.reader].mark;
+    question.mark = last_sums_[round.reader].mark;
     question.read_work = read_work();
     question.counters = engine_.expert_layers * engine_.experts_per_layer;
     for (const RankIndex rank : round.ranks) {
       question.ranks.push_back({rank, addresses_.at(rank).ToString()});
     }
     const TimePoint asked = SteadyNow();
-    const auto answer = AnswerOf(round, question);
+    const auto answer = RequestAnswer(round, question);
     if (!answer.has_value()) {
       log_.Info("A control node does not read its ranks.",
                 {{"group", group_.value()},
@@ -88,34 +88,35 @@
       return;
     }
     shares_.OnAnswer(round, answer->domain, SteadyNow());
-    NoteSum(round, *answer);
+    RecordSum(round, *answer);
     for (const groups::RankWord& word : answer->words) {
       // The answer waits for the slowest rank; that a rank answers is known of
       // the time at which it was asked, and it may be frozen since.
       const TimePoint at = asked + word.asked_after;
-      TakeReport(word.rank, word.report, at, at);
+      ApplyReport(word.rank, word.report, at, at);
     }
-    NoteSilent(round, *answer);
-    Pump();
+    RecordSilentRanks(round, *answer);
+    Advance();
   });
 }
 
-void GroupTask::NoteSum(const Round& round, const groups::RoundAnswer& answer) {
+void GroupTask::RecordSum(const Round& round,
+                          const groups::RoundAnswer& answer) {
   const TimePoint now = SteadyNow();
-  Sum& sum = sums_of_[round.reader];
+  Sum& sum = last_sums_[round.reader];
   sum.mark = answer.mark;
   if (answer.work.empty()) {
     return;
   }
   sum.at = now;
-  ++sums_;
+  ++sums_since_log_;
   loads_.Add(answer.work, now);
 }
 
 // Where most of its ranks are silent, the reader may be cut off or late itself;
 // the leader asks them then.
-void GroupTask::NoteSilent(const Round& round,
-                           const groups::RoundAnswer& answer) {
+void GroupTask::RecordSilentRanks(const Round& round,
+                                  const groups::RoundAnswer& answer) {
   std::set<RankIndex> silent(round.ranks.begin(), round.ranks.end());
   for (const groups::RankWord& word : answer.words) {
     silent.erase(word.rank);
@@ -138,32 +139,33 @@
 }
 
 // Those that no reader tells of: their sidecar is gone, or the reader is.
-void GroupTask::AskSilent(TimePoint now) {
-  if (now < silent_due_) {
+void GroupTask::PollSilentRanks(TimePoint now) {
+  if (now < silent_poll_due_) {
     return;
   }
   std::vector<RankIndex> silent;
   for (const auto& [rank, endpoint] : addresses_) {
-    if (silent.size() < kAsksAtOnce && !silence_.IsHeard(rank, kSilent, now) &&
-        now - asked_at_[rank] > kSilent) {
+    if (silent.size() < kMaxPollsPerBatch &&
+        !silence_.IsHeard(rank, kSilenceTimeout, now) &&
+        now - polled_at_[rank] > kSilenceTimeout) {
       silent.push_back(rank);
     }
   }
   for (const RankIndex rank : silent) {
-    asked_at_[rank] = now;
-    AskReport(rank, addresses_.at(rank));
+    polled_at_[rank] = now;
+    RequestReport(rank, addresses_.at(rank));
   }
   constexpr double kMicrosecondsPerSecond = 1e6;
-  silent_due_ = now + Microseconds(static_cast<std::int64_t>(
-                          static_cast<double>(silent.size()) / kAsksPerSecond *
-                          kMicrosecondsPerSecond));
+  silent_poll_due_ = now + Microseconds(static_cast<std::int64_t>(
+                               static_cast<double>(silent.size()) /
+                               kMaxPollsPerSecond * kMicrosecondsPerSecond));
 }
 
-void GroupTask::AskReport(RankIndex rank, const net::Endpoint& endpoint) {
+void GroupTask::RequestReport(RankIndex rank, const net::Endpoint& endpoint) {
   Spawn([this, rank, endpoint] {
     const TimePoint asked = SteadyNow();
     const EngineCalls::Answer answer = calls_.CallEngine(
-        endpoint, protocol_.report_request(), kReportPatience);
+        endpoint, protocol_.report_request(), kReportTimeouts);
     const auto report = protocol_.read_report(answer.body);
     if (!report.has_value()) {
       if (!silence_.WasLateSince(asked, SteadyNow())) {
@@ -171,15 +173,15 @@
       }
       return;
     }
-    TakeReport(rank, *report, answer.as_of, SteadyNow());
-    Pump();
+    ApplyReport(rank, *report, answer.as_of, SteadyNow());
+    Advance();
   });
 }
 
-void GroupTask::TakeReport(RankIndex rank,
-                           const groups::EngineReport& report,
-                           TimePoint as_of,
-                           TimePoint heard_at) {
+void GroupTask::ApplyReport(RankIndex rank,
+                            const groups::EngineReport& report,
+                            TimePoint as_of,
+                            TimePoint heard_at) {
   paces_[rank] = report.pace;
   silence_.OnHeard(rank, SteadyNow());
   loads_at_[rank] = {report.running, report.waiting};
@@ -187,7 +189,8 @@
   switch_.OnReport(rank, report, as_of, heard_at);
 }
 
-void GroupTask::AddSlow(std::map<std::string, double>& by_address) const {
+void GroupTask::AddSlowTargets(
+    std::map<std::string, double>& by_address) const {
   const groups::BatchTimes times{engine_.slots, engine_.step,
                                  engine_.step_per_request,
                                  engine_.expert_share};
@@ -208,7 +211,7 @@
     return;
   }
   if (version->value() == 0) {
-    switch_.OnMapRead(*version, FirstMap(engine_, ranks_));
+    switch_.OnMapRead(*version, InitialMap(engine_, ranks_));
     return;
   }
   is_reading_map_ = true;
@@ -223,16 +226,16 @@
       const auto read = protocol_.read_experts(
           calls_
               .CallEngine(endpoint, protocol_.experts_request(),
-                          kReportPatience)
+                          kReportTimeouts)
               .body);
       if (!read.has_value() || read->version != reading->version ||
           read->experts.size() != engine_.expert_layers) {
-        reading->is_whole = false;
+        reading->is_complete = false;
       } else {
         AddExperts(*reading->map, rank, read->experts);
       }
       if (--reading->missing == 0) {
-        EndReading(*reading);
+        FinishMapReading(*reading);
       }
     });
   }
@@ -249,13 +252,13 @@
   }
 }
 
-void GroupTask::EndReading(const MapReading& reading) {
-  if (reading.is_whole && reading.map->Orphans().empty()) {
+void GroupTask::FinishMapReading(const MapReading& reading) {
+  if (reading.is_complete && reading.map->Orphans().empty()) {
     switch_.OnMapRead(reading.version, reading.map);
-    Pump();
+    Advance();
   }
   // A rank that does not answer is asked again after a while.
-  loop_.SleepFor(kSilent);
+  loop_.SleepFor(kSilenceTimeout);
   is_reading_map_ = false;
 }
 
