--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -38,7 +38,7 @@
       links_(client),
       calls_(loop, client, sidecar_port),
       rounds_(loop, calls_, domain),
-      spreader_(loop, calls_),
+      multicaster_(loop, calls_),
       relay_(loop),
       node_(node),
       protocol_(std::move(protocol)),
@@ -115,12 +115,12 @@
 }
 
 void GroupManager::Serve(net::HttpExchange& exchange) {
-  if (RankRounds::IsAsked(exchange.request())) {
+  if (RankRounds::Handles(exchange.request())) {
     rounds_.Answer(exchange);
     return;
   }
-  if (OrderSpreader::IsAsked(exchange.request())) {
-    spreader_.Answer(exchange);
+  if (OrderMulticaster::Handles(exchange.request())) {
+    multicaster_.Answer(exchange);
     return;
   }
   Relay(exchange);
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_keeper.h
@@ -72,7 +72,7 @@
   links::LinkClient& links_;
   EngineCalls calls_;
   RankRounds rounds_;
-  OrderSpreader spreader_;
+  OrderMulticaster multicaster_;
   sidecar::EngineRelay relay_;
   ControlNode& node_;
   sidecar::EngineProtocol protocol_;
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -193,7 +193,7 @@
 }
 
 void GroupTask::SendDue(TimePoint now) {
-  for (const groups::RankOrder& order : SendWide(switch_.Tick(now), now)) {
+  for (const groups::RankOrder& order : SendMulticast(switch_.Tick(now), now)) {
     SendOrder(order);
   }
   const std::vector<RankIndex> asked = switch_.Questions(now);
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -127,19 +127,20 @@
   void SendOrder(const groups::RankOrder& order);
   // Sends orders that are the same for many ranks by way of the nodes that read
   // them; returns the others.
-  std::vector<groups::RankOrder> SendWide(std::vector<groups::RankOrder> orders,
-                                          TimePoint now);
-  groups::WideOrder WideOrderOf(const groups::RankOrder& order) const;
-  void SendPart(const Round& part,
-                const groups::RankOrder& order,
-                groups::WideOrder wide);
+  std::vector<groups::RankOrder> SendMulticast(
+      std::vector<groups::RankOrder> orders,
+      TimePoint now);
+  groups::WideOrder MulticastOrderOf(const groups::RankOrder& order) const;
+  void SendMulticastPart(const Round& part,
+                         const groups::RankOrder& order,
+                         groups::WideOrder multicast);
   std::optional<groups::WideAnswer> RequestAnswer(
       const Round& part,
-      const groups::WideOrder& wide);
+      const groups::WideOrder& multicast);
   void OnAnswer(const groups::RankOrder& order, int status);
-  EngineCalls::Answer AskForHold(const net::Endpoint& engine,
-                                 const net::HttpRequest& request);
-  EngineCalls::CallTimeouts PatienceFor(const groups::EngineOrder& order) const;
+  EngineCalls::Answer SendHoldOrder(const net::Endpoint& engine,
+                                    const net::HttpRequest& request);
+  EngineCalls::CallTimeouts TimeoutFor(const groups::EngineOrder& order) const;
 
   net::NetworkLoop& loop_;
   EngineCalls& calls_;
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -19,18 +19,18 @@
 // last one is: a lost one is given again soon. An engine answers its sidecar
 // within a few milliseconds; to send an order to all ranks takes up to 1 ms
 // each on 0.15 of a core, and a map is longer to send and to read.
-constexpr Duration kOrderPatience = Milliseconds(25);
-constexpr Duration kOrderWay = Milliseconds(40);
-constexpr Duration kMapWay = Milliseconds(80);
+constexpr Duration kOrderTimeout = Milliseconds(25);
+constexpr Duration kOrderTransit = Milliseconds(40);
+constexpr Duration kMapTransit = Milliseconds(80);
 constexpr Duration kOrderTimePerRank = Milliseconds(1);
 
 }  // namespace
 
-EngineCalls::CallTimeouts GroupTask::PatienceFor(
+EngineCalls::CallTimeouts GroupTask::TimeoutFor(
     const groups::EngineOrder& order) const {
   const bool has_map = std::holds_alternative<groups::PrepareMap>(order);
-  return {kOrderPatience,
-          (has_map ? kMapWay : kOrderWay) + kOrderTimePerRank * ranks_};
+  return {kOrderTimeout,
+          (has_map ? kMapTransit : kOrderTransit) + kOrderTimePerRank * ranks_};
 }
 
 void GroupTask::SendOrder(const groups::RankOrder& order) {
@@ -43,13 +43,13 @@
     }
     const net::HttpRequest request = protocol_.order_request(order, ranks_);
     const net::Endpoint& engine = addresses_.at(order.rank);
-    const bool is_about_hold =
+    const bool is_hold_order =
         std::holds_alternative<groups::HoldStep>(order.order) ||
         std::holds_alternative<groups::ReleaseStep>(order.order);
     const EngineCalls::Answer answer =
-        is_about_hold
-            ? AskForHold(engine, request)
-            : calls_.CallEngine(engine, request, PatienceFor(order.order));
+        is_hold_order
+            ? SendHoldOrder(engine, request)
+            : calls_.CallEngine(engine, request, TimeoutFor(order.order));
     OnAnswer(order, answer.status);
     Advance();
   });
@@ -65,7 +65,7 @@
 // Orders to prepare and to arm may reach a rank late without harm, so they may
 // go by way of a node that freezes meanwhile; what is not answered in time is
 // given again by another way. Those about a hold go alone.
-std::vector<groups::RankOrder> GroupTask::SendWide(
+std::vector<groups::RankOrder> GroupTask::SendMulticast(
     std::vector<groups::RankOrder> orders,
     TimePoint now) {
   if (orders.size() <= kMaxDirectCalls) {
@@ -78,13 +78,13 @@
       ranks.push_back(order.rank);
     }
   }
-  const groups::WideOrder wide = WideOrderOf(first);
+  const groups::WideOrder multicast = MulticastOrderOf(first);
   std::set<RankIndex> sent;
   for (const Round& part : shares_.Split(ranks, now)) {
     if (!part.reader.has_value()) {
       continue;
     }
-    SendPart(part, first, wide);
+    SendMulticastPart(part, first, multicast);
     sent.insert(part.ranks.begin(), part.ranks.end());
   }
   std::erase_if(orders, [&](const groups::RankOrder& order) {
@@ -94,34 +94,35 @@
 }
 
 // For no rank yet.
-groups::WideOrder GroupTask::WideOrderOf(const groups::RankOrder& order) const {
+groups::WideOrder GroupTask::MulticastOrderOf(
+    const groups::RankOrder& order) const {
   const net::HttpRequest request = protocol_.order_request(order, ranks_);
-  groups::WideOrder wide;
-  wide.patience = kOrderPatience;
-  wide.method = request.method;
-  wide.target = request.target;
-  wide.content_type = request.headers.ValueOr("Content-Type", "");
-  wide.body = packing::Pack(request.body);
-  return wide;
+  groups::WideOrder multicast;
+  multicast.patience = kOrderTimeout;
+  multicast.method = request.method;
+  multicast.target = request.target;
+  multicast.content_type = request.headers.ValueOr("Content-Type", "");
+  multicast.body = packing::Pack(request.body);
+  return multicast;
 }
 
-void GroupTask::SendPart(const Round& part,
-                         const groups::RankOrder& order,
-                         groups::WideOrder wide) {
+void GroupTask::SendMulticastPart(const Round& part,
+                                  const groups::RankOrder& order,
+                                  groups::WideOrder multicast) {
   for (const RankIndex rank : part.ranks) {
-    wide.ranks.push_back({rank, addresses_.at(rank).ToString()});
+    multicast.ranks.push_back({rank, addresses_.at(rank).ToString()});
   }
-  Spawn([this, part, order, wide = std::move(wide)] {
+  Spawn([this, part, order, multicast = std::move(multicast)] {
     const TimePoint asked = SteadyNow();
-    const auto answer = RequestAnswer(part, wide);
+    const auto answer = RequestAnswer(part, multicast);
     if (!answer.has_value() && !silence_.WasLateSince(asked, SteadyNow())) {
       shares_.Rest(*part.reader, SteadyNow());
     }
     groups::RankOrder one = order;
     for (std::size_t i = 0; i < part.ranks.size(); ++i) {
-      const bool is_told = answer.has_value() && i < answer->statuses.size();
+      const bool has_status = answer.has_value() && i < answer->statuses.size();
       one.rank = part.ranks[i];
-      OnAnswer(one, is_told ? static_cast<int>(answer->statuses[i]) : 0);
+      OnAnswer(one, has_status ? static_cast<int>(answer->statuses[i]) : 0);
     }
     Advance();
   });
@@ -129,27 +130,27 @@
 
 std::optional<groups::WideAnswer> GroupTask::RequestAnswer(
     const Round& part,
-    const groups::WideOrder& wide) {
+    const groups::WideOrder& multicast) {
   if (!may_act_()) {
     return std::nullopt;
   }
   const EngineCalls::Answer answer =
-      calls_.CallNode(*part.reader, OrderSpreader::RequestFor(wide),
-                      OrderSpreader::PatienceFor(wide) + kOrderWay);
+      calls_.CallNode(*part.reader, OrderMulticaster::RequestFor(multicast),
+                      OrderMulticaster::TimeoutFor(multicast) + kOrderTransit);
   return answer.status == net::status::kOk
              ? groups::DecodeWideAnswer(answer.body)
              : std::nullopt;
 }
 
-EngineCalls::Answer GroupTask::AskForHold(const net::Endpoint& engine,
-                                          const net::HttpRequest& request) {
-  constexpr EngineCalls::CallTimeouts kPatience{kOrderPatience, kOrderWay};
+EngineCalls::Answer GroupTask::SendHoldOrder(const net::Endpoint& engine,
+                                             const net::HttpRequest& request) {
+  constexpr EngineCalls::CallTimeouts kTimeouts{kOrderTimeout, kOrderTransit};
   const auto helper = helpers_.Next();
   if (!helper.has_value()) {
-    return calls_.CallEngine(engine, request, kPatience);
+    return calls_.CallEngine(engine, request, kTimeouts);
   }
   EngineCalls::Answer answer =
-      calls_.CallThroughNode(*helper, engine, request, kPatience);
+      calls_.CallThroughNode(*helper, engine, request, kTimeouts);
   const RelayResult result = ClassifyRelayStatus(answer.status);
   helpers_.OnRelayed(*helper, result);
   if (result == RelayResult::kHelperFailed) {
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -14,20 +14,20 @@
 namespace {
 
 // Below this many counts the shares of rare experts are noise.
-constexpr double kLeastWeight = 10'000.0;
+constexpr double kMinWeight = 10'000.0;
 // How much a change must shorten the layers, and down to which imbalance a
 // layer is worth copies. While engines have room a longer step makes nobody
 // late, so only what is far off is mended: copies are dear.
-struct Ambition {
+struct ChangeThresholds {
   double least_gain;
   double good_enough;
 };
-constexpr Ambition kBusyAmbition{0.12, 1.08};
-constexpr Ambition kCalmAmbition{0.2, 1.25};
+constexpr ChangeThresholds kBusyThresholds{0.12, 1.08};
+constexpr ChangeThresholds kIdleThresholds{0.2, 1.25};
 // Requests at a rank, on the mean, as a share of its slots.
 constexpr double kBusyShare = 0.6;
 // A rank is not taken for faster than a healthy one.
-constexpr double kLeastPace = 1.0;
+constexpr double kMinPace = 1.0;
 // A plan is made in slices of this, and others have their turn in between.
 constexpr Duration kPlanSlice = Milliseconds(15);
 constexpr Duration kPlanPause = Milliseconds(1);
@@ -44,12 +44,13 @@
     requests += load.running + load.waiting;
   }
   const bool is_busy = requests > kBusyShare * engine_.slots * ranks_;
-  const Ambition& ambition = is_busy ? kBusyAmbition : kCalmAmbition;
-  options.good_enough = ambition.good_enough;
-  options.least_gain = ambition.least_gain;
+  const ChangeThresholds& thresholds =
+      is_busy ? kBusyThresholds : kIdleThresholds;
+  options.good_enough = thresholds.good_enough;
+  options.least_gain = thresholds.least_gain;
   options.speeds.assign(ranks_, 1.0);
   for (const auto& [rank, pace] : paces_) {
-    options.speeds[rank.value()] = 1.0 / std::max(pace, kLeastPace);
+    options.speeds[rank.value()] = 1.0 / std::max(pace, kMinPace);
   }
   options.pause = PauseBetweenMoves();
   return options;
@@ -70,7 +71,7 @@
 
 void GroupTask::Plan() {
   const auto map = switch_.map();
-  if (loads_.weight() < kLeastWeight || map == nullptr) {
+  if (loads_.weight() < kMinWeight || map == nullptr) {
     return;
   }
   const TimePoint begun = SteadyNow();
--- a/src/plugins/control_node/order_spreader.cc
+++ b/src/plugins/control_node/order_spreader.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr char kSpreadTarget[] = "/wide-order";
+constexpr char kMulticastTarget[] = "/wide-order";
 // To a sidecar and back, and what waits here to be sent before.
-constexpr Duration kWay = Milliseconds(40);
+constexpr Duration kTransit = Milliseconds(40);
 constexpr Duration kTimePerRank = Milliseconds(1);
 
 // What all ranks get.
@@ -40,29 +40,29 @@
 
 }  // namespace
 
-bool OrderSpreader::IsAsked(const net::HttpRequest& request) {
-  return request.target == kSpreadTarget;
+bool OrderMulticaster::Handles(const net::HttpRequest& request) {
+  return request.target == kMulticastTarget;
 }
 
-net::HttpRequest OrderSpreader::RequestFor(const groups::WideOrder& order) {
+net::HttpRequest OrderMulticaster::RequestFor(const groups::WideOrder& order) {
   net::HttpRequest request;
   request.method = "POST";
-  request.target = kSpreadTarget;
+  request.target = kMulticastTarget;
   request.headers.Add("Content-Type", "application/octet-stream");
   request.body = groups::Encode(order);
   return request;
 }
 
-Duration OrderSpreader::PatienceFor(const groups::WideOrder& order) {
-  return order.patience + kWay +
+Duration OrderMulticaster::TimeoutFor(const groups::WideOrder& order) {
+  return order.patience + kTransit +
          kTimePerRank * static_cast<Duration::rep>(order.ranks.size());
 }
 
-groups::WideAnswer OrderSpreader::Spread(const groups::WideOrder& order) {
+groups::WideAnswer OrderMulticaster::Multicast(const groups::WideOrder& order) {
   const auto request =
       std::make_shared<const net::HttpRequest>(RequestToEngines(order));
   const EngineCalls::CallTimeouts patience{order.patience,
-                                           PatienceFor(order) - order.patience};
+                                           TimeoutFor(order) - order.patience};
   auto replies = std::make_shared<Replies>();
   replies->missing = order.ranks.size();
   replies->answer.statuses.resize(order.ranks.size());
@@ -84,7 +84,7 @@
   return replies->answer;
 }
 
-void OrderSpreader::Answer(net::HttpExchange& exchange) {
+void OrderMulticaster::Answer(net::HttpExchange& exchange) {
   const auto order = groups::DecodeWideOrder(exchange.request().body);
   net::HttpResponseHead head;
   if (!order.has_value()) {
@@ -92,7 +92,7 @@
     exchange.Respond(std::move(head), "not an order\n");
     return;
   }
-  exchange.Respond(std::move(head), groups::Encode(Spread(*order)));
+  exchange.Respond(std::move(head), groups::Encode(Multicast(*order)));
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/order_spreader.h
+++ b/src/plugins/control_node/order_spreader.h
@@ -1,8 +1,9 @@
 // Passes one order on to several ranks of a group, all at once.
 //
 // A new map is long. Sent by the leader to each of hundreds of ranks it fills
-// the leader's link, and all its other calls time out meanwhile. Spread by the
-// control nodes near the ranks it leaves the leader a few times, and packed.
+// the leader's link, and all its other calls time out meanwhile. Multicast by
+// the control nodes near the ranks it leaves the leader a few times, and
+// packed.
 
 #ifndef PLUGINS_CONTROL_NODE_ORDER_SPREADER_H_
 #define PLUGINS_CONTROL_NODE_ORDER_SPREADER_H_
@@ -15,22 +16,22 @@
 namespace bilberryspool::control_node {
 
 // Runs in the control loop. Keeps nothing.
-class OrderSpreader {
+class OrderMulticaster {
  public:
-  OrderSpreader(net::NetworkLoop& loop, EngineCalls& calls)
+  OrderMulticaster(net::NetworkLoop& loop, EngineCalls& calls)
       : loop_(loop), calls_(calls) {}
 
   // Whether a request of another control node is a groups::WideOrder.
-  static bool IsAsked(const net::HttpRequest& request);
+  static bool Handles(const net::HttpRequest& request);
   static net::HttpRequest RequestFor(const groups::WideOrder& order);
 
   // Blocks the calling fiber until all ranks have answered or were given up.
-  groups::WideAnswer Spread(const groups::WideOrder& order);
+  groups::WideAnswer Multicast(const groups::WideOrder& order);
   // The same for another control node; 400 for what can't be read.
   void Answer(net::HttpExchange& exchange);
 
-  // How long Spread() may take.
-  static Duration PatienceFor(const groups::WideOrder& order);
+  // How long Multicast() may take.
+  static Duration TimeoutFor(const groups::WideOrder& order);
 
  private:
   net::NetworkLoop& loop_;
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_rounds.cc
@@ -46,7 +46,7 @@
                        FailureDomain domain)
     : loop_(loop), calls_(calls), domain_(std::move(domain)) {}
 
-bool RankRounds::IsAsked(const net::HttpRequest& request) {
+bool RankRounds::Handles(const net::HttpRequest& request) {
   return request.target == kRoundTarget;
 }
 
--- a/src/plugins/control_node/rank_rounds.h
+++ b/src/plugins/control_node/rank_rounds.h
@@ -25,7 +25,7 @@
   RankRounds(net::NetworkLoop& loop, EngineCalls& calls, FailureDomain domain);
 
   // Whether a request of another control node is a groups::RoundQuestion.
-  static bool IsAsked(const net::HttpRequest& request);
+  static bool Handles(const net::HttpRequest& request);
   static net::HttpRequest RequestFor(const groups::RoundQuestion& question);
 
   // Blocks the calling fiber until all ranks have answered, or for
--- a/src/plugins/sidecar/engine_reader.cc
+++ b/src/plugins/sidecar/engine_reader.cc
@@ -37,7 +37,7 @@
       protocol_(std::move(protocol)),
       counters_(DrawMark()) {}
 
-bool EngineReader::IsAsked(const net::HttpRequest& request) {
+bool EngineReader::Handles(const net::HttpRequest& request) {
   return request.headers.Find(kMarkField).has_value();
 }
 
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -23,7 +23,7 @@
                EngineProtocol protocol);
 
   // Whether this reader is asked, rather than the engine.
-  static bool IsAsked(const net::HttpRequest& request);
+  static bool Handles(const net::HttpRequest& request);
 
   // Answers with a groups::RankReading, or 502 where the engine does not answer
   // within the time that the asker allows. Returns why it did not; empty where
--- a/src/plugins/sidecar/sidecar_process.cc
+++ b/src/plugins/sidecar/sidecar_process.cc
@@ -63,7 +63,7 @@
   }
 
   void Serve(net::HttpExchange& exchange) {
-    const std::string why = EngineReader::IsAsked(exchange.request())
+    const std::string why = EngineReader::Handles(exchange.request())
                                 ? reader_.Answer(exchange)
                                 : relay_.Relay(exchange, engine_);
     SetReachable(why.empty(), why);
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_rounds_test.cc
@@ -81,7 +81,7 @@
     }
     calls_ = std::make_unique<EngineCalls>(loop_, links_, sidecar_port_);
     rounds_ = std::make_unique<RankRounds>(loop_, *calls_, kDomain);
-    spreader_ = std::make_unique<OrderSpreader>(loop_, *calls_);
+    multicaster_ = std::make_unique<OrderMulticaster>(loop_, *calls_);
   }
 
   groups::RoundAnswer Read(placement::ReadingMark mark,
@@ -89,9 +89,10 @@
     groups::RoundQuestion question{kGroup, mark, 1.0, counters, Addresses()};
     return rounds_->Read(question);
   }
-  groups::WideAnswer Spread(const std::string& body) {
-    return spreader_->Spread({Addresses(), Milliseconds(50), "POST", "/order",
-                              "text/plain", packing::Pack(body)});
+  groups::WideAnswer Multicast(const std::string& body) {
+    return multicaster_->Multicast({Addresses(), Milliseconds(50), "POST",
+                                    "/order", "text/plain",
+                                    packing::Pack(body)});
   }
   Engine& engine(std::size_t index) { return *engines_[index]; }
 
@@ -132,7 +133,7 @@
     engine.front = std::make_unique<links::LinkServer>(
         loop_, options, authenticator_,
         [&engine](net::HttpExchange& exchange) {
-          if (sidecar::EngineReader::IsAsked(exchange.request())) {
+          if (sidecar::EngineReader::Handles(exchange.request())) {
             engine.reader->Answer(exchange);
           } else {
             engine.relay->Relay(exchange, engine.at);
@@ -165,7 +166,7 @@
   std::vector<std::unique_ptr<Engine>> engines_;
   std::unique_ptr<EngineCalls> calls_;
   std::unique_ptr<RankRounds> rounds_;
-  std::unique_ptr<OrderSpreader> spreader_;
+  std::unique_ptr<OrderMulticaster> multicaster_;
 };
 
 void WithWorld(const std::function<void(World&)>& body) {
@@ -255,7 +256,7 @@
     for (int i = 0; i < kMostTries &&
                     (statuses[0] != kAccepted || statuses[1] != kAccepted);
          ++i) {
-      const groups::WideAnswer answer = world.Spread(map);
+      const groups::WideAnswer answer = world.Multicast(map);
       REQUIRE(answer.statuses.size() == kRanks);
       CHECK(answer.statuses[2] == 0);
       statuses[0] = std::max(statuses[0], answer.statuses[0]);
