--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_keeper.cc
@@ -37,7 +37,7 @@
     : loop_(loop),
       links_(client),
       calls_(loop, client, sidecar_port),
-      rounds_(loop, calls_, domain),
+      poller_(loop, calls_, domain),
       multicaster_(loop, calls_),
       relay_(loop),
       node_(node),
@@ -115,8 +115,8 @@
 }
 
 void GroupManager::Serve(net::HttpExchange& exchange) {
-  if (RankRounds::Handles(exchange.request())) {
-    rounds_.Answer(exchange);
+  if (RankPoller::Handles(exchange.request())) {
+    poller_.Answer(exchange);
     return;
   }
   if (OrderMulticaster::Handles(exchange.request())) {
@@ -290,7 +290,7 @@
       first = std::max(first, task->unused_version());
       retired_tasks_.push_back(std::move(task));
     }
-    task = std::make_unique<GroupTask>(loop_, calls_, rounds_, protocol_,
+    task = std::make_unique<GroupTask>(loop_, calls_, poller_, protocol_,
                                        place.group, *engine, place.size, first);
     task->SetHelpers(Helpers());
     task->SetMayAct([this] { return node_.replica().is_leader(); });
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_keeper.h
@@ -71,7 +71,7 @@
   net::NetworkLoop& loop_;
   links::LinkClient& links_;
   EngineCalls calls_;
-  RankRounds rounds_;
+  RankPoller poller_;
   OrderMulticaster multicaster_;
   sidecar::EngineRelay relay_;
   ControlNode& node_;
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -53,7 +53,7 @@
 
 GroupTask::GroupTask(net::NetworkLoop& loop,
                      EngineCalls& calls,
-                     RankRounds& rounds,
+                     RankPoller& poller,
                      const sidecar::EngineProtocol& protocol,
                      GroupId group,
                      const traffic::EngineModel& engine,
@@ -61,7 +61,7 @@
                      MapVersion first_version)
     : loop_(loop),
       calls_(calls),
-      rounds_(rounds),
+      poller_(poller),
       protocol_(protocol),
       group_(std::move(group)),
       engine_(engine),
@@ -83,7 +83,7 @@
                            const FailureDomain& domain) {
   if (rank.value() < ranks_) {
     addresses_[rank] = endpoint;
-    shares_.SetRank(rank, domain);
+    schedule_.SetRank(rank, domain);
   }
 }
 
@@ -95,7 +95,7 @@
   DetectLateTick(now);
   silence_.Tick(now);
   LogState(now);
-  BeginRounds(now);
+  StartRounds(now);
   PollSilentRanks(now);
   Advance();
   ReadMap();
@@ -199,8 +199,8 @@
   const std::vector<RankIndex> asked = switch_.Questions(now);
   if (asked.size() > kMaxDirectCalls) {
     // The readers tell of all sooner than the leader could ask them.
-    shares_.Hasten(now);
-    BeginRounds(now);
+    schedule_.Expedite(now);
+    StartRounds(now);
     OnPhaseChecked();
     return;
   }
@@ -226,7 +226,7 @@
   phase_since_ = now;
   if (switch_.NeedsAllReports(now)) {
     // What was due in the calm before would come late.
-    shares_.Hasten(now);
+    schedule_.Expedite(now);
   }
 }
 
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -43,7 +43,7 @@
  public:
   GroupTask(net::NetworkLoop& loop,
             EngineCalls& calls,
-            RankRounds& rounds,
+            RankPoller& poller,
             const sidecar::EngineProtocol& protocol,
             GroupId group,
             const traffic::EngineModel& engine,
@@ -60,7 +60,7 @@
   }
   // Other control nodes that answer.
   void SetHelpers(std::vector<net::Endpoint> helpers) {
-    shares_.SetReaders(helpers);
+    schedule_.SetReaders(helpers);
     helpers_.Set(std::move(helpers));
   }
   // To be called often; starts what is due.
@@ -88,14 +88,15 @@
   void Advance();
   void SendDue(TimePoint now);
   // group_task_readings.cc
-  void BeginRounds(TimePoint now);
-  void PollRanks(const Round& round);
+  void StartRounds(TimePoint now);
+  void PollRanks(const PollingRound& round);
   std::optional<groups::RoundAnswer> RequestAnswer(
-      const Round& round,
+      const PollingRound& round,
       const groups::RoundQuestion& question);
   double read_work() const;
-  void RecordSum(const Round& round, const groups::RoundAnswer& answer);
-  void RecordSilentRanks(const Round& round, const groups::RoundAnswer& answer);
+  void RecordSum(const PollingRound& round, const groups::RoundAnswer& answer);
+  void RecordSilentRanks(const PollingRound& round,
+                         const groups::RoundAnswer& answer);
   void PollSilentRanks(TimePoint now);
   void RequestReport(RankIndex rank, const net::Endpoint& endpoint);
   void ApplyReport(RankIndex rank,
@@ -131,11 +132,11 @@
       std::vector<groups::RankOrder> orders,
       TimePoint now);
   groups::WideOrder MulticastOrderOf(const groups::RankOrder& order) const;
-  void SendMulticastPart(const Round& part,
+  void SendMulticastPart(const PollingRound& part,
                          const groups::RankOrder& order,
                          groups::WideOrder multicast);
   std::optional<groups::WideAnswer> RequestAnswer(
-      const Round& part,
+      const PollingRound& part,
       const groups::WideOrder& multicast);
   void OnAnswer(const groups::RankOrder& order, int status);
   EngineCalls::Answer SendHoldOrder(const net::Endpoint& engine,
@@ -144,7 +145,7 @@
 
   net::NetworkLoop& loop_;
   EngineCalls& calls_;
-  RankRounds& rounds_;
+  RankPoller& poller_;
   const sidecar::EngineProtocol& protocol_;
   std::function<bool()> may_act_;
   GroupId group_;
@@ -159,7 +160,7 @@
   groups::SilentRanks silence_;
   // When those that no reader tells of were asked last.
   std::map<RankIndex, TimePoint> polled_at_;
-  RoundShares shares_;
+  PollingSchedule schedule_;
   // Of the last answer of each reader.
   struct Sum {
     placement::ReadingMark mark;
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -80,7 +80,7 @@
   }
   const groups::WideOrder multicast = MulticastOrderOf(first);
   std::set<RankIndex> sent;
-  for (const Round& part : shares_.Split(ranks, now)) {
+  for (const PollingRound& part : schedule_.SplitByReader(ranks, now)) {
     if (!part.reader.has_value()) {
       continue;
     }
@@ -106,7 +106,7 @@
   return multicast;
 }
 
-void GroupTask::SendMulticastPart(const Round& part,
+void GroupTask::SendMulticastPart(const PollingRound& part,
                                   const groups::RankOrder& order,
                                   groups::WideOrder multicast) {
   for (const RankIndex rank : part.ranks) {
@@ -116,7 +116,7 @@
     const TimePoint asked = SteadyNow();
     const auto answer = RequestAnswer(part, multicast);
     if (!answer.has_value() && !silence_.WasLateSince(asked, SteadyNow())) {
-      shares_.Rest(*part.reader, SteadyNow());
+      schedule_.StartCooldown(*part.reader, SteadyNow());
     }
     groups::RankOrder one = order;
     for (std::size_t i = 0; i < part.ranks.size(); ++i) {
@@ -129,7 +129,7 @@
 }
 
 std::optional<groups::WideAnswer> GroupTask::RequestAnswer(
-    const Round& part,
+    const PollingRound& part,
     const groups::WideOrder& multicast) {
   if (!may_act_()) {
     return std::nullopt;
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -45,26 +45,26 @@
 
 }  // namespace
 
-void GroupTask::BeginRounds(TimePoint now) {
-  for (const Round& round : shares_.Due(now)) {
+void GroupTask::StartRounds(TimePoint now) {
+  for (const PollingRound& round : schedule_.StartDueRounds(now)) {
     PollRanks(round);
   }
 }
 
 std::optional<groups::RoundAnswer> GroupTask::RequestAnswer(
-    const Round& round,
+    const PollingRound& round,
     const groups::RoundQuestion& question) {
   if (!round.reader.has_value()) {
-    return rounds_.Read(question);
+    return poller_.Read(question);
   }
   const EngineCalls::Answer answer =
-      calls_.CallNode(*round.reader, RankRounds::RequestFor(question),
-                      RankRounds::kRoundPatience + kRoundTransit);
+      calls_.CallNode(*round.reader, RankPoller::RequestFor(question),
+                      RankPoller::kRoundTimeout + kRoundTransit);
   return answer.status == net::status::kOk ? groups::DecodeAnswer(answer.body)
                                            : std::nullopt;
 }
 
-void GroupTask::PollRanks(const Round& round) {
+void GroupTask::PollRanks(const PollingRound& round) {
   Spawn([this, round] {
     groups::RoundQuestion question;
     question.group = group_;
@@ -84,10 +84,10 @@
                  {"ranks", round.ranks.size()},
                  {"after_ms", (SteadyNow() - asked) / Milliseconds(1)}});
       const TimePoint now = SteadyNow();
-      shares_.OnFailure(round, silence_.WasLateSince(asked, now), now);
+      schedule_.OnFailure(round, silence_.WasLateSince(asked, now), now);
       return;
     }
-    shares_.OnAnswer(round, answer->domain, SteadyNow());
+    schedule_.OnAnswer(round, answer->domain, SteadyNow());
     RecordSum(round, *answer);
     for (const groups::RankWord& word : answer->words) {
       // The answer waits for the slowest rank; that a rank answers is known of
@@ -100,7 +100,7 @@
   });
 }
 
-void GroupTask::RecordSum(const Round& round,
+void GroupTask::RecordSum(const PollingRound& round,
                           const groups::RoundAnswer& answer) {
   const TimePoint now = SteadyNow();
   Sum& sum = last_sums_[round.reader];
@@ -115,7 +115,7 @@
 
 // Where most of its ranks are silent, the reader may be cut off or late itself;
 // the leader asks them then.
-void GroupTask::RecordSilentRanks(const Round& round,
+void GroupTask::RecordSilentRanks(const PollingRound& round,
                                   const groups::RoundAnswer& answer) {
   std::set<RankIndex> silent(round.ranks.begin(), round.ranks.end());
   for (const groups::RankWord& word : answer.words) {
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_rounds.cc
@@ -20,10 +20,10 @@
 constexpr char kRoundTarget[] = "/rank-round";
 // An engine's report and counts are ready within a few milliseconds; the
 // sidecar has 0.15 of a core to read them.
-constexpr EngineCalls::CallTimeouts kReadingPatience{Milliseconds(60),
+constexpr EngineCalls::CallTimeouts kReadingTimeouts{Milliseconds(60),
                                                      Milliseconds(60)};
 // A group that was not asked for this long has another reader, or is gone.
-constexpr Duration kForgotten = Seconds(10);
+constexpr Duration kGroupRetention = Seconds(10);
 
 net::HttpRequest ReadingRequest(placement::ReadingMark mark) {
   net::HttpRequest request;
@@ -34,23 +34,23 @@
 
 }  // namespace
 
-struct RankRounds::Round {
+struct RankPoller::PollingRound {
   TimePoint begun;
   std::vector<groups::RankWord> words;
   std::size_t missing = 0;
   net::FiberSignal changed;
 };
 
-RankRounds::RankRounds(net::NetworkLoop& loop,
+RankPoller::RankPoller(net::NetworkLoop& loop,
                        EngineCalls& calls,
                        FailureDomain domain)
     : loop_(loop), calls_(calls), domain_(std::move(domain)) {}
 
-bool RankRounds::Handles(const net::HttpRequest& request) {
+bool RankPoller::Handles(const net::HttpRequest& request) {
   return request.target == kRoundTarget;
 }
 
-net::HttpRequest RankRounds::RequestFor(const groups::RoundQuestion& question) {
+net::HttpRequest RankPoller::RequestFor(const groups::RoundQuestion& question) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = kRoundTarget;
@@ -59,7 +59,7 @@
   return request;
 }
 
-RankRounds::Group& RankRounds::GroupOf(const groups::RoundQuestion& question,
+RankPoller::Group& RankPoller::GroupOf(const groups::RoundQuestion& question,
                                        TimePoint now) {
   auto found = groups_.find(question.group);
   // Its engines may have been replaced by ones with other experts.
@@ -85,22 +85,22 @@
   return found->second;
 }
 
-void RankRounds::Forget(TimePoint now) {
+void RankPoller::RemoveUnusedGroups(TimePoint now) {
   std::erase_if(groups_, [now](const auto& item) {
-    return now - item.second.asked_at > kForgotten;
+    return now - item.second.asked_at > kGroupRetention;
   });
 }
 
-bool RankRounds::BeginReading(const GroupId& group, RankIndex rank) {
+bool RankPoller::BeginReading(const GroupId& group, RankIndex rank) {
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return false;
   }
-  Mark& mark = found->second.marks[rank];
-  return !std::exchange(mark.is_asked, true);
+  RankReadingState& mark = found->second.rank_states[rank];
+  return !std::exchange(mark.is_in_flight, true);
 }
 
-std::optional<groups::RankWord> RankRounds::ReadRank(
+std::optional<groups::RankWord> RankPoller::ReadRank(
     const GroupId& group,
     const groups::RankAddress& rank,
     TimePoint begun) {
@@ -109,15 +109,16 @@
     return std::nullopt;
   }
   const EngineCalls::Answer answer = calls_.CallSidecar(
-      *endpoint, ReadingRequest(groups_.at(group).marks.at(rank.rank).last),
-      kReadingPatience);
+      *endpoint,
+      ReadingRequest(groups_.at(group).rank_states.at(rank.rank).last),
+      kReadingTimeouts);
   // It may have been forgotten meanwhile.
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return std::nullopt;
   }
-  Mark& mark = found->second.marks[rank.rank];
-  mark.is_asked = false;
+  RankReadingState& mark = found->second.rank_states[rank.rank];
+  mark.is_in_flight = false;
   const auto reading = groups::DecodeReading(answer.body);
   if (!reading.has_value()) {
     return std::nullopt;
@@ -129,11 +130,11 @@
   return groups::RankWord{rank.rank, answer.as_of - begun, reading->report};
 }
 
-groups::RoundAnswer RankRounds::Read(const groups::RoundQuestion& question) {
+groups::RoundAnswer RankPoller::Read(const groups::RoundQuestion& question) {
   const TimePoint begun = SteadyNow();
-  Forget(begun);
+  RemoveUnusedGroups(begun);
   GroupOf(question, begun);
-  auto round = std::make_shared<Round>();
+  auto round = std::make_shared<PollingRound>();
   round->begun = begun;
   round->missing = question.ranks.size();
   for (const groups::RankAddress& rank : question.ranks) {
@@ -146,7 +147,7 @@
     });
   }
   while (round->missing > 0 &&
-         round->changed.WaitUntil(begun + kRoundPatience)) {
+         round->changed.WaitUntil(begun + kRoundTimeout)) {
   }
   Group& group = GroupOf(question, SteadyNow());
   groups::RoundAnswer answer;
@@ -158,7 +159,7 @@
   return answer;
 }
 
-void RankRounds::Answer(net::HttpExchange& exchange) {
+void RankPoller::Answer(net::HttpExchange& exchange) {
   const auto question = groups::DecodeQuestion(exchange.request().body);
   net::HttpResponseHead head;
   if (!question.has_value()) {
--- a/src/plugins/control_node/rank_rounds.h
+++ b/src/plugins/control_node/rank_rounds.h
@@ -20,37 +20,37 @@
 
 // Runs in the control loop, on the leader and on all other control nodes. What
 // it keeps of a group that nobody asks for is forgotten.
-class RankRounds {
+class RankPoller {
  public:
-  RankRounds(net::NetworkLoop& loop, EngineCalls& calls, FailureDomain domain);
+  RankPoller(net::NetworkLoop& loop, EngineCalls& calls, FailureDomain domain);
 
   // Whether a request of another control node is a groups::RoundQuestion.
   static bool Handles(const net::HttpRequest& request);
   static net::HttpRequest RequestFor(const groups::RoundQuestion& question);
 
   // Blocks the calling fiber until all ranks have answered, or for
-  // kRoundPatience. What comes later is in the next sum.
+  // kRoundTimeout. What comes later is in the next sum.
   groups::RoundAnswer Read(const groups::RoundQuestion& question);
   // The same for another control node; 400 for what can't be read.
   void Answer(net::HttpExchange& exchange);
 
-  static constexpr Duration kRoundPatience = Milliseconds(100);
+  static constexpr Duration kRoundTimeout = Milliseconds(100);
 
  private:
-  struct Mark {
+  struct RankReadingState {
     placement::ReadingMark last;
     // A sidecar gives growth from its last reading alone, so of two questions
     // under way the second would get none, and its mark void the first's.
-    bool is_asked = false;
+    bool is_in_flight = false;
   };
   struct Group {
     std::uint32_t counters = 0;
     placement::PickSums sums;
-    std::map<RankIndex, Mark> marks;
+    std::map<RankIndex, RankReadingState> rank_states;
     TimePoint asked_at;
   };
   // The readings of one question.
-  struct Round;
+  struct PollingRound;
 
   // False where the rank has another question under way.
   bool BeginReading(const GroupId& group, RankIndex rank);
@@ -58,7 +58,7 @@
                                            const groups::RankAddress& rank,
                                            TimePoint begun);
   Group& GroupOf(const groups::RoundQuestion& question, TimePoint now);
-  void Forget(TimePoint now);
+  void RemoveUnusedGroups(TimePoint now);
 
   net::NetworkLoop& loop_;
   EngineCalls& calls_;
--- a/src/plugins/control_node/round_shares.cc
+++ b/src/plugins/control_node/round_shares.cc
@@ -10,30 +10,30 @@
 
 namespace {
 
-constexpr Duration kShortestInterval = Milliseconds(60);
+constexpr Duration kMinInterval = Milliseconds(60);
 // What one rank takes of a node that has 0.15 of a core for all it does, and of
 // the leader, which has more to do.
 constexpr Duration kTimePerRank = Microseconds(2500);
 constexpr Duration kLeaderTimePerRank = Microseconds(4000);
 // Ranks that the leader reads at a time. All at once would hold up all else
 // that it does, and then it would take whoever answers it for lost.
-constexpr std::size_t kLeaderPortion = 24;
-constexpr std::uint32_t kMostFailures = 3;
+constexpr std::size_t kLeaderBatchSize = 24;
+constexpr std::uint32_t kMaxFailures = 3;
 // From one question to the next, in the time that the last answer took.
-constexpr double kRestFactor = 1.5;
+constexpr double kIntervalFactor = 1.5;
 // A node that did not answer is tried again after this.
-constexpr Duration kRest = Seconds(1);
+constexpr Duration kCooldown = Seconds(1);
 
 }  // namespace
 
-void RoundShares::SetRank(RankIndex rank, const FailureDomain& domain) {
+void PollingSchedule::SetRank(RankIndex rank, const FailureDomain& domain) {
   ranks_[rank] = domain;
 }
 
-void RoundShares::SetReaders(const std::vector<net::Endpoint>& readers) {
+void PollingSchedule::SetReaders(const std::vector<net::Endpoint>& readers) {
   std::erase_if(readers_, [&](const auto& item) {
     const auto& [endpoint, reader] = item;
-    return endpoint.has_value() && !reader.is_asked &&
+    return endpoint.has_value() && !reader.is_in_flight &&
            std::find(readers.begin(), readers.end(), *endpoint) ==
                readers.end();
   });
@@ -43,78 +43,80 @@
 }
 
 // Each rank to a reader of its domain, else to the one that has least.
-void RoundShares::ShareOut(TimePoint now) {
+void PollingSchedule::AssignRanks(TimePoint now) {
   std::vector<Reader*> usable;
   for (auto& [endpoint, reader] : readers_) {
     reader.ranks.clear();
-    if (endpoint.has_value() && now >= reader.rests_until) {
+    if (endpoint.has_value() && now >= reader.cooldown_until) {
       usable.push_back(&reader);
     }
   }
   if (usable.empty()) {
     usable.push_back(&readers_.at(std::nullopt));
   }
-  std::vector<RankIndex> left;
+  std::vector<RankIndex> unassigned;
   for (const auto& item : ranks_) {
     const FailureDomain& domain = item.second;
-    const auto near = std::find_if(
+    const auto same_domain = std::find_if(
         usable.begin(), usable.end(),
         [&](const Reader* reader) { return reader->domain == domain; });
-    if (near == usable.end()) {
-      left.push_back(item.first);
+    if (same_domain == usable.end()) {
+      unassigned.push_back(item.first);
       continue;
     }
-    (*near)->ranks.push_back(item.first);
+    (*same_domain)->ranks.push_back(item.first);
   }
-  for (const RankIndex rank : left) {
-    const auto least =
+  for (const RankIndex rank : unassigned) {
+    const auto least_loaded =
         std::min_element(usable.begin(), usable.end(),
                          [](const Reader* one, const Reader* other) {
                            return one->ranks.size() < other->ranks.size();
                          });
-    (*least)->ranks.push_back(rank);
+    (*least_loaded)->ranks.push_back(rank);
   }
 }
 
-std::vector<Round> RoundShares::Due(TimePoint now) {
-  ShareOut(now);
-  std::vector<Round> rounds;
+std::vector<PollingRound> PollingSchedule::StartDueRounds(TimePoint now) {
+  AssignRanks(now);
+  std::vector<PollingRound> rounds;
   for (auto& [endpoint, reader] : readers_) {
-    if (reader.is_asked || reader.ranks.empty() || now < reader.due) {
+    if (reader.is_in_flight || reader.ranks.empty() || now < reader.due) {
       continue;
     }
     const Duration each =
         endpoint.has_value() ? kTimePerRank : kLeaderTimePerRank;
-    Round round{endpoint,
-                endpoint.has_value() ? reader.ranks : PortionOf(reader.ranks)};
+    PollingRound round{endpoint, endpoint.has_value()
+                                     ? reader.ranks
+                                     : NextLeaderBatch(reader.ranks)};
     const auto count = static_cast<Duration::rep>(round.ranks.size());
-    reader.due = now + std::max(kShortestInterval, each * count);
+    reader.due = now + std::max(kMinInterval, each * count);
     reader.asked_at = now;
-    reader.is_asked = true;
-    reader.is_hastened = false;
+    reader.is_in_flight = true;
+    reader.is_expedited = false;
     rounds.push_back(std::move(round));
   }
   return rounds;
 }
 
 // Of the leader's ranks, in turn.
-std::vector<RankIndex> RoundShares::PortionOf(
+std::vector<RankIndex> PollingSchedule::NextLeaderBatch(
     const std::vector<RankIndex>& ranks) {
-  std::vector<RankIndex> portion;
-  const std::size_t count = std::min(kLeaderPortion, ranks.size());
+  std::vector<RankIndex> batch;
+  const std::size_t count = std::min(kLeaderBatchSize, ranks.size());
   for (std::size_t i = 0; i < count; ++i) {
-    portion.push_back(ranks[portion_++ % ranks.size()]);
+    batch.push_back(ranks[next_batch_start_++ % ranks.size()]);
   }
-  return portion;
+  return batch;
 }
 
-std::vector<Round> RoundShares::Split(const std::vector<RankIndex>& ranks,
-                                      TimePoint now) {
-  ShareOut(now);
+std::vector<PollingRound> PollingSchedule::SplitByReader(
+    const std::vector<RankIndex>& ranks,
+    TimePoint now) {
+  AssignRanks(now);
   const std::set<RankIndex> wanted(ranks.begin(), ranks.end());
-  std::vector<Round> parts;
+  std::vector<PollingRound> parts;
   for (const auto& [endpoint, reader] : readers_) {
-    Round part{endpoint, {}};
+    PollingRound part{endpoint, {}};
     std::copy_if(reader.ranks.begin(), reader.ranks.end(),
                  std::back_inserter(part.ranks),
                  [&](RankIndex rank) { return wanted.contains(rank); });
@@ -125,58 +127,61 @@
   return parts;
 }
 
-void RoundShares::End(const Round& round, TimePoint now) {
+void PollingSchedule::FinishRound(const PollingRound& round, TimePoint now) {
   const auto found = readers_.find(round.reader);
   if (found == readers_.end()) {
     return;
   }
   Reader& reader = found->second;
-  reader.is_asked = false;
+  reader.is_in_flight = false;
   reader.due = std::max(reader.due, now);
 }
 
-void RoundShares::OnAnswer(const Round& round,
-                           const FailureDomain& domain,
-                           TimePoint now) {
-  End(round, now);
+void PollingSchedule::OnAnswer(const PollingRound& round,
+                               const FailureDomain& domain,
+                               TimePoint now) {
+  FinishRound(round, now);
   const auto found = readers_.find(round.reader);
   if (found != readers_.end()) {
     Reader& reader = found->second;
     reader.domain = domain;
     reader.failures = 0;
     const Duration took = now - reader.asked_at;
-    const Duration rested(static_cast<Duration::rep>(
-        kRestFactor * static_cast<double>(took.count())));
-    reader.due = reader.is_hastened
+    const Duration min_interval(static_cast<Duration::rep>(
+        kIntervalFactor * static_cast<double>(took.count())));
+    reader.due = reader.is_expedited
                      ? now
-                     : std::max(reader.due, reader.asked_at + rested);
+                     : std::max(reader.due, reader.asked_at + min_interval);
   }
 }
 
-void RoundShares::OnFailure(const Round& round, bool was_late, TimePoint now) {
-  End(round, now);
+void PollingSchedule::OnFailure(const PollingRound& round,
+                                bool was_leader_late,
+                                TimePoint now) {
+  FinishRound(round, now);
   const auto found = readers_.find(round.reader);
   if (found == readers_.end() || !round.reader.has_value()) {
     return;
   }
-  const bool is_lost = ++found->second.failures >= kMostFailures;
-  if (is_lost || !was_late) {
-    Rest(*round.reader, now);
+  const bool is_lost = ++found->second.failures >= kMaxFailures;
+  if (is_lost || !was_leader_late) {
+    StartCooldown(*round.reader, now);
   }
 }
 
-void RoundShares::Rest(const net::Endpoint& reader, TimePoint now) {
+void PollingSchedule::StartCooldown(const net::Endpoint& reader,
+                                    TimePoint now) {
   const auto found = readers_.find(reader);
   if (found != readers_.end()) {
-    found->second.rests_until = now + kRest;
+    found->second.cooldown_until = now + kCooldown;
     found->second.failures = 0;
   }
 }
 
-void RoundShares::Hasten(TimePoint now) {
+void PollingSchedule::Expedite(TimePoint now) {
   for (auto& [endpoint, reader] : readers_) {
     reader.due = std::min(reader.due, now);
-    reader.is_hastened = reader.is_asked;
+    reader.is_expedited = reader.is_in_flight;
   }
 }
 
--- a/src/plugins/control_node/round_shares.h
+++ b/src/plugins/control_node/round_shares.h
@@ -29,52 +29,58 @@
 namespace bilberryspool::control_node {
 
 // Ranks to be read now, by one reader.
-struct Round {
+struct PollingRound {
   std::optional<net::Endpoint> reader;  // nothing: the leader itself
   std::vector<RankIndex> ranks;
 };
 
-class RoundShares {
+class PollingSchedule {
  public:
   void SetRank(RankIndex rank, const FailureDomain& domain);
   // The other control nodes that have answered lately.
   void SetReaders(const std::vector<net::Endpoint>& readers);
   // A new round of each reader that is due; it is under way from then on.
-  std::vector<Round> Due(TimePoint now);
+  std::vector<PollingRound> StartDueRounds(TimePoint now);
   // Those ranks by their readers, under the same shares.
-  std::vector<Round> Split(const std::vector<RankIndex>& ranks, TimePoint now);
-  void OnAnswer(const Round& round, const FailureDomain& domain, TimePoint now);
-  // `was_late`: the leader was late itself meanwhile. What it has not read may
-  // have come, so the reader is only left out if that happens again and again.
-  void OnFailure(const Round& round, bool was_late, TimePoint now);
+  std::vector<PollingRound> SplitByReader(const std::vector<RankIndex>& ranks,
+                                          TimePoint now);
+  void OnAnswer(const PollingRound& round,
+                const FailureDomain& domain,
+                TimePoint now);
+  // `was_leader_late`: the leader was late itself meanwhile. What it has not
+  // read may have come, so the reader is only left out if that happens again
+  // and again.
+  void OnFailure(const PollingRound& round,
+                 bool was_leader_late,
+                 TimePoint now);
   // A reader left a call of another kind unanswered.
-  void Rest(const net::Endpoint& reader, TimePoint now);
+  void StartCooldown(const net::Endpoint& reader, TimePoint now);
   // What was due in a while is due now.
-  void Hasten(TimePoint now);
+  void Expedite(TimePoint now);
 
  private:
   struct Reader {
     std::optional<FailureDomain> domain;  // told with its first answer
-    bool is_asked = false;
+    bool is_in_flight = false;
     // Rounds without an answer, one after the other.
     std::uint32_t failures = 0;
-    bool is_hastened = false;  // while it was asked
+    bool is_expedited = false;  // while it was asked
     TimePoint asked_at;
     TimePoint due;
-    TimePoint rests_until;
+    TimePoint cooldown_until;
     std::vector<RankIndex> ranks;
   };
   using Readers = std::map<std::optional<net::Endpoint>, Reader>;
 
-  void ShareOut(TimePoint now);
-  std::vector<RankIndex> PortionOf(const std::vector<RankIndex>& ranks);
-  void End(const Round& round, TimePoint now);
+  void AssignRanks(TimePoint now);
+  std::vector<RankIndex> NextLeaderBatch(const std::vector<RankIndex>& ranks);
+  void FinishRound(const PollingRound& round, TimePoint now);
 
   std::map<RankIndex, FailureDomain> ranks_;
   // With the leader itself, which is used where no other is.
   Readers readers_{{std::nullopt, Reader{}}};
   // Where the leader's next portion begins.
-  std::size_t portion_ = 0;
+  std::size_t next_batch_start_ = 0;
 };
 
 }  // namespace bilberryspool::control_node
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_rounds_test.cc
@@ -80,14 +80,14 @@
       Start(i, *engines_.back());
     }
     calls_ = std::make_unique<EngineCalls>(loop_, links_, sidecar_port_);
-    rounds_ = std::make_unique<RankRounds>(loop_, *calls_, kDomain);
+    poller_ = std::make_unique<RankPoller>(loop_, *calls_, kDomain);
     multicaster_ = std::make_unique<OrderMulticaster>(loop_, *calls_);
   }
 
   groups::RoundAnswer Read(placement::ReadingMark mark,
                            std::uint32_t counters = 1) {
     groups::RoundQuestion question{kGroup, mark, 1.0, counters, Addresses()};
-    return rounds_->Read(question);
+    return poller_->Read(question);
   }
   groups::WideAnswer Multicast(const std::string& body) {
     return multicaster_->Multicast({Addresses(), Milliseconds(50), "POST",
@@ -165,7 +165,7 @@
   std::uint16_t sidecar_port_ = 0;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::unique_ptr<EngineCalls> calls_;
-  std::unique_ptr<RankRounds> rounds_;
+  std::unique_ptr<RankPoller> poller_;
   std::unique_ptr<OrderMulticaster> multicaster_;
 };
 
--- a/tests/auto/control_node/round_shares_test.cc
+++ b/tests/auto/control_node/round_shares_test.cc
@@ -30,17 +30,17 @@
  public:
   World(std::uint32_t ranks, std::uint64_t seed) : random_(seed) {
     for (std::uint32_t i = 0; i < ranks; ++i) {
-      shares_.SetRank(RankIndex(i), DomainOf(i));
+      schedule_.SetRank(RankIndex(i), DomainOf(i));
       read_at_[RankIndex(i)] = now_;
     }
-    shares_.SetReaders(Readers());
+    schedule_.SetReaders(Readers());
   }
 
   // `failed` readers leave questions unanswered.
   void Run(Duration length, const std::set<std::size_t>& failed) {
     const TimePoint end = now_ + length;
     for (; now_ < end; now_ += kTick) {
-      for (const Round& round : shares_.Due(now_)) {
+      for (const PollingRound& round : schedule_.StartDueRounds(now_)) {
         Begin(round, failed);
       }
       EndDue();
@@ -57,12 +57,12 @@
 
   std::size_t foreign_reads() const { return foreign_reads_; }
   void ForgetForeignReads() { foreign_reads_ = 0; }
-  RoundShares& shares() { return shares_; }
+  PollingSchedule& schedule() { return schedule_; }
   TimePoint now() const { return now_; }
 
  private:
   struct Pending {
-    Round round;
+    PollingRound round;
     TimePoint ends;
     bool is_answered = false;
     std::size_t reader = 0;
@@ -72,7 +72,7 @@
     return {ReaderIn(0), ReaderIn(1), ReaderIn(2), ReaderIn(3)};
   }
 
-  void Begin(const Round& round, const std::set<std::size_t>& failed) {
+  void Begin(const PollingRound& round, const std::set<std::size_t>& failed) {
     REQUIRE_FALSE(round.ranks.empty());
     Pending pending{round, now_, true, 4};
     for (std::size_t i = 0; round.reader.has_value() && i < 4; ++i) {
@@ -95,10 +95,10 @@
         return false;
       }
       if (!item.is_answered) {
-        shares_.OnFailure(item.round, false, now_);
+        schedule_.OnFailure(item.round, false, now_);
         return true;
       }
-      shares_.OnAnswer(item.round, DomainOf(item.reader), now_);
+      schedule_.OnAnswer(item.round, DomainOf(item.reader), now_);
       for (const RankIndex rank : item.round.ranks) {
         read_at_[rank] = now_;
         foreign_reads_ +=
@@ -109,7 +109,7 @@
   }
 
   Random random_;
-  RoundShares shares_;
+  PollingSchedule schedule_;
   TimePoint now_ = TimeAt(Seconds(5));
   std::vector<Pending> pending_;
   std::map<RankIndex, TimePoint> read_at_;
@@ -164,20 +164,20 @@
 TEST_CASE("a leader that was late itself goes on with its readers") {
   for (const std::uint32_t failures : {1U, 2U, 3U}) {
     CAPTURE(failures);
-    RoundShares shares;
+    PollingSchedule schedule;
     for (std::uint32_t i = 0; i < 192; ++i) {
-      shares.SetRank(RankIndex(i), DomainOf(i));
+      schedule.SetRank(RankIndex(i), DomainOf(i));
     }
-    shares.SetReaders({ReaderIn(0), ReaderIn(1)});
+    schedule.SetReaders({ReaderIn(0), ReaderIn(1)});
     TimePoint now = TimeAt(Seconds(1));
     for (std::uint32_t i = 0; i < failures; ++i) {
-      for (const Round& round : shares.Due(now)) {
+      for (const PollingRound& round : schedule.StartDueRounds(now)) {
         REQUIRE(round.reader.has_value());
-        shares.OnFailure(round, true, now + Milliseconds(300));
+        schedule.OnFailure(round, true, now + Milliseconds(300));
       }
       now += Milliseconds(400);
     }
-    const std::vector<Round> rounds = shares.Due(now);
+    const std::vector<PollingRound> rounds = schedule.StartDueRounds(now);
     // Three times in a row it is they after all; and then not all at once.
     REQUIRE_FALSE(rounds.empty());
     CHECK(rounds[0].reader.has_value() == (failures < 3));
@@ -199,44 +199,45 @@
                       {Milliseconds(250), Milliseconds(375)}};
   for (const Row& row : rows) {
     CAPTURE(row.takes.count());
-    RoundShares shares;
-    shares.SetRank(RankIndex(0), FailureDomain("a"));
-    shares.SetReaders({ReaderIn(0)});
+    PollingSchedule schedule;
+    schedule.SetRank(RankIndex(0), FailureDomain("a"));
+    schedule.SetReaders({ReaderIn(0)});
     const TimePoint now = TimeAt(Seconds(1));
-    const auto first = shares.Due(now);
+    const auto first = schedule.StartDueRounds(now);
     REQUIRE(first.size() == 1);
-    shares.OnAnswer(first[0], FailureDomain("a"), now + row.takes);
-    CHECK(shares.Due(now + row.next - Milliseconds(1)).empty());
-    CHECK(shares.Due(now + row.next).size() == 1);
+    schedule.OnAnswer(first[0], FailureDomain("a"), now + row.takes);
+    CHECK(schedule.StartDueRounds(now + row.next - Milliseconds(1)).empty());
+    CHECK(schedule.StartDueRounds(now + row.next).size() == 1);
   }
 }
 
 TEST_CASE("a reader that is not known any more is not asked") {
   World world(16, 3);
   world.Run(Seconds(1), {});
-  world.shares().SetReaders({});
-  for (const Round& round : world.shares().Due(world.now() + Seconds(1))) {
+  world.schedule().SetReaders({});
+  for (const PollingRound& round :
+       world.schedule().StartDueRounds(world.now() + Seconds(1))) {
     CHECK_FALSE(round.reader.has_value());
     CHECK(round.ranks.size() == 16);
   }
 }
 
 TEST_CASE("what is hastened while it is under way follows at once") {
-  RoundShares shares;
-  shares.SetRank(RankIndex(0), FailureDomain("a"));
-  shares.SetReaders({ReaderIn(0)});
+  PollingSchedule schedule;
+  schedule.SetRank(RankIndex(0), FailureDomain("a"));
+  schedule.SetReaders({ReaderIn(0)});
   const TimePoint now = TimeAt(Seconds(1));
-  const auto first = shares.Due(now);
+  const auto first = schedule.StartDueRounds(now);
   REQUIRE(first.size() == 1);
-  shares.Hasten(now);
-  CHECK(shares.Due(now).empty());
-  shares.OnAnswer(first[0], FailureDomain("a"), now + Milliseconds(5));
-  const auto second = shares.Due(now + Milliseconds(5));
+  schedule.Expedite(now);
+  CHECK(schedule.StartDueRounds(now).empty());
+  schedule.OnAnswer(first[0], FailureDomain("a"), now + Milliseconds(5));
+  const auto second = schedule.StartDueRounds(now + Milliseconds(5));
   REQUIRE(second.size() == 1);
-  shares.OnAnswer(second[0], FailureDomain("a"), now + Milliseconds(9));
-  CHECK(shares.Due(now + Milliseconds(10)).empty());
-  shares.Hasten(now + Milliseconds(10));
-  CHECK(shares.Due(now + Milliseconds(10)).size() == 1);
+  schedule.OnAnswer(second[0], FailureDomain("a"), now + Milliseconds(9));
+  CHECK(schedule.StartDueRounds(now + Milliseconds(10)).empty());
+  schedule.Expedite(now + Milliseconds(10));
+  CHECK(schedule.StartDueRounds(now + Milliseconds(10)).size() == 1);
 }
 
 }  // namespace
