--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -87,7 +87,7 @@
         changed_.NotifyAll();
         return;
       case ReplicatedState::Change::kRefusals:
-        quarantine_.OnSaved(state_.refusals(), SteadyNow());
+        quarantine_.OnLogRecords(state_.refusals(), SteadyNow());
         return;
     }
   };
@@ -95,7 +95,7 @@
     if (!state_.Import(state)) {
       log_.Error("A snapshot can't be read.", {{"bytes", state.size()}});
     }
-    quarantine_.OnSaved(state_.refusals(), SteadyNow());
+    quarantine_.OnLogRecords(state_.refusals(), SteadyNow());
     changed_.NotifyAll();
   };
   hooks.make_snapshot = [this] { return state_.Export(); };
@@ -143,7 +143,7 @@
   if (is_saving_ || driver == nullptr || !replica_.is_leader()) {
     return;
   }
-  const auto unsaved = quarantine_.Unsaved(now);
+  const auto unsaved = quarantine_.RecordsToSave(now);
   if (!unsaved.has_value()) {
     return;
   }
--- a/src/plugins/control_node/limit_keeper.cc
+++ b/src/plugins/control_node/limit_keeper.cc
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::uint32_t kMostLinesASecond = 20;
+constexpr std::uint32_t kMaxLogLinesPerSecond = 20;
 // All gateways are told at once, which takes a small node a while.
-constexpr Duration kBetweenNews = Milliseconds(250);
+constexpr Duration kMinUpdateInterval = Milliseconds(250);
 
 }  // namespace
 
 LimitManager::LimitManager(net::FiberSignal& changed)
     : changed_(changed),
       log_("limits"),
-      lines_(kMostLinesASecond),
+      log_budget_(kMaxLogLinesPerSecond),
       book_(declared_limits::LimitBookOptions{}),
       granter_(declared_limits::LimitGranterOptions{}) {}
 
@@ -38,7 +38,7 @@
   const TimePoint now = net::SteadyNow();
   const declared_limits::GrantAnswer answer =
       granter_.Ask(*request, book_, now);
-  if (answer.grants.empty() && lines_.Take(now)) {
+  if (answer.grants.empty() && log_budget_.Take(now)) {
     log_.Info("No target may be sent more.",
               {{"targets", request->targets.size()},
                {"first_choice", request->is_first_choice},
@@ -57,7 +57,7 @@
       continue;
     }
     is_changed = true;
-    if (lines_.Take(now)) {
+    if (log_budget_.Take(now)) {
       log_.Info("A target's limit changed.",
                 {{"target", statement.run.target.value()},
                  {"per_second", statement.per_second.has_value()
@@ -85,11 +85,12 @@
 }
 
 void LimitManager::Publish(TimePoint now) {
-  if (book_.revision() == told_revision_ || now - told_at_ < kBetweenNews) {
+  if (book_.revision() == published_revision_ ||
+      now - published_at_ < kMinUpdateInterval) {
     return;
   }
-  told_revision_ = book_.revision();
-  told_at_ = now;
+  published_revision_ = book_.revision();
+  published_at_ = now;
   changed_.NotifyAll();
 }
 
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -38,7 +38,7 @@
   const declared_limits::LimitBook& book() const { return book_; }
   const declared_limits::LimitGranter& granter() const { return granter_; }
   // Changes a few times a second at most, some time after the book does.
-  std::uint64_t told_revision() const { return told_revision_; }
+  std::uint64_t published_revision() const { return published_revision_; }
 
  private:
   void Publish(TimePoint now);
@@ -46,11 +46,11 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  telemetry::LineBudget lines_;
+  telemetry::LineBudget log_budget_;
   declared_limits::LimitBook book_;
   declared_limits::LimitGranter granter_;
-  std::uint64_t told_revision_ = 0;
-  TimePoint told_at_;
+  std::uint64_t published_revision_ = 0;
+  TimePoint published_at_;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/quarantine_keeper.cc
+++ b/src/plugins/control_node/quarantine_keeper.cc
@@ -16,14 +16,14 @@
 namespace {
 
 // All gateways are told at once, which takes a small node a while.
-constexpr Duration kBetweenNews = Milliseconds(250);
-constexpr std::uint32_t kMostLinesASecond = 20;
+constexpr Duration kMinUpdateInterval = Milliseconds(250);
+constexpr std::uint32_t kMaxLogLinesPerSecond = 20;
 // Gateways tell again, other control nodes answer, and a leader is found.
-constexpr Duration kSettling = Seconds(3);
-constexpr Duration kLogIsRead = Milliseconds(300);
+constexpr Duration kSettlingTime = Seconds(3);
+constexpr Duration kLogReplayQuietTime = Milliseconds(300);
 // Bound what an attack by many such requests adds to the log.
-constexpr Duration kBetweenSaves = Seconds(5);
-constexpr std::size_t kMostSaved = 64;
+constexpr Duration kMinSaveInterval = Seconds(5);
+constexpr std::size_t kMaxSavedRecords = 64;
 
 std::set<quarantine::RequestFingerprint> RequestsOf(
     const std::vector<quarantine::QuarantineRecord>& records) {
@@ -34,7 +34,7 @@
   return requests;
 }
 
-std::string_view Sentence(Verdict verdict) {
+std::string_view LogSentence(Verdict verdict) {
   switch (verdict) {
     case Verdict::kFree:
       return "A request may pass.";
@@ -52,7 +52,7 @@
     : changed_(changed),
       log_("quarantine"),
       book_(quarantine::QuarantineOptions{}),
-      lines_(kMostLinesASecond) {}
+      log_budget_(kMaxLogLinesPerSecond) {}
 
 void QuarantineManager::Register(links::LinkServer& server) {
   server.Register("quarantine.report",
@@ -112,11 +112,11 @@
     return std::nullopt;
   }
   const auto text = json_reading::Text(*object, "request");
-  const auto asker = json_reading::Text(*object, "asker");
+  const auto requester = json_reading::Text(*object, "asker");
   const auto request = text.has_value()
                            ? quarantine::RequestFingerprint::FromText(*text)
                            : std::nullopt;
-  if (!request.has_value() || !asker.has_value()) {
+  if (!request.has_value() || !requester.has_value()) {
     return std::nullopt;
   }
   const TimePoint now = SteadyNow();
@@ -124,49 +124,53 @@
   if (const auto* reports = object->if_contains("reports")) {
     Report(*reports, now);
   }
-  const bool is_allowed = book_.TryTrial(*request, *asker, now);
+  const bool is_allowed = book_.TryTrial(*request, *requester, now);
   trials_ += is_allowed ? 1 : 0;
   Publish(now);
   return Json(is_allowed);
 }
 
-void QuarantineManager::OnSaved(
+void QuarantineManager::OnLogRecords(
     std::vector<quarantine::QuarantineRecord> records,
     TimePoint now) {
-  saved_ = std::move(records);
-  saved_at_ = now;
+  log_records_ = std::move(records);
+  log_records_received_at_ = now;
 }
 
 std::optional<std::vector<quarantine::QuarantineRecord>>
-QuarantineManager::Unsaved(TimePoint now) {
-  if (saved_at_.has_value() || now - asked_to_save_at_ < kBetweenSaves) {
+QuarantineManager::RecordsToSave(TimePoint now) {
+  if (log_records_received_at_.has_value() ||
+      now - save_requested_at_ < kMinSaveInterval) {
     return std::nullopt;
   }
   std::vector<quarantine::QuarantineRecord> refused;
-  for (const quarantine::QuarantineRecord& record : told_) {
-    if (record.verdict == Verdict::kRefused && refused.size() < kMostSaved) {
+  for (const quarantine::QuarantineRecord& record : published_records_) {
+    if (record.verdict == Verdict::kRefused &&
+        refused.size() < kMaxSavedRecords) {
       refused.push_back(record);
     }
   }
-  if (RequestsOf(refused) == RequestsOf(saved_)) {
+  if (RequestsOf(refused) == RequestsOf(log_records_)) {
     return std::nullopt;
   }
-  asked_to_save_at_ = now;
+  save_requested_at_ = now;
   return refused;
 }
 
 void QuarantineManager::Tick(TimePoint now) {
   first_tick_at_ = first_tick_at_.value_or(now);
-  if (!is_settled_ && now - *first_tick_at_ > kSettling) {
+  if (!is_settled_ && now - *first_tick_at_ > kSettlingTime) {
     is_settled_ = true;
-    ++told_revision_;
+    ++published_revision_;
   }
   // A log that is read after a start gives one list after the other; the last
   // one holds.
-  if (saved_at_.has_value() && now - *saved_at_ > kLogIsRead) {
-    saved_at_.reset();
-    log_.Info("The log holds refused requests.", {{"records", saved_.size()}});
-    for (const quarantine::QuarantineRecord& record : saved_) {
+  if (log_records_received_at_.has_value() &&
+      now - *log_records_received_at_ > kLogReplayQuietTime) {
+    log_records_received_at_.reset();
+    log_.Info("The log holds refused requests.",
+              {{"records", log_records_.size()}});
+    for (const quarantine::QuarantineRecord& record : log_records_) {
       book_.Adopt(record, now);
     }
   }
@@ -196,16 +200,17 @@
 }
 
 void QuarantineManager::Publish(TimePoint now) {
-  if (book_.revision() == published_ || now - published_at_ < kBetweenNews) {
+  if (book_.revision() == published_registry_revision_ ||
+      now - published_at_ < kMinUpdateInterval) {
     return;
   }
-  published_ = book_.revision();
+  published_registry_revision_ = book_.revision();
   published_at_ = now;
-  const auto before = quarantine::StrictlyHeld(told_);
-  told_ = book_.Told(now);
-  ++told_revision_;
-  if (quarantine::StrictlyHeld(told_) != before) {
-    urgent_revision_ = told_revision_;
+  const auto before = quarantine::StrictlyHeld(published_records_);
+  published_records_ = book_.Told(now);
+  ++published_revision_;
+  if (quarantine::StrictlyHeld(published_records_) != before) {
+    urgent_revision_ = published_revision_;
     changed_.NotifyAll();
   }
 }
@@ -214,10 +219,10 @@
     const quarantine::RequestFingerprint& request,
     TimePoint now) {
   const auto record = book_.RecordOf(request, now);
-  if (!lines_.Take(now) || !record.has_value()) {
+  if (!log_budget_.Take(now) || !record.has_value()) {
     return;
   }
-  log_.Info(Sentence(record->verdict),
+  log_.Info(LogSentence(record->verdict),
             {{"content", request.ToText()},
              {"service", record->service.value()},
              {"ends", record->ends},
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -35,17 +35,17 @@
   bool Release(const quarantine::RequestFingerprint& request, TimePoint now);
 
   // What the replicas' log holds, in turn also while it is read after a start.
-  void OnSaved(std::vector<quarantine::QuarantineRecord> records,
-               TimePoint now);
+  void OnLogRecords(std::vector<quarantine::QuarantineRecord> records,
+                    TimePoint now);
   // What the log should hold; nothing where it does, or did a moment ago.
-  std::optional<std::vector<quarantine::QuarantineRecord>> Unsaved(
+  std::optional<std::vector<quarantine::QuarantineRecord>> RecordsToSave(
       TimePoint now);
 
   // What gateways are told. It changes a few times a second at most.
-  const std::vector<quarantine::QuarantineRecord>& told() const {
-    return told_;
+  const std::vector<quarantine::QuarantineRecord>& published_records() const {
+    return published_records_;
   }
-  std::uint64_t told_revision() const { return told_revision_; }
+  std::uint64_t published_revision() const { return published_revision_; }
   // Whether the node has heard what there is to hear since its start. Until
   // then gateways keep what it told them before.
   bool is_settled() const { return is_settled_; }
@@ -69,19 +69,19 @@
   net::FiberSignal& changed_;
   telemetry::Logger log_;
   quarantine::QuarantineBook book_;
-  std::vector<quarantine::QuarantineRecord> told_;
-  std::uint64_t told_revision_ = 0;
+  std::vector<quarantine::QuarantineRecord> published_records_;
+  std::uint64_t published_revision_ = 0;
   std::uint64_t urgent_revision_ = 0;
-  std::uint64_t published_ = 0;  // the book's revision
+  std::uint64_t published_registry_revision_ = 0;  // the book's revision
   TimePoint published_at_;
-  telemetry::LineBudget lines_;
+  telemetry::LineBudget log_budget_;
   std::uint64_t trials_ = 0;
   std::optional<TimePoint> first_tick_at_;
   bool is_settled_ = false;
-  std::vector<quarantine::QuarantineRecord> saved_;
+  std::vector<quarantine::QuarantineRecord> log_records_;
   // Unset once what was saved has been taken over.
-  std::optional<TimePoint> saved_at_;
-  TimePoint asked_to_save_at_;
+  std::optional<TimePoint> log_records_received_at_;
+  TimePoint save_requested_at_;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/quarantine_service.cc
+++ b/src/plugins/control_node/quarantine_service.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::string_view kList = "/quarantine";
-constexpr std::string_view kEntry = "/quarantine/";
+constexpr std::string_view kListPath = "/quarantine";
+constexpr std::string_view kEntryPathPrefix = "/quarantine/";
 
 void Respond(net::HttpExchange& exchange, int status, const std::string& body) {
   net::HttpResponseHead head;
@@ -25,13 +25,15 @@
 
 bool QuarantineService::Serve(net::HttpExchange& exchange) {
   const net::HttpRequest& request = exchange.request();
-  if (request.method == "GET" && request.target == kList) {
+  if (request.method == "GET" && request.target == kListPath) {
     ServeList(exchange);
     return true;
   }
-  if (request.method == "DELETE" && request.target.starts_with(kEntry)) {
-    ServeRelease(exchange,
-                 std::string_view(request.target).substr(kEntry.size()));
+  if (request.method == "DELETE" &&
+      request.target.starts_with(kEntryPathPrefix)) {
+    ServeRelease(
+        exchange,
+        std::string_view(request.target).substr(kEntryPathPrefix.size()));
     return true;
   }
   return false;
@@ -40,10 +42,10 @@
 void QuarantineService::ServeList(net::HttpExchange& exchange) {
   net::HttpResponseHead head;
   head.headers.Add("Content-Type", "application/json");
-  exchange.Respond(
-      std::move(head),
-      boost::json::serialize(quarantine::ToJson(node_.quarantine().told())) +
-          "\n");
+  exchange.Respond(std::move(head),
+                   boost::json::serialize(quarantine::ToJson(
+                       node_.quarantine().published_records())) +
+                       "\n");
 }
 
 void QuarantineService::ServeRelease(net::HttpExchange& exchange,
@@ -61,11 +63,12 @@
 }
 
 void QuarantineService::SetMetrics(telemetry::Registry& metrics) {
-  const auto& told = node_.quarantine().told();
-  const auto refused = std::count_if(
-      told.begin(), told.end(), [](const quarantine::QuarantineRecord& record) {
-        return record.verdict == Verdict::kRefused;
-      });
+  const auto& published_records = node_.quarantine().published_records();
+  const auto refused =
+      std::count_if(published_records.begin(), published_records.end(),
+                    [](const quarantine::QuarantineRecord& record) {
+                      return record.verdict == Verdict::kRefused;
+                    });
   metrics
       .GaugeFor({"bilberryspool_requests_refused_for_ends",
                  "Requests that are refused since targets ended under them"})
--- a/src/plugins/control_node/target_news.cc
+++ b/src/plugins/control_node/target_news.cc
@@ -4,21 +4,22 @@
 
 namespace bilberryspool::control_node {
 
-TargetNews::Part TargetNews::Since(const traffic::TargetBook& book,
-                                   std::uint64_t from,
-                                   Duration freshness,
-                                   TimePoint now) {
+TargetUpdates::Update TargetUpdates::ChangesSince(
+    const traffic::TargetBook& book,
+    std::uint64_t from,
+    Duration freshness,
+    TimePoint now) {
   const bool is_behind = revision_ != book.revision();
   if (is_behind && (from >= revision_ || now - taken_at_ > freshness)) {
     revision_ = book.revision();
     taken_at_ = now;
-    parts_.clear();
+    updates_.clear();
   }
-  const auto [part, is_new] = parts_.try_emplace(from);
+  const auto [update, is_new] = updates_.try_emplace(from);
   if (is_new) {
-    part->second = traffic::PackTargets(book.ChangedSince(from));
+    update->second = traffic::PackTargets(book.ChangedSince(from));
   }
-  return {revision_, part->second};
+  return {revision_, update->second};
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/target_news.h
+++ b/src/plugins/control_node/target_news.h
@@ -21,9 +21,9 @@
 
 namespace bilberryspool::control_node {
 
-class TargetNews {
+class TargetUpdates {
  public:
-  struct Part {
+  struct Update {
     // What the asker knows once it has read this.
     std::uint64_t revision = 0;
     packing::PackedText targets;
@@ -31,16 +31,16 @@
 
   // All that has changed in `book` since `from`, up to a revision that may be
   // as old as `freshness`, but is never one that the asker has already.
-  Part Since(const traffic::TargetBook& book,
-             std::uint64_t from,
-             Duration freshness,
-             TimePoint now);
+  Update ChangesSince(const traffic::TargetBook& book,
+                      std::uint64_t from,
+                      Duration freshness,
+                      TimePoint now);
 
  private:
   std::uint64_t revision_ = 0;
   TimePoint taken_at_;
   // By `from`, up to `revision_`.
-  std::map<std::uint64_t, packing::PackedText> parts_;
+  std::map<std::uint64_t, packing::PackedText> updates_;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -23,7 +23,7 @@
     return std::nullopt;
   }
   if (!query->asker.empty()) {
-    NoteGateway(*query);
+    RecordGateway(*query);
   }
   if (const auto node = net::ParseEndpoint(query->control_address)) {
     node_.OnNodeResponded(*node);
@@ -36,19 +36,19 @@
            query->slow_revision != node_.slow_revision() ||
            query->quarantine_revision < node_.quarantine().urgent_revision() ||
            (!query->asker.empty() &&
-            query->limits_revision != node_.limits().told_revision());
+            query->limits_revision != node_.limits().published_revision());
   };
-  const auto has_news = [&] {
+  const auto has_update = [&] {
     return !knows_this_boot || node_.targets().revision() > revision ||
            is_urgent();
   };
   const TimePoint deadline =
       SteadyNow() + std::min(query->wait, traffic::kLongestWatch);
-  while (!has_news() && SteadyNow() < deadline) {
+  while (!has_update() && SteadyNow() < deadline) {
     node_.changed().WaitUntil(deadline);
   }
-  if (has_news() && !is_urgent() && !query->wants_configuration) {
-    loop_.SleepFor(GatheringTime());
+  if (has_update() && !is_urgent() && !query->wants_configuration) {
+    loop_.SleepFor(BatchingDelay());
   }
   traffic::WatchAnswer answer;
   answer.boot = node_.boot();
@@ -56,24 +56,24 @@
   answer.slow_revision = node_.slow_revision();
   answer.slow_targets = node_.slow_targets();
   answer.is_whole = !knows_this_boot;
-  answer.quarantine_revision = node_.quarantine().told_revision();
+  answer.quarantine_revision = node_.quarantine().published_revision();
   answer.is_quarantine_whole = node_.quarantine().is_settled();
   if (!knows_this_boot ||
       query->quarantine_revision != answer.quarantine_revision) {
-    answer.quarantine = node_.quarantine().told();
+    answer.quarantine = node_.quarantine().published_records();
   }
-  answer.limits_revision = node_.limits().told_revision();
+  answer.limits_revision = node_.limits().published_revision();
   if (!query->asker.empty() &&
       (!knows_this_boot || query->limits_revision != answer.limits_revision)) {
     answer.shares = node_.limits().book().SharesOf(query->asker);
   }
   // Half of what news wait for anyway: an asker that was told up to an older
   // revision asks again at once.
-  const Duration freshness = GatheringTime() / 2;
-  TargetNews::Part part =
-      news_.Since(node_.targets(), revision, freshness, SteadyNow());
-  answer.revision = part.revision;
-  answer.targets = std::move(part.targets);
+  const Duration freshness = BatchingDelay() / 2;
+  TargetUpdates::Update update = target_updates_.ChangesSince(
+      node_.targets(), revision, freshness, SteadyNow());
+  answer.revision = update.revision;
+  answer.targets = std::move(update.targets);
   for (const net::Endpoint& member : node_.FindNodes()) {
     answer.members.push_back(member.ToString());
   }
@@ -86,7 +86,7 @@
   return traffic::ToJson(answer);
 }
 
-void WatchService::NoteGateway(const traffic::WatchQuery& query) {
+void WatchService::RecordGateway(const traffic::WatchQuery& query) {
   const TimePoint now = SteadyNow();
   if (gateways_.insert_or_assign(query.asker, now).second) {
     ShareLimits();
@@ -96,9 +96,10 @@
 
 std::size_t WatchService::CountGateways(TimePoint now) {
   // Several questions may be lost before one counts as gone.
-  const Duration memory = traffic::kLongestWatch * 5;
-  const std::size_t gone = std::erase_if(
-      gateways_, [&](const auto& item) { return now - item.second > memory; });
+  const Duration retention = traffic::kLongestWatch * 5;
+  const std::size_t gone = std::erase_if(gateways_, [&](const auto& item) {
+    return now - item.second > retention;
+  });
   if (gone > 0) {
     ShareLimits();
   }
@@ -117,14 +118,14 @@
 // Where thousands of targets announce themselves within a second, each would be
 // told to each of hundreds of gateways in an answer of its own, which is more
 // than a small node can send: it falls behind in all that it does.
-Duration WatchService::GatheringTime() const {
+Duration WatchService::BatchingDelay() const {
   // At 240 gateways and 3,000 targets a node of 0.15 of a core stood at 98%
   // without, at 52% with it. The longest leaves most of the two seconds that a
   // leaving target goes on serving.
   constexpr Duration kPerGateway = Microseconds(1500);
-  constexpr Duration kLongest = Milliseconds(400);
+  constexpr Duration kMaxDelay = Milliseconds(400);
   const auto gateways = static_cast<Duration::rep>(gateways_.size());
-  return std::min(kPerGateway * gateways, kLongest);
+  return std::min(kPerGateway * gateways, kMaxDelay);
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/watch_service.h
+++ b/src/plugins/control_node/watch_service.h
@@ -30,17 +30,17 @@
 
   std::optional<Json> OnWatch(const Json& params);
 
-  void NoteGateway(const traffic::WatchQuery& query);
+  void RecordGateway(const traffic::WatchQuery& query);
   // Forgets those that have not asked for long.
   std::size_t CountGateways(TimePoint now);
   // Divides the limits of targets among the gateways that are known now.
   void ShareLimits();
   // How long news of targets are gathered before they are told.
-  Duration GatheringTime() const;
+  Duration BatchingDelay() const;
 
   net::NetworkLoop& loop_;
   ControlNode& node_;
-  TargetNews news_;
+  TargetUpdates target_updates_;
   // When each gateway last asked, by name.
   std::map<std::string, TimePoint> gateways_;
 };
--- a/tests/auto/control_node/target_news_test.cc
+++ b/tests/auto/control_node/target_news_test.cc
@@ -35,13 +35,13 @@
   std::uint64_t revision = 0;
   std::map<std::string, std::uint32_t> slots;
 
-  void Read(const TargetNews::Part& part) {
-    const auto records = traffic::UnpackTargets(part.targets);
+  void Read(const TargetUpdates::Update& update) {
+    const auto records = traffic::UnpackTargets(update.targets);
     REQUIRE(records.has_value());
     for (const traffic::TargetRecord& record : *records) {
       slots[record.announcement.target.value()] = record.announcement.slots;
     }
-    revision = part.revision;
+    revision = update.revision;
   }
 };
 
@@ -49,25 +49,26 @@
 // is served. Cause: an answer was made for each of hundreds of gateways.
 TEST_CASE("askers that know as much are told the same") {
   traffic::TargetBook book(traffic::TargetBookOptions{});
-  TargetNews news;
+  TargetUpdates news;
   for (std::uint64_t i = 0; i < 50; ++i) {
     book.Announce(Told(i, 1), At(0));
   }
-  const auto first = news.Since(book, 0, kFreshness, At(0));
+  const auto first = news.ChangesSince(book, 0, kFreshness, At(0));
   book.Announce(Told(60, 1), At(10));
-  const auto second = news.Since(book, 0, kFreshness, At(20));
+  const auto second = news.ChangesSince(book, 0, kFreshness, At(20));
   CHECK(second.revision == first.revision);
   CHECK(second.targets == first.targets);
-  CHECK(news.Since(book, 0, kFreshness, At(200)).revision > first.revision);
+  CHECK(news.ChangesSince(book, 0, kFreshness, At(200)).revision >
+        first.revision);
 }
 
 TEST_CASE("an asker is never told only what it knows while there is more") {
   traffic::TargetBook book(traffic::TargetBookOptions{});
-  TargetNews news;
+  TargetUpdates news;
   book.Announce(Told(1, 1), At(0));
-  const auto first = news.Since(book, 0, kFreshness, At(0));
+  const auto first = news.ChangesSince(book, 0, kFreshness, At(0));
   book.Announce(Told(2, 1), At(1));
-  const auto next = news.Since(book, first.revision, kFreshness, At(1));
+  const auto next = news.ChangesSince(book, first.revision, kFreshness, At(1));
   CHECK(next.revision > first.revision);
   CHECK(traffic::UnpackTargets(next.targets)->size() == 1);
 }
@@ -77,17 +78,19 @@
     CAPTURE(seed);
     Random random(seed);
     traffic::TargetBook book(traffic::TargetBookOptions{});
-    TargetNews news;
+    TargetUpdates news;
     std::vector<Gateway> gateways(6);
     std::uint64_t sequence = 0;
     for (std::int64_t ms = 0; ms < 2000; ms += 7) {
       book.Announce(Told(random.Below(20), ++sequence), At(ms));
       Gateway& gateway = gateways[random.Below(gateways.size())];
-      gateway.Read(news.Since(book, gateway.revision, kFreshness, At(ms)));
+      gateway.Read(
+          news.ChangesSince(book, gateway.revision, kFreshness, At(ms)));
     }
     for (Gateway& gateway : gateways) {
       for (int i = 0; i < 3 && gateway.revision < book.revision(); ++i) {
-        gateway.Read(news.Since(book, gateway.revision, kFreshness, At(3000)));
+        gateway.Read(
+            news.ChangesSince(book, gateway.revision, kFreshness, At(3000)));
       }
       CHECK(gateway.revision == book.revision());
       CHECK(gateway.slots.size() == book.records().size());
