--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -15,14 +15,14 @@
 namespace {
 
 // How often membership, disk and failed folders are looked after.
-constexpr Duration kTendInterval = Milliseconds(200);
-constexpr Duration kChangePatience = Seconds(2);
+constexpr Duration kMaintenanceInterval = Milliseconds(200);
+constexpr Duration kChangeTimeout = Seconds(2);
 // A leader whose disk has not answered for this long hands over: it can't
 // vouch for what it proposes, and every change would wait for its disk.
-constexpr Duration kStalledDisk = Milliseconds(700);
+constexpr Duration kDiskStallTimeout = Milliseconds(700);
 // The log is kept short: each entry holds a whole configuration, which may be
 // hundreds of kilobytes.
-constexpr control::SnapshotPolicy kSnapshots{32, 2ULL * 1024 * 1024};
+constexpr control::SnapshotPolicy kSnapshotPolicy{32, 2ULL * 1024 * 1024};
 constexpr std::size_t kRetainedEntries = 4;
 constexpr Duration kElectionTimeoutMin = Milliseconds(500);
 constexpr Duration kElectionTimeoutMax = Milliseconds(900);
@@ -63,7 +63,7 @@
 std::string ReplicaHost::Start() {
   std::string error = Open();
   if (error.empty()) {
-    loop_.Spawn([this] { Tend(); });
+    loop_.Spawn([this] { RunMaintenance(); });
   }
   return error;
 }
@@ -105,7 +105,7 @@
                    {"entries", found.entries.size()}});
         driver_ = std::make_unique<control::ReplicaDriver>(
             loop_, client_, std::move(folder), MakeOptions(),
-            std::random_device()(), MakeHooks(), kSnapshots);
+            std::random_device()(), MakeHooks(), kSnapshotPolicy);
         return {};
       },
       [&](const storage::StorageError& failure) {
@@ -139,9 +139,9 @@
   return hooks;
 }
 
-void ReplicaHost::Tend() {
+void ReplicaHost::RunMaintenance() {
   while (!is_stopping_) {
-    loop_.SleepFor(kTendInterval);
+    loop_.SleepFor(kMaintenanceInterval);
     if (is_stopping_) {
       return;
     }
@@ -150,7 +150,7 @@
       // promised is in it, and nothing was promised since.
       if (driver_ != nullptr) {
         driver_->CloseFolder();
-        failed_.push_back(std::move(driver_));
+        failed_drivers_.push_back(std::move(driver_));
       }
       const std::string error = Open();
       if (!error.empty()) {
@@ -158,36 +158,36 @@
       }
       continue;
     }
-    LeaveStalledDisk();
-    KeepMembers();
+    HandOverIfDiskStalls();
+    MaintainMembership();
   }
 }
 
-void ReplicaHost::LeaveStalledDisk() {
+void ReplicaHost::HandOverIfDiskStalls() {
   const TimePoint now = SteadyNow();
-  if (driver_->is_leader(now) && driver_->disk_lag(now) > kStalledDisk) {
+  if (driver_->is_leader(now) && driver_->disk_lag(now) > kDiskStallTimeout) {
     log_.Warn("Handing over: the disk does not answer.",
               {{"waited_ms", driver_->disk_lag(now).count() / 1000}});
     driver_->HandOver();
   }
 }
 
-void ReplicaHost::KeepMembers() {
+void ReplicaHost::MaintainMembership() {
   const TimePoint now = SteadyNow();
   if (!driver_->is_leader(now)) {
-    keeper_.reset();
+    member_keeper_.reset();
     return;
   }
   const auto picture = consensus::PictureOf(driver_->replica());
-  if (is_changing_ || !picture.has_value()) {
+  if (is_membership_changing_ || !picture.has_value()) {
     return;
   }
-  if (!keeper_.has_value()) {
+  if (!member_keeper_.has_value()) {
     consensus::MemberKeeperOptions options;
     options.voters = 2 * settings_.tolerated_losses + 1;
-    keeper_.emplace(options);
+    member_keeper_.emplace(options);
   }
-  const auto change = keeper_->Next(*picture, now);
+  const auto change = member_keeper_->Next(*picture, now);
   if (!change.has_value()) {
     return;
   }
@@ -210,10 +210,10 @@
                                     {{"member", remove.member.node.value()}});
                         }},
              *change);
-  is_changing_ = true;
+  is_membership_changing_ = true;
   loop_.Spawn([this, change = *change] {
-    driver_->Change(change, kChangePatience);
-    is_changing_ = false;
+    driver_->Change(change, kChangeTimeout);
+    is_membership_changing_ = false;
   });
 }
 
--- a/src/plugins/control_node/replica_host.h
+++ b/src/plugins/control_node/replica_host.h
@@ -58,9 +58,9 @@
   std::string Open();
   consensus::ReplicaOptions MakeOptions() const;
   control::ReplicaHooks MakeHooks();
-  void Tend();
-  void KeepMembers();
-  void LeaveStalledDisk();
+  void RunMaintenance();
+  void MaintainMembership();
+  void HandOverIfDiskStalls();
 
   net::NetworkLoop& loop_;
   links::LinkClient& client_;
@@ -74,11 +74,11 @@
   NodeId self_;
   std::unique_ptr<control::ReplicaDriver> driver_;
   // Drivers whose disk failed; their fibers may still be running.
-  std::vector<std::unique_ptr<control::ReplicaDriver>> failed_;
+  std::vector<std::unique_ptr<control::ReplicaDriver>> failed_drivers_;
   bool is_stopping_ = false;
-  bool is_changing_ = false;
+  bool is_membership_changing_ = false;
   // Of the present leadership.
-  std::optional<consensus::MemberKeeper> keeper_;
+  std::optional<consensus::MemberKeeper> member_keeper_;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/replicated_state.cc
+++ b/src/plugins/control_node/replicated_state.cc
@@ -12,7 +12,7 @@
 // No number, which is what a configuration begins with.
 constexpr std::string_view kRefusals = "refusals\n";
 // In a snapshot, behind the configuration, whose packed text has no line break.
-constexpr std::string_view kBehind = "\nrefusals\n";
+constexpr std::string_view kRefusalsSeparator = "\nrefusals\n";
 
 }  // namespace
 
@@ -33,20 +33,21 @@
 std::string ReplicatedState::Export() const {
   std::string bytes = configuration_.Export();
   if (!refusals_.empty()) {
-    bytes += kBehind;
+    bytes += kRefusalsSeparator;
     bytes += refusals_;
   }
   return bytes;
 }
 
 bool ReplicatedState::Import(std::string_view bytes) {
-  const std::size_t behind = bytes.find(kBehind);
-  if (!configuration_.Import(bytes.substr(0, behind))) {
+  const std::size_t separator = bytes.find(kRefusalsSeparator);
+  if (!configuration_.Import(bytes.substr(0, separator))) {
     return false;
   }
-  refusals_ = behind == std::string_view::npos
-                  ? std::string()
-                  : std::string(bytes.substr(behind + kBehind.size()));
+  refusals_ =
+      separator == std::string_view::npos
+          ? std::string()
+          : std::string(bytes.substr(separator + kRefusalsSeparator.size()));
   return true;
 }
 
