--- a/src/plugins/control_node/engine_calls.cc
+++ b/src/plugins/control_node/engine_calls.cc
@@ -21,7 +21,7 @@
 
 net::HttpRequest MakeRelayRequest(net::HttpRequest request,
                                   const EngineCalls::CallTimeouts& timeouts) {
-  request.headers.Set(sidecar::kPatienceField,
+  request.headers.Set(sidecar::kTimeoutField,
                       std::to_string(timeouts.engine / Milliseconds(1)));
   return request;
 }
--- a/src/plugins/sidecar/engine_reader.cc
+++ b/src/plugins/sidecar/engine_reader.cc
@@ -14,14 +14,14 @@
 
 namespace {
 
-placement::ReadingMark DrawMark() {
+placement::ReadingMark MakeFirstMark() {
   std::random_device device;
   // Never 0, which names no reading.
   return placement::ReadingMark((std::uint64_t{device()} << 32U) + 1U);
 }
 
-placement::ReadingMark MarkOf(const net::HttpRequest& asked) {
-  const std::string_view text = asked.headers.ValueOr(kMarkField, "");
+placement::ReadingMark MarkOf(const net::HttpRequest& incoming) {
+  const std::string_view text = incoming.headers.ValueOr(kMarkField, "");
   std::uint64_t mark = 0;
   std::from_chars(text.data(), text.data() + text.size(), mark);
   return placement::ReadingMark(mark);
@@ -35,15 +35,16 @@
     : client_(loop, net::HttpClientOptions{}),
       engine_(std::move(engine)),
       protocol_(std::move(protocol)),
-      counters_(DrawMark()) {}
+      counters_(MakeFirstMark()) {}
 
 bool EngineReader::Handles(const net::HttpRequest& request) {
   return request.headers.Find(kMarkField).has_value();
 }
 
-std::optional<std::string> EngineReader::Ask(const net::HttpRequest& request,
-                                             Duration patience) {
-  auto result = client_.Send(engine_, request, patience);
+std::optional<std::string> EngineReader::CallEngine(
+    const net::HttpRequest& request,
+    Duration timeout) {
+  auto result = client_.Send(engine_, request, timeout);
   auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     client_.DropIdle(engine_);
@@ -53,22 +54,24 @@
 }
 
 std::string EngineReader::Answer(net::HttpExchange& exchange) {
-  const Duration patience = PatienceOf(exchange.request());
+  const Duration timeout = TimeoutOf(exchange.request());
   const placement::ReadingMark since = MarkOf(exchange.request());
   net::HttpResponseHead head;
-  const auto told = Ask(protocol_.report_request(), patience);
-  const auto report =
-      told.has_value() ? protocol_.read_report(*told) : std::nullopt;
+  const auto report_body = CallEngine(protocol_.report_request(), timeout);
+  const auto report = report_body.has_value()
+                          ? protocol_.read_report(*report_body)
+                          : std::nullopt;
   if (!report.has_value()) {
     head.status = net::status::kBadGateway;
     exchange.Respond(std::move(head), "");
-    return told.has_value() ? "its report can't be read" : "no report came";
+    return report_body.has_value() ? "its report can't be read"
+                                   : "no report came";
   }
   groups::RankReading reading;
   reading.report = *report;
-  const auto counted = Ask(protocol_.picks_request(), patience);
-  auto picks = counted.has_value() ? protocol_.read_picks(*counted)
-                                   : std::optional<groups::ExpertPicks>();
+  const auto picks_body = CallEngine(protocol_.picks_request(), timeout);
+  auto picks = picks_body.has_value() ? protocol_.read_picks(*picks_body)
+                                      : std::optional<groups::ExpertPicks>();
   if (picks.has_value()) {
     reading.growth = counters_.Take(
         {std::move(picks->counts), picks->step.value(), report->running},
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -32,8 +32,8 @@
 
  private:
   // The body of the engine's answer.
-  std::optional<std::string> Ask(const net::HttpRequest& request,
-                                 Duration patience);
+  std::optional<std::string> CallEngine(const net::HttpRequest& request,
+                                        Duration timeout);
 
   net::HttpClient client_;
   net::Endpoint engine_;
--- a/src/plugins/sidecar/engine_relay.cc
+++ b/src/plugins/sidecar/engine_relay.cc
@@ -14,10 +14,10 @@
 namespace {
 
 // What the engine is to get.
-std::optional<std::string> BodyOf(const net::HttpRequest& asked) {
-  return asked.headers.Find(kPackedField).has_value()
-             ? packing::Unpack({asked.body})
-             : asked.body;
+std::optional<std::string> BodyOf(const net::HttpRequest& incoming) {
+  return incoming.headers.Find(kPackedField).has_value()
+             ? packing::Unpack({incoming.body})
+             : incoming.body;
 }
 
 }  // namespace
@@ -27,22 +27,22 @@
 
 std::string EngineRelay::Relay(net::HttpExchange& exchange,
                                const net::Endpoint& engine) {
-  const net::HttpRequest& asked = exchange.request();
+  const net::HttpRequest& incoming = exchange.request();
   net::HttpResponseHead head;
-  const auto body = BodyOf(asked);
+  const auto body = BodyOf(incoming);
   if (!body.has_value()) {
     head.status = net::status::kBadRequest;
     exchange.Respond(std::move(head), "the body can't be unpacked\n");
     return "";
   }
   net::HttpRequest request;
-  request.method = asked.method;
-  request.target = asked.target;
+  request.method = incoming.method;
+  request.target = incoming.target;
   request.body = *body;
-  if (const auto type = asked.headers.Find("Content-Type")) {
+  if (const auto type = incoming.headers.Find("Content-Type")) {
     request.headers.Add("Content-Type", std::string(*type));
   }
-  const auto result = client_.Send(engine, request, PatienceOf(asked));
+  const auto result = client_.Send(engine, request, TimeoutOf(incoming));
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     client_.DropIdle(engine);
--- a/src/plugins/sidecar/sidecar_call.cc
+++ b/src/plugins/sidecar/sidecar_call.cc
@@ -10,19 +10,19 @@
 namespace {
 
 // Where the asker names none; it is not taken for more either.
-constexpr Duration kEnginePatience = Milliseconds(400);
+constexpr Duration kMaxEngineTimeout = Milliseconds(400);
 
 }  // namespace
 
-Duration PatienceOf(const net::HttpRequest& asked) {
-  const std::string_view text = asked.headers.ValueOr(kPatienceField, "");
+Duration TimeoutOf(const net::HttpRequest& request) {
+  const std::string_view text = request.headers.ValueOr(kTimeoutField, "");
   std::int64_t ms = 0;
   const auto parsed =
       std::from_chars(text.data(), text.data() + text.size(), ms);
   if (parsed.ec != std::errc() || ms <= 0) {
-    return kEnginePatience;
+    return kMaxEngineTimeout;
   }
-  return std::min(Milliseconds(ms), kEnginePatience);
+  return std::min(Milliseconds(ms), kMaxEngineTimeout);
 }
 
 }  // namespace bilberryspool::sidecar
--- a/src/plugins/sidecar/sidecar_call.h
+++ b/src/plugins/sidecar/sidecar_call.h
@@ -10,7 +10,7 @@
 
 // How many milliseconds the engine may take; the sidecar then answers 502 in
 // its place, so that the asker knows that the sidecar itself is well.
-inline constexpr char kPatienceField[] = "Patience-Ms";
+inline constexpr char kTimeoutField[] = "Patience-Ms";
 // "IP:PORT" of the engine, for relays that serve more than one.
 inline constexpr char kEngineField[] = "Engine";
 // Asks the sidecar for a groups::RankReading; the mark of the last one, or 0.
@@ -20,7 +20,7 @@
 inline constexpr char kPackedField[] = "Packed";
 
 // The time that the asker allows the engine, within bounds.
-Duration PatienceOf(const net::HttpRequest& asked);
+Duration TimeoutOf(const net::HttpRequest& request);
 
 }  // namespace bilberryspool::sidecar
 
--- a/tests/auto/sidecar/engine_relay_test.cc
+++ b/tests/auto/sidecar/engine_relay_test.cc
@@ -88,7 +88,7 @@
   request.method = "POST";
   request.target = "/order";
   request.headers.Add("Content-Type", "application/json");
-  request.headers.Add(kPatienceField, "50");
+  request.headers.Add(kTimeoutField, "50");
   request.headers.Add(kEngineField, "10.0.0.1:80");
   request.body = R"({"op":"hold","step":7})";
   return request;
@@ -106,7 +106,7 @@
       CHECK(world.seen.method == "POST");
       CHECK(world.seen.target == "/order");
       CHECK(world.seen.body == Order().body);
-      CHECK_FALSE(world.seen.headers.Find(kPatienceField).has_value());
+      CHECK_FALSE(world.seen.headers.Find(kTimeoutField).has_value());
       CHECK_FALSE(world.seen.headers.Find(kEngineField).has_value());
     }
   });
