--- a/tests/auto/control_node/order_helpers_test.cc
+++ b/tests/auto/control_node/order_helpers_test.cc
@@ -7,15 +7,15 @@
 namespace bilberryspool::control_node {
 namespace {
 
-const net::Endpoint kOne{"10.0.0.1", 7000};
-const net::Endpoint kTwo{"10.0.0.2", 7000};
+const net::Endpoint kFirstNode{"10.0.0.1", 7000};
+const net::Endpoint kSecondNode{"10.0.0.2", 7000};
 
 // Symptom: a group stands still for 4 s. Sequence: a VM passes the hold on and
 // freezes; the release goes the same way and is not answered. Cause: one VM
 // stood for both.
 TEST_CASE("the release does not go by the node that passed the hold on") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
+  helpers.Set({kFirstNode, kSecondNode});
   for (int change = 0; change < 5; ++change) {
     const auto hold = helpers.Next();
     const auto release = helpers.Next();
@@ -27,15 +27,15 @@
 
 TEST_CASE("a node that failed is passed over until it is told of again") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
-  helpers.OnRelayed(kOne, RelayResult::kHelperFailed);
+  helpers.Set({kFirstNode, kSecondNode});
+  helpers.OnRelayed(kFirstNode, RelayResult::kHelperFailed);
   for (int i = 0; i < 3; ++i) {
-    CHECK(helpers.Next() == kTwo);
+    CHECK(helpers.Next() == kSecondNode);
   }
-  helpers.OnRelayed(kTwo, RelayResult::kHelperFailed);
+  helpers.OnRelayed(kSecondNode, RelayResult::kHelperFailed);
   CHECK_FALSE(helpers.Next().has_value());
-  helpers.Set({kOne});
-  CHECK(helpers.Next() == kOne);
+  helpers.Set({kFirstNode});
+  CHECK(helpers.Next() == kFirstNode);
 }
 
 // Symptom: a freeze stops the group for its length although others could pass
@@ -45,7 +45,7 @@
 // order on.
 TEST_CASE("an engine's silence says nothing against its helper") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
+  helpers.Set({kFirstNode, kSecondNode});
   for (int i = 0; i < 6; ++i) {
     const auto helper = helpers.Next();
     REQUIRE(helper.has_value());
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_rounds_test.cc
@@ -26,7 +26,7 @@
 const GroupId kGroup("g");
 const FailureDomain kDomain("sahab");
 constexpr std::uint32_t kRanks = 3;
-constexpr int kMostTries = 50;
+constexpr int kMaxTries = 50;
 constexpr std::uint32_t kAccepted = net::status::kAccepted;
 
 // Engines that tell their step and one counter as plain numbers.
@@ -58,17 +58,17 @@
   std::unique_ptr<net::HttpServer> server;
   std::unique_ptr<sidecar::EngineReader> reader;
   std::unique_ptr<sidecar::EngineRelay> relay;
-  std::unique_ptr<links::LinkServer> front;
+  std::unique_ptr<links::LinkServer> sidecar_server;
   net::Endpoint at;
   int step = 0;
   bool is_silent = false;
-  std::string ordered;
-  int working = 0;
+  std::string last_order;
+  int active_calls = 0;
 };
 
-class World {
+class RankFixture {
  public:
-  explicit World(net::NetworkLoop& loop)
+  explicit RankFixture(net::NetworkLoop& loop)
       : loop_(loop),
         authenticator_(std::make_shared<net::LinkAuthenticator>(
             "test",
@@ -99,10 +99,10 @@
   void Stop() {
     for (const auto& engine : engines_) {
       engine->is_silent = false;
-      while (engine->working > 0) {
+      while (engine->active_calls > 0) {
         loop_.SleepFor(Milliseconds(10));
       }
-      engine->front->Drain();
+      engine->sidecar_server->Drain();
       engine->server->Drain();
     }
   }
@@ -130,7 +130,7 @@
     engine.relay = std::make_unique<sidecar::EngineRelay>(loop_);
     // All sidecars share one port; the first one picks it.
     options.listen.port = sidecar_port_;
-    engine.front = std::make_unique<links::LinkServer>(
+    engine.sidecar_server = std::make_unique<links::LinkServer>(
         loop_, options, authenticator_,
         [&engine](net::HttpExchange& exchange) {
           if (sidecar::EngineReader::Handles(exchange.request())) {
@@ -140,23 +140,23 @@
           }
         },
         [](const std::string&, net::LinkRefusal) {});
-    REQUIRE(engine.front->Start().empty());
-    sidecar_port_ = engine.front->port();
+    REQUIRE(engine.sidecar_server->Start().empty());
+    sidecar_port_ = engine.sidecar_server->port();
   }
 
   void Serve(Engine& engine, net::HttpExchange& exchange) {
-    ++engine.working;
+    ++engine.active_calls;
     while (engine.is_silent) {
       loop_.SleepFor(Milliseconds(10));
     }
     if (exchange.request().method == "POST") {
-      engine.ordered = exchange.request().body;
+      engine.last_order = exchange.request().body;
     }
     net::HttpResponseHead head;
     head.status = exchange.request().method == "POST" ? net::status::kAccepted
                                                       : net::status::kOk;
     exchange.Respond(std::move(head), std::to_string(engine.step));
-    --engine.working;
+    --engine.active_calls;
   }
 
   net::NetworkLoop& loop_;
@@ -169,13 +169,13 @@
   std::unique_ptr<OrderMulticaster> multicaster_;
 };
 
-void WithWorld(const std::function<void(World&)>& body) {
+void WithFixture(const std::function<void(RankFixture&)>& body) {
   net::NetworkLoop loop;
   std::thread thread([&] {
     loop.Run([&] {
-      World world(loop);
-      body(world);
-      world.Stop();
+      RankFixture fixture(loop);
+      body(fixture);
+      fixture.Stop();
     });
   });
   thread.join();
@@ -183,34 +183,34 @@
 
 // A rank that answers late on a busy machine is in the next round.
 TEST_CASE("rounds tell of all ranks and add up what they were asked for") {
-  WithWorld([](World& world) {
+  WithFixture([](RankFixture& fixture) {
     placement::ReadingMark mark;
-    std::set<RankIndex> heard;
-    for (int i = 0; i < kMostTries && heard.size() < kRanks; ++i) {
-      const groups::RoundAnswer answer = world.Read(mark);
+    std::set<RankIndex> polled_ranks;
+    for (int i = 0; i < kMaxTries && polled_ranks.size() < kRanks; ++i) {
+      const groups::RoundAnswer answer = fixture.Read(mark);
       mark = answer.mark;
       CHECK(answer.domain == kDomain);
       for (const groups::RankWord& word : answer.words) {
-        heard.insert(word.rank);
+        polled_ranks.insert(word.rank);
         CHECK(word.asked_after >= Duration::zero());
       }
       // First readings only set the marks.
       CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) ==
             0.0);
     }
-    REQUIRE(heard.size() == kRanks);
+    REQUIRE(polled_ranks.size() == kRanks);
     for (std::size_t i = 0; i < kRanks; ++i) {
-      world.engine(i).step = static_cast<int>(i + 1);
+      fixture.engine(i).step = static_cast<int>(i + 1);
     }
     double work = 0.0;
-    for (int i = 0; i < kMostTries && work < 60.0; ++i) {
-      const groups::RoundAnswer answer = world.Read(mark);
+    for (int i = 0; i < kMaxTries && work < 60.0; ++i) {
+      const groups::RoundAnswer answer = fixture.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
     CHECK(work == doctest::Approx(60.0));
     // Nothing new, and nothing twice.
-    const groups::RoundAnswer answer = world.Read(mark);
+    const groups::RoundAnswer answer = fixture.Read(mark);
     CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) == 0.0);
   });
 }
@@ -219,12 +219,12 @@
 // replaced by ones with other experts under the same name. Cause: the reader
 // went on with sums of the former size, and left out all growth.
 TEST_CASE("a group whose engines have other experts begins anew") {
-  WithWorld([](World& world) {
-    placement::ReadingMark mark = world.Read({}, 7).mark;
+  WithFixture([](RankFixture& fixture) {
+    placement::ReadingMark mark = fixture.Read({}, 7).mark;
     double work = 0.0;
-    for (int i = 0; i < kMostTries && work == 0.0; ++i) {
-      ++world.engine(0).step;
-      const groups::RoundAnswer answer = world.Read(mark);
+    for (int i = 0; i < kMaxTries && work == 0.0; ++i) {
+      ++fixture.engine(0).step;
+      const groups::RoundAnswer answer = fixture.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
@@ -235,11 +235,11 @@
 // Symptom: one frozen VM and the leader hears of none of that domain's ranks.
 // Cause: the answer waited for all of them.
 TEST_CASE("a silent rank holds a round up for its patience alone") {
-  WithWorld([](World& world) {
-    world.engine(1).is_silent = true;
+  WithFixture([](RankFixture& fixture) {
+    fixture.engine(1).is_silent = true;
     // Returns at all, though that rank says nothing as long as it lasts.
-    const groups::RoundAnswer answer = world.Read({});
-    CHECK(world.engine(1).is_silent);
+    const groups::RoundAnswer answer = fixture.Read({});
+    CHECK(fixture.engine(1).is_silent);
     for (const groups::RankWord& word : answer.words) {
       CHECK(word.rank != RankIndex(1));
     }
@@ -249,14 +249,14 @@
 // What is left unanswered on a busy machine is ordered again, as its giver
 // does.
 TEST_CASE("an order reaches every rank whole, and each answer comes back") {
-  WithWorld([](World& world) {
+  WithFixture([](RankFixture& fixture) {
     const std::string map(20'000, 'm');
-    world.engine(2).is_silent = true;
+    fixture.engine(2).is_silent = true;
     std::vector<std::uint32_t> statuses(kRanks);
-    for (int i = 0; i < kMostTries &&
+    for (int i = 0; i < kMaxTries &&
                     (statuses[0] != kAccepted || statuses[1] != kAccepted);
          ++i) {
-      const groups::WideAnswer answer = world.Multicast(map);
+      const groups::WideAnswer answer = fixture.Multicast(map);
       REQUIRE(answer.statuses.size() == kRanks);
       CHECK(answer.statuses[2] == 0);
       statuses[0] = std::max(statuses[0], answer.statuses[0]);
@@ -264,8 +264,8 @@
     }
     CHECK(statuses[0] == kAccepted);
     CHECK(statuses[1] == kAccepted);
-    CHECK(world.engine(0).ordered == map);
-    CHECK(world.engine(1).ordered == map);
+    CHECK(fixture.engine(0).last_order == map);
+    CHECK(fixture.engine(1).last_order == map);
   });
 }
 
--- a/tests/auto/control_node/round_shares_test.cc
+++ b/tests/auto/control_node/round_shares_test.cc
@@ -26,9 +26,9 @@
 
 // A group of `ranks` over five domains; the leader is in the last one, which
 // has no other reader.
-class World {
+class PollingSimulation {
  public:
-  World(std::uint32_t ranks, std::uint64_t seed) : random_(seed) {
+  PollingSimulation(std::uint32_t ranks, std::uint64_t seed) : random_(seed) {
     for (std::uint32_t i = 0; i < ranks; ++i) {
       schedule_.SetRank(RankIndex(i), DomainOf(i));
       read_at_[RankIndex(i)] = now_;
@@ -47,7 +47,7 @@
     }
   }
 
-  Duration LongestUnread() const {
+  Duration MaxReadAge() const {
     Duration longest{};
     for (const auto& [rank, read_at] : read_at_) {
       longest = std::max(longest, now_ - read_at);
@@ -55,8 +55,8 @@
     return longest;
   }
 
-  std::size_t foreign_reads() const { return foreign_reads_; }
-  void ForgetForeignReads() { foreign_reads_ = 0; }
+  std::size_t cross_domain_reads() const { return cross_domain_reads_; }
+  void ResetCrossDomainReads() { cross_domain_reads_ = 0; }
   PollingSchedule& schedule() { return schedule_; }
   TimePoint now() const { return now_; }
 
@@ -101,7 +101,7 @@
       schedule_.OnAnswer(item.round, DomainOf(item.reader), now_);
       for (const RankIndex rank : item.round.ranks) {
         read_at_[rank] = now_;
-        foreign_reads_ +=
+        cross_domain_reads_ +=
             DomainOf(rank.value()) == DomainOf(item.reader) ? 0 : 1;
       }
       return true;
@@ -113,22 +113,22 @@
   TimePoint now_ = TimeAt(Seconds(5));
   std::vector<Pending> pending_;
   std::map<RankIndex, TimePoint> read_at_;
-  std::size_t foreign_reads_ = 0;
+  std::size_t cross_domain_reads_ = 0;
 };
 
 TEST_CASE("all ranks are read by whom is near, whatever the size") {
   for (const std::uint32_t ranks : {16U, 72U, 192U}) {
     CAPTURE(ranks);
-    World world(ranks, 1);
-    world.Run(Seconds(1), {});
-    CHECK(world.LongestUnread() < Milliseconds(300));
-    world.ForgetForeignReads();
-    const TimePoint from = world.now();
-    world.Run(Seconds(2), {});
+    PollingSimulation simulation(ranks, 1);
+    simulation.Run(Seconds(1), {});
+    CHECK(simulation.MaxReadAge() < Milliseconds(300));
+    simulation.ResetCrossDomainReads();
+    const TimePoint from = simulation.now();
+    simulation.Run(Seconds(2), {});
     // Those of the leader's domain, which has no other reader, are read by the
     // others; a fifth of all.
-    const double rounds = ToSeconds(world.now() - from) / 0.06;
-    CHECK(world.foreign_reads() <= rounds * (ranks / 5.0 + 1.0));
+    const double rounds = ToSeconds(simulation.now() - from) / 0.06;
+    CHECK(simulation.cross_domain_reads() <= rounds * (ranks / 5.0 + 1.0));
   }
 }
 
@@ -141,17 +141,17 @@
          {std::set<std::size_t>{0}, {1, 2}, {0, 1, 2, 3}}) {
       CAPTURE(seed);
       CAPTURE(failed.size());
-      World world(192, seed);
-      world.Run(Seconds(1), {});
-      world.Run(Seconds(1), failed);
+      PollingSimulation simulation(192, seed);
+      simulation.Run(Seconds(1), {});
+      simulation.Run(Seconds(1), failed);
       if (failed.size() < 4) {
-        CHECK(world.LongestUnread() < Seconds(1));
+        CHECK(simulation.MaxReadAge() < Seconds(1));
       }
       // Where all fail the leader reads, though slowly.
-      world.Run(Seconds(2), failed);
-      CHECK(world.LongestUnread() < Milliseconds(1300));
-      world.Run(Seconds(2), {});
-      CHECK(world.LongestUnread() < Milliseconds(300));
+      simulation.Run(Seconds(2), failed);
+      CHECK(simulation.MaxReadAge() < Milliseconds(1300));
+      simulation.Run(Seconds(2), {});
+      CHECK(simulation.MaxReadAge() < Milliseconds(300));
     }
   }
 }
@@ -212,11 +212,11 @@
 }
 
 TEST_CASE("a reader that is not known any more is not asked") {
-  World world(16, 3);
-  world.Run(Seconds(1), {});
-  world.schedule().SetReaders({});
+  PollingSimulation simulation(16, 3);
+  simulation.Run(Seconds(1), {});
+  simulation.schedule().SetReaders({});
   for (const PollingRound& round :
-       world.schedule().StartDueRounds(world.now() + Seconds(1))) {
+       simulation.schedule().StartDueRounds(simulation.now() + Seconds(1))) {
     CHECK_FALSE(round.reader.has_value());
     CHECK(round.ranks.size() == 16);
   }
--- a/tests/auto/control_node/target_news_test.cc
+++ b/tests/auto/control_node/target_news_test.cc
@@ -20,14 +20,15 @@
   return TimeAt(Seconds(100)) + Milliseconds(ms);
 }
 
-traffic::TargetAnnouncement Told(std::uint64_t number, std::uint64_t sequence) {
-  traffic::TargetAnnouncement told;
-  told.target = TargetId("i-" + std::to_string(number));
-  told.service = ServiceId("model");
-  told.address = "10.0.0.1:" + std::to_string(1000 + number);
-  told.slots = static_cast<std::uint32_t>(sequence);
-  told.sequence = sequence;
-  return told;
+traffic::TargetAnnouncement MakeAnnouncement(std::uint64_t number,
+                                             std::uint64_t sequence) {
+  traffic::TargetAnnouncement announcement;
+  announcement.target = TargetId("i-" + std::to_string(number));
+  announcement.service = ServiceId("model");
+  announcement.address = "10.0.0.1:" + std::to_string(1000 + number);
+  announcement.slots = static_cast<std::uint32_t>(sequence);
+  announcement.sequence = sequence;
+  return announcement;
 }
 
 // What a gateway knows of targets: their slots.
@@ -49,26 +50,27 @@
 // is served. Cause: an answer was made for each of hundreds of gateways.
 TEST_CASE("askers that know as much are told the same") {
   traffic::TargetBook book(traffic::TargetBookOptions{});
-  TargetUpdates news;
+  TargetUpdates updates;
   for (std::uint64_t i = 0; i < 50; ++i) {
-    book.Announce(Told(i, 1), At(0));
+    book.Announce(MakeAnnouncement(i, 1), At(0));
   }
-  const auto first = news.ChangesSince(book, 0, kFreshness, At(0));
-  book.Announce(Told(60, 1), At(10));
-  const auto second = news.ChangesSince(book, 0, kFreshness, At(20));
+  const auto first = updates.ChangesSince(book, 0, kFreshness, At(0));
+  book.Announce(MakeAnnouncement(60, 1), At(10));
+  const auto second = updates.ChangesSince(book, 0, kFreshness, At(20));
   CHECK(second.revision == first.revision);
   CHECK(second.targets == first.targets);
-  CHECK(news.ChangesSince(book, 0, kFreshness, At(200)).revision >
+  CHECK(updates.ChangesSince(book, 0, kFreshness, At(200)).revision >
         first.revision);
 }
 
 TEST_CASE("an asker is never told only what it knows while there is more") {
   traffic::TargetBook book(traffic::TargetBookOptions{});
-  TargetUpdates news;
-  book.Announce(Told(1, 1), At(0));
-  const auto first = news.ChangesSince(book, 0, kFreshness, At(0));
-  book.Announce(Told(2, 1), At(1));
-  const auto next = news.ChangesSince(book, first.revision, kFreshness, At(1));
+  TargetUpdates updates;
+  book.Announce(MakeAnnouncement(1, 1), At(0));
+  const auto first = updates.ChangesSince(book, 0, kFreshness, At(0));
+  book.Announce(MakeAnnouncement(2, 1), At(1));
+  const auto next =
+      updates.ChangesSince(book, first.revision, kFreshness, At(1));
   CHECK(next.revision > first.revision);
   CHECK(traffic::UnpackTargets(next.targets)->size() == 1);
 }
@@ -78,19 +80,19 @@
     CAPTURE(seed);
     Random random(seed);
     traffic::TargetBook book(traffic::TargetBookOptions{});
-    TargetUpdates news;
+    TargetUpdates updates;
     std::vector<Gateway> gateways(6);
     std::uint64_t sequence = 0;
     for (std::int64_t ms = 0; ms < 2000; ms += 7) {
-      book.Announce(Told(random.Below(20), ++sequence), At(ms));
+      book.Announce(MakeAnnouncement(random.Below(20), ++sequence), At(ms));
       Gateway& gateway = gateways[random.Below(gateways.size())];
       gateway.Read(
-          news.ChangesSince(book, gateway.revision, kFreshness, At(ms)));
+          updates.ChangesSince(book, gateway.revision, kFreshness, At(ms)));
     }
     for (Gateway& gateway : gateways) {
       for (int i = 0; i < 3 && gateway.revision < book.revision(); ++i) {
         gateway.Read(
-            news.ChangesSince(book, gateway.revision, kFreshness, At(3000)));
+            updates.ChangesSince(book, gateway.revision, kFreshness, At(3000)));
       }
       CHECK(gateway.revision == book.revision());
       CHECK(gateway.slots.size() == book.records().size());
--- a/tests/auto/sidecar/engine_relay_test.cc
+++ b/tests/auto/sidecar/engine_relay_test.cc
@@ -24,18 +24,18 @@
 }
 
 // An engine, a relay in front of it, and an asker, in one loop.
-struct World {
+struct RelayFixture {
   net::NetworkLoop& loop;
   net::Endpoint relay;
-  net::HttpRequest seen;   // by the engine
-  std::string relay_said;  // why the engine did not answer
-  bool is_silent = false;  // the engine takes calls and answers none
+  net::HttpRequest seen;    // by the engine
+  std::string relay_error;  // why the engine did not answer
+  bool is_silent = false;   // the engine takes calls and answers none
   int engine_status = 202;
-  int working = 0;  // calls in the engine
+  int active_calls = 0;  // calls in the engine
 
   // The engine.
   void Serve(net::HttpExchange& exchange) {
-    ++working;
+    ++active_calls;
     seen = exchange.request();
     if (is_silent) {
       loop.SleepFor(Milliseconds(300));
@@ -43,10 +43,10 @@
     net::HttpResponseHead head;
     head.status = engine_status;
     exchange.Respond(std::move(head), "said");
-    --working;
+    --active_calls;
   }
 
-  net::HttpResponse Ask(const net::HttpRequest& request) {
+  net::HttpResponse Call(const net::HttpRequest& request) {
     net::HttpClient client(loop, {});
     auto result = client.Send(relay, request, Seconds(5));
     REQUIRE(std::holds_alternative<net::HttpResponse>(result));
@@ -54,29 +54,29 @@
   }
 };
 
-void WithWorld(const std::function<void(World&)>& body) {
+void WithFixture(const std::function<void(RelayFixture&)>& body) {
   net::NetworkLoop loop;
   std::thread thread([&] {
     loop.Run([&] {
-      World world{loop};
+      RelayFixture fixture{loop};
       net::HttpServer engine(
           loop, LoopbackOptions(),
-          [&world](net::HttpExchange& exchange) { world.Serve(exchange); });
+          [&fixture](net::HttpExchange& exchange) { fixture.Serve(exchange); });
       REQUIRE(engine.Start().empty());
       const net::Endpoint at{"127.0.0.1", engine.port()};
       EngineRelay relay(loop);
-      net::HttpServer front(loop, LoopbackOptions(),
-                            [&](net::HttpExchange& exchange) {
-                              world.relay_said = relay.Relay(exchange, at);
-                            });
-      REQUIRE(front.Start().empty());
-      world.relay = {"127.0.0.1", front.port()};
-      body(world);
+      net::HttpServer relay_server(
+          loop, LoopbackOptions(), [&](net::HttpExchange& exchange) {
+            fixture.relay_error = relay.Relay(exchange, at);
+          });
+      REQUIRE(relay_server.Start().empty());
+      fixture.relay = {"127.0.0.1", relay_server.port()};
+      body(fixture);
       // A drain does not wait for calls that their askers gave up.
-      while (world.working > 0) {
+      while (fixture.active_calls > 0) {
         loop.SleepFor(Milliseconds(10));
       }
-      front.Drain();
+      relay_server.Drain();
       engine.Drain();
     });
   });
@@ -95,19 +95,19 @@
 }
 
 TEST_CASE("an engine gets the order and the asker its own answer") {
-  WithWorld([](World& world) {
+  WithFixture([](RelayFixture& fixture) {
     for (const int status : {200, 202, 409}) {
       CAPTURE(status);
-      world.engine_status = status;
-      const net::HttpResponse answer = world.Ask(Order());
+      fixture.engine_status = status;
+      const net::HttpResponse answer = fixture.Call(Order());
       CHECK(answer.head.status == status);
       CHECK(answer.body == "said");
-      CHECK(world.relay_said.empty());
-      CHECK(world.seen.method == "POST");
-      CHECK(world.seen.target == "/order");
-      CHECK(world.seen.body == Order().body);
-      CHECK_FALSE(world.seen.headers.Find(kTimeoutField).has_value());
-      CHECK_FALSE(world.seen.headers.Find(kEngineField).has_value());
+      CHECK(fixture.relay_error.empty());
+      CHECK(fixture.seen.method == "POST");
+      CHECK(fixture.seen.target == "/order");
+      CHECK(fixture.seen.body == Order().body);
+      CHECK_FALSE(fixture.seen.headers.Find(kTimeoutField).has_value());
+      CHECK_FALSE(fixture.seen.headers.Find(kEngineField).has_value());
     }
   });
 }
@@ -116,14 +116,14 @@
 // lost. Cause: the asker's own time ran out before the relay said that it is
 // well and its engine silent.
 TEST_CASE("a silent engine is told of within the asker's patience") {
-  WithWorld([](World& world) {
-    world.is_silent = true;
-    const net::HttpResponse answer = world.Ask(Order());
+  WithFixture([](RelayFixture& fixture) {
+    fixture.is_silent = true;
+    const net::HttpResponse answer = fixture.Call(Order());
     CHECK(answer.head.status == net::status::kBadGateway);
-    CHECK_FALSE(world.relay_said.empty());
+    CHECK_FALSE(fixture.relay_error.empty());
     // The next call does not go over the connection that is still awaited.
-    world.is_silent = false;
-    CHECK(world.Ask(Order()).head.status == 202);
+    fixture.is_silent = false;
+    CHECK(fixture.Call(Order()).head.status == 202);
   });
 }
 
