--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -21,8 +21,8 @@
 #include "libs/telemetry/log.h"
 #include "libs/traffic/target_book.h"
 #include "libs/traffic/wire_dialect.h"
-#include "plugins/control_node/limit_keeper.h"
-#include "plugins/control_node/quarantine_keeper.h"
+#include "plugins/control_node/limit_manager.h"
+#include "plugins/control_node/quarantine_manager.h"
 #include "plugins/control_node/replica_host.h"
 #include "plugins/control_node/replicated_state.h"
 
--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -8,7 +8,7 @@
 #include "libs/net/steady_time.h"
 #include "libs/telemetry/metrics.h"
 #include "plugins/control_node/control_node.h"
-#include "plugins/control_node/group_keeper.h"
+#include "plugins/control_node/group_manager.h"
 #include "plugins/control_node/quarantine_service.h"
 #include "plugins/control_node/watch_service.h"
 
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_manager.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/group_keeper.h"
+#include "plugins/control_node/group_manager.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/plugins/control_node/group_keeper.h
+++ b/src/plugins/control_node/group_manager.h
@@ -4,8 +4,8 @@
 // announcements, reads what a few of them pick, and brings better maps about
 // by groups::StepSwitch.
 
-#ifndef PLUGINS_CONTROL_NODE_GROUP_KEEPER_H_
-#define PLUGINS_CONTROL_NODE_GROUP_KEEPER_H_
+#ifndef PLUGINS_CONTROL_NODE_GROUP_MANAGER_H_
+#define PLUGINS_CONTROL_NODE_GROUP_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -19,7 +19,7 @@
 #include "libs/traffic/traffic_configuration.h"
 #include "plugins/control_node/control_node.h"
 #include "plugins/control_node/group_task.h"
-#include "plugins/control_node/tenure.h"
+#include "plugins/control_node/leadership_term.h"
 #include "plugins/sidecar/engine_protocol.h"
 #include "plugins/sidecar/engine_relay.h"
 
@@ -95,4 +95,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_GROUP_KEEPER_H_
+#endif  // PLUGINS_CONTROL_NODE_GROUP_MANAGER_H_
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -22,9 +22,9 @@
 #include "libs/traffic/traffic_configuration.h"
 #include "plugins/control_node/engine_calls.h"
 #include "plugins/control_node/order_helpers.h"
-#include "plugins/control_node/order_spreader.h"
-#include "plugins/control_node/rank_rounds.h"
-#include "plugins/control_node/round_shares.h"
+#include "plugins/control_node/order_multicaster.h"
+#include "plugins/control_node/polling_schedule.h"
+#include "plugins/control_node/rank_poller.h"
 #include "plugins/sidecar/engine_protocol.h"
 
 namespace bilberryspool::control_node {
--- a/src/plugins/control_node/tenure.h
+++ b/src/plugins/control_node/leadership_term.h
@@ -8,8 +8,8 @@
 //
 // Pure: events in, a verdict out.
 
-#ifndef PLUGINS_CONTROL_NODE_TENURE_H_
-#define PLUGINS_CONTROL_NODE_TENURE_H_
+#ifndef PLUGINS_CONTROL_NODE_LEADERSHIP_TERM_H_
+#define PLUGINS_CONTROL_NODE_LEADERSHIP_TERM_H_
 
 #include <optional>
 
@@ -40,4 +40,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_TENURE_H_
+#endif  // PLUGINS_CONTROL_NODE_LEADERSHIP_TERM_H_
--- a/src/plugins/control_node/limit_keeper.cc
+++ b/src/plugins/control_node/limit_manager.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/limit_keeper.h"
+#include "plugins/control_node/limit_manager.h"
 
 #include <utility>
 
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_manager.h
@@ -1,7 +1,7 @@
 // A control node's part in keeping to the limits that targets declare.
 
-#ifndef PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
-#define PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
+#ifndef PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
+#define PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
 
 #include <boost/json/value.hpp>
 #include <cstdint>
@@ -55,4 +55,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
+#endif  // PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
--- a/src/plugins/control_node/order_spreader.cc
+++ b/src/plugins/control_node/order_multicaster.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/order_spreader.h"
+#include "plugins/control_node/order_multicaster.h"
 
 #include <cstddef>
 #include <memory>
--- a/src/plugins/control_node/order_spreader.h
+++ b/src/plugins/control_node/order_multicaster.h
@@ -5,8 +5,8 @@
 // the control nodes near the ranks it leaves the leader a few times, and
 // packed.
 
-#ifndef PLUGINS_CONTROL_NODE_ORDER_SPREADER_H_
-#define PLUGINS_CONTROL_NODE_ORDER_SPREADER_H_
+#ifndef PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
+#define PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
 
 #include "libs/groups/rank_round.h"
 #include "libs/net/http_server.h"
@@ -40,4 +40,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_ORDER_SPREADER_H_
+#endif  // PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
--- a/src/plugins/control_node/round_shares.h
+++ b/src/plugins/control_node/polling_schedule.h
@@ -13,8 +13,8 @@
 //
 // Pure: events and `now` in, rounds out.
 
-#ifndef PLUGINS_CONTROL_NODE_ROUND_SHARES_H_
-#define PLUGINS_CONTROL_NODE_ROUND_SHARES_H_
+#ifndef PLUGINS_CONTROL_NODE_POLLING_SCHEDULE_H_
+#define PLUGINS_CONTROL_NODE_POLLING_SCHEDULE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -85,4 +85,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_ROUND_SHARES_H_
+#endif  // PLUGINS_CONTROL_NODE_POLLING_SCHEDULE_H_
--- a/src/plugins/control_node/quarantine_keeper.cc
+++ b/src/plugins/control_node/quarantine_manager.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/quarantine_keeper.h"
+#include "plugins/control_node/quarantine_manager.h"
 
 #include <set>
 #include <utility>
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_manager.h
@@ -1,7 +1,7 @@
 // A control node's part in keeping requests that end targets from the targets.
 
-#ifndef PLUGINS_CONTROL_NODE_QUARANTINE_KEEPER_H_
-#define PLUGINS_CONTROL_NODE_QUARANTINE_KEEPER_H_
+#ifndef PLUGINS_CONTROL_NODE_QUARANTINE_MANAGER_H_
+#define PLUGINS_CONTROL_NODE_QUARANTINE_MANAGER_H_
 
 #include <boost/json/value.hpp>
 #include <cstdint>
@@ -86,4 +86,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_QUARANTINE_KEEPER_H_
+#endif  // PLUGINS_CONTROL_NODE_QUARANTINE_MANAGER_H_
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/rank_rounds.h"
+#include "plugins/control_node/rank_poller.h"
 
 #include <cstddef>
 #include <optional>
--- a/src/plugins/control_node/rank_rounds.h
+++ b/src/plugins/control_node/rank_poller.h
@@ -1,8 +1,8 @@
 // Reads ranks of a group through their sidecars, all at once, and adds up what
 // they were asked for.
 
-#ifndef PLUGINS_CONTROL_NODE_RANK_ROUNDS_H_
-#define PLUGINS_CONTROL_NODE_RANK_ROUNDS_H_
+#ifndef PLUGINS_CONTROL_NODE_RANK_POLLER_H_
+#define PLUGINS_CONTROL_NODE_RANK_POLLER_H_
 
 #include <cstdint>
 #include <map>
@@ -69,4 +69,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_RANK_ROUNDS_H_
+#endif  // PLUGINS_CONTROL_NODE_RANK_POLLER_H_
--- a/src/plugins/control_node/target_news.cc
+++ b/src/plugins/control_node/target_updates.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/target_news.h"
+#include "plugins/control_node/target_updates.h"
 
 #include "libs/traffic/target_codec.h"
 
--- a/src/plugins/control_node/target_news.h
+++ b/src/plugins/control_node/target_updates.h
@@ -9,8 +9,8 @@
 //
 // Pure: the book and `now` in, a text out.
 
-#ifndef PLUGINS_CONTROL_NODE_TARGET_NEWS_H_
-#define PLUGINS_CONTROL_NODE_TARGET_NEWS_H_
+#ifndef PLUGINS_CONTROL_NODE_TARGET_UPDATES_H_
+#define PLUGINS_CONTROL_NODE_TARGET_UPDATES_H_
 
 #include <cstdint>
 #include <map>
@@ -45,4 +45,4 @@
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_TARGET_NEWS_H_
+#endif  // PLUGINS_CONTROL_NODE_TARGET_UPDATES_H_
--- a/src/plugins/control_node/watch_service.h
+++ b/src/plugins/control_node/watch_service.h
@@ -12,7 +12,7 @@
 #include "libs/net/network_loop.h"
 #include "libs/traffic/watch_codec.h"
 #include "plugins/control_node/control_node.h"
-#include "plugins/control_node/target_news.h"
+#include "plugins/control_node/target_updates.h"
 
 namespace bilberryspool::control_node {
 
--- a/tests/auto/control_node/tenure_test.cc
+++ b/tests/auto/control_node/leadership_term_test.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/tenure.h"
+#include "plugins/control_node/leadership_term.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/control_node/round_shares_test.cc
+++ b/tests/auto/control_node/polling_schedule_test.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/round_shares.h"
+#include "plugins/control_node/polling_schedule.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_poller_test.cc
@@ -1,6 +1,6 @@
 // Ranks read, and ordered, through their sidecars, over real connections.
 
-#include "plugins/control_node/rank_rounds.h"
+#include "plugins/control_node/rank_poller.h"
 
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
 #include "libs/links/link_client.h"
 #include "libs/links/link_server.h"
 #include "libs/net/http_status.h"
-#include "plugins/control_node/order_spreader.h"
+#include "plugins/control_node/order_multicaster.h"
 #include "plugins/sidecar/engine_reader.h"
 #include "plugins/sidecar/engine_relay.h"
 
--- a/tests/auto/control_node/target_news_test.cc
+++ b/tests/auto/control_node/target_updates_test.cc
@@ -1,6 +1,6 @@
 // News of targets for many gateways.
 
-#include "plugins/control_node/target_news.h"
+#include "plugins/control_node/target_updates.h"
 
 #include <doctest/doctest.h>
 
