--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -201,16 +201,16 @@
     // The readers tell of all sooner than the leader could ask them.
     schedule_.Expedite(now);
     StartRounds(now);
-    OnPhaseChecked();
+    UpdatePhase();
     return;
   }
   for (const RankIndex rank : asked) {
     RequestReport(rank, addresses_.at(rank));
   }
-  OnPhaseChecked();
+  UpdatePhase();
 }
 
-void GroupTask::OnPhaseChecked() {
+void GroupTask::UpdatePhase() {
   if (switch_.phase() == last_phase_) {
     return;
   }
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -116,7 +116,7 @@
                   const std::vector<std::vector<ExpertIndex>>& experts) const;
   void FinishMapReading(const MapReading& reading);
   // group_task.cc
-  void OnPhaseChecked();
+  void UpdatePhase();
   void DetectLateTick(TimePoint now);
   void LogState(TimePoint now);
   Duration OldestSumAge(TimePoint now) const;
