--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -161,9 +161,9 @@
 
 SubmitOutcome ControlNode::Submit(const std::string& text) {
   const auto read = read_configuration_(text);
-  if (const auto* why = std::get_if<std::string>(&read)) {
-    log_.Warn("Refused a configuration.", {{"reason", *why}});
-    return ConfigurationInvalid{*why};
+  if (const auto* reason = std::get_if<std::string>(&read)) {
+    log_.Warn("Refused a configuration.", {{"reason", *reason}});
+    return ConfigurationInvalid{*reason};
   }
   const auto& proposed = std::get<traffic::TrafficConfiguration>(read);
   if (const auto fault = traffic::FindFault(proposed)) {
@@ -196,7 +196,7 @@
   const auto* unclear = std::get_if<ConfigurationOutcomeUnknown>(&outcome);
   log_.Info("Handled a configuration.",
             {{"version", proposed.version},
-             {"outcome", unclear == nullptr ? "accepted" : unclear->why},
+             {"outcome", unclear == nullptr ? "accepted" : unclear->reason},
              {"in_force", configuration().version()}});
   return outcome;
 }
