--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -18,17 +18,18 @@
 
 namespace {
 
-// Operators ask another node after a second without an answer.
+// Operators switch to another node after one second without a response.
 constexpr Duration kSubmitTimeout = Milliseconds(2500);
 constexpr Duration kReadTimeout = Milliseconds(800);
 constexpr Duration kNotifyPeerTimeout = Milliseconds(500);
-// Where no leader is known yet, a call waits so long for one.
+// Maximum time that a call waits for a leader to become known.
 constexpr Duration kLeaderWaitTimeout = Milliseconds(700);
 constexpr Duration kLeaderPollInterval = Milliseconds(50);
-// Control nodes ask each other once a second.
+// Control nodes poll each other once a second.
 constexpr Duration kNodeRetention = Seconds(6);
 constexpr Duration kTickInterval = Milliseconds(250);
-// Announcements that may be missed in a row before a target counts as silent.
+// Number of consecutive announcements that may be missed before a target counts
+// as silent.
 constexpr int kMissedAnnouncements = 3;
 
 traffic::TargetBookOptions MakeBookOptions(
@@ -50,7 +51,7 @@
   return "unknown";
 }
 
-// "NAME/RANK epoch N open"; empty without a group.
+// Returns "NAME/RANK epoch N open" or "... broken"; empty without a group.
 std::string GroupText(const std::optional<traffic::GroupMembership>& group) {
   if (!group.has_value()) {
     return "";
@@ -93,7 +94,7 @@
   };
   hooks.restore = [this](const std::string& state) {
     if (!state_.Import(state)) {
-      log_.Error("A snapshot can't be read.", {{"bytes", state.size()}});
+      log_.Error("Failed to read a snapshot.", {{"bytes", state.size()}});
     }
     quarantine_.OnLogRecords(state_.refusals(), SteadyNow());
     changed_.NotifyAll();
@@ -207,7 +208,7 @@
   if (driver == nullptr) {
     return ConfigurationOutcomeUnknown{"the data folder is being opened"};
   }
-  // Applied here means committed, which no later leader takes back.
+  // An applied version is committed, so no later leader can revert it.
   if (version <= configuration().version()) {
     return ConfigurationAccepted{version};
   }
@@ -272,8 +273,8 @@
   if (const auto leader = replica_.FindLeader()) {
     return {*leader};
   }
-  // A node that is no member hears of no leader; each member answers for
-  // itself whether it leads.
+  // A node that is not a member of the log does not learn who leads. It asks
+  // all members; each one reports whether it leads.
   return replica_.is_member() ? std::vector<net::Endpoint>()
                               : replica_.FindMembers();
 }
@@ -335,9 +336,10 @@
     return;
   }
   unreadable_logged_at_ = now;
-  // The name is whatever the sender put into the path.
+  // The target name comes unchecked from the request path, so its length is
+  // bounded.
   constexpr std::size_t kMaxLoggedBytes = 64;
-  log_.Warn("An announcement can't be read and names no target to use.",
+  log_.Warn("Failed to parse a target announcement.",
             {{"target", target.value().substr(0, kMaxLoggedBytes)},
              {"so_far", unreadable_announcements_}});
 }
@@ -353,8 +355,8 @@
 }
 
 void ControlNode::SetSlowTargets(std::map<std::string, double> by_address) {
-  // Each change is told to all gateways at once; hundreds of them take a small
-  // node a fifth of a second.
+  // Each change is sent to all gateways at once; with hundreds of gateways that
+  // takes a small node a fifth of a second.
   constexpr Duration kMinUpdateInterval = Milliseconds(500);
   const TimePoint now = SteadyNow();
   if (by_address == slow_targets_ ||
@@ -403,9 +405,10 @@
   node_last_seen_at_[node] = SteadyNow();
 }
 
-// A target that was told that its leaving is known must get no new work, also
-// where this node dies the moment after. So the others are told beside the
-// gateways; they need not answer, since a cut would hold up the target.
+// Once a target's withdrawal has been acknowledged, it must get no new work,
+// even if this node fails immediately afterwards. The peers are therefore
+// notified at the same time as the gateways. Their responses are not awaited,
+// since a network partition would delay the target.
 void ControlNode::NotifyPeersOfTarget(const traffic::TargetRecord& record) {
   NotifyPeers("control.target", traffic::ToJson(record));
 }
--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -1,5 +1,5 @@
-// What a control node does for operators and targets, whatever protocol they
-// speak.
+// The operations of a control node for operators and targets, independent of
+// the protocol that they use.
 
 #ifndef PLUGINS_CONTROL_NODE_CONTROL_NODE_H_
 #define PLUGINS_CONTROL_NODE_CONTROL_NODE_H_
@@ -28,15 +28,15 @@
 
 namespace bilberryspool::control_node {
 
-// It is accepted: in force, or overtaken by a higher number.
+// The configuration was accepted: it is in force, or a higher version is.
 struct ConfigurationAccepted {
   std::uint64_t version = 0;
 };
 struct ConfigurationInvalid {
   std::string reason;
 };
-// Not known to be accepted: no leader, or no answer in time. The same may be
-// sent again.
+// It is not known whether the configuration was accepted: there was no leader,
+// or no response in time. The same configuration may be submitted again.
 struct ConfigurationOutcomeUnknown {
   std::string reason;
 };
@@ -54,36 +54,38 @@
               traffic::ConfigurationReader read_configuration);
 
   void Register(links::LinkServer& server);
-  // Empty, or why it can't start.
+  // Returns an empty string, or the reason why the node can't start.
   std::string Start();
   void Stop();
 
   SubmitOutcome Submit(const std::string& text);
-  // The newest accepted configuration, where this node can be sure which one
-  // that is.
+  // Returns the newest accepted configuration, or nothing if this node can't
+  // determine it.
   std::optional<std::string> Read();
 
-  // Both return once the gateways are being told.
+  // Both return as soon as the notification of the gateways has started.
   void Announce(const traffic::TargetAnnouncement& announcement);
   void Withdraw(const TargetId& target, Incarnation incarnation);
-  // An announcement could not be read; logged once a second at most.
+  // Counts an announcement that could not be parsed; logged at most once a
+  // second.
   void OnUnreadableAnnouncement(const TargetId& target);
 
-  // The targets that this node, as the leader, has found slow, by address,
-  // with how many times as long as healthy ones they take. To be called again
-  // and again: of changes that follow each other closely only some are told.
+  // Sets the slow targets that this node has detected as the leader: by
+  // address, the factor by which they are slower than healthy ones. Meant to be
+  // called periodically: changes in quick succession are not all published.
   void SetSlowTargets(std::map<std::string, double> by_address);
   const std::map<std::string, double>& slow_targets() const {
     return slow_targets_;
   }
   std::uint64_t slow_revision() const { return slow_revision_; }
 
-  // All control nodes that are known: the log's members, and those that have
-  // been heard lately. A node that is no member, because there are enough or
-  // because it was replaced while it was cut off, still serves targets, so
-  // gateways and the other nodes must go on asking it.
+  // Returns all known control nodes: the members of the log, and those that
+  // were in contact recently. A node that is not a member (because there are
+  // enough members, or because it was replaced during a network partition)
+  // still serves targets, so gateways and the other nodes must keep polling it.
   std::vector<net::Endpoint> FindNodes() const;
-  // A control node has asked this one, or answered it.
+  // Records that a control node has sent a request to this one, or responded to
+  // it.
   void OnNodeResponded(const net::Endpoint& node);
 
   const config::NumberedConfiguration& configuration() const {
@@ -92,15 +94,15 @@
   const traffic::TargetBook& targets() const { return targets_; }
   QuarantineManager& quarantine() { return quarantine_; }
   LimitManager& limits() { return limits_; }
-  // Lets a request pass here, and tells the other control nodes. False where
-  // nothing is held against it here.
+  // Releases a request from quarantine here and on the other control nodes.
+  // Returns false if it is not in quarantine at this node.
   bool ReleaseRequest(const quarantine::RequestFingerprint& request);
   ReplicaHost& replica() { return replica_; }
   const ReplicaHost& replica() const { return replica_; }
-  // Wakes when the configuration or a target changes.
+  // Notified when the configuration or a target changes.
   net::FiberSignal& changed() { return changed_; }
-  // Drawn at the start of this process: tells a restarted node's revisions
-  // from those before.
+  // Random number of this process. It distinguishes the revisions of a
+  // restarted node from those before the restart.
   std::uint64_t boot() const { return boot_; }
 
  private:
@@ -114,17 +116,18 @@
                              const packing::PackedText& text);
   std::optional<packing::PackedText> ReadPacked();
   std::optional<packing::PackedText> ReadLocally();
-  // The leader, where one is known, or the nodes that may be it.
+  // Returns the leader if it is known, otherwise the nodes that may be the
+  // leader.
   std::vector<net::Endpoint> FindLeaderCandidates() const;
   std::optional<Json> OnSubmit(const Json& params);
   std::optional<Json> OnRead();
   std::optional<Json> OnTarget(const Json& params);
-  // Tells the other control nodes that a target leaves.
+  // Notifies the other control nodes that a target is leaving.
   void NotifyPeersOfTarget(const traffic::TargetRecord& record);
   void NotifyPeers(const std::string& method, const Json& params);
   void LogSlowTargets(const std::map<std::string, double>& by_address);
   void Tick();
-  // Proposes the requests that are refused where the log does not have them.
+  // Proposes the refused requests to the log if the log does not have them yet.
   void SaveRefusals(TimePoint now);
 
   net::NetworkLoop& loop_;
@@ -138,7 +141,7 @@
   TimePoint slow_targets_published_at_;
   bool is_saving_ = false;
   std::map<net::Endpoint, TimePoint> node_last_seen_at_;
-  // Announcements that could not be read.
+  // Number of announcements that could not be parsed.
   std::uint64_t unreadable_announcements_ = 0;
   TimePoint unreadable_logged_at_;
   net::FiberSignal changed_;
--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Room for a configuration in a message of the replicated log, whose quoting
-// may double it.
+// Leaves room for a configuration in a message of the replicated log, where
+// JSON escaping may double its size.
 constexpr std::size_t kMaxPeerBodyBytes = 16UL * 1024 * 1024;
-// Questions for metrics have no body.
+// Requests for metrics have no body.
 constexpr std::size_t kMaxMetricsRequestBytes = 4UL * 1024;
 constexpr std::size_t kMaxOperatorBodyBytes = 8UL * 1024 * 1024;
 
@@ -76,7 +76,7 @@
       }
       loop_.OnStopSignal([this] { loop_.Stop(); });
       loop_.OnReloadSignal([this] {
-        log_.Info("Settings may have changed; they count at the next start.");
+        log_.Info("Changed settings take effect at the next start.");
       });
       loop_.WaitForStop();
       log_.Info("Stopping.");
@@ -119,7 +119,7 @@
     return error;
   }
 
-  // Figures for whoever watches, and what operators can do about quarantines.
+  // Serves metrics and the operators' quarantine requests.
   void Serve(net::HttpExchange& exchange) {
     if (!quarantine_service_.Serve(exchange)) {
       ServeMetrics(exchange);
--- a/src/plugins/control_node/control_node_process.h
+++ b/src/plugins/control_node/control_node_process.h
@@ -1,5 +1,5 @@
-// A control node: a replica of the control state that serves operators,
-// targets and gateways, and no callers.
+// A control node: a replica of the control state that serves operators, targets
+// and gateways, but no callers.
 
 #ifndef PLUGINS_CONTROL_NODE_CONTROL_NODE_PROCESS_H_
 #define PLUGINS_CONTROL_NODE_CONTROL_NODE_PROCESS_H_
@@ -15,14 +15,15 @@
 
 class ControlNode;
 
-// What operators and targets speak; decided where the program is put together.
+// The protocols of operators, targets and engines; chosen by the application.
 struct ControlInterface {
   traffic::ConfigurationReader read_configuration;
   std::function<net::HttpHandler(ControlNode&)> make_handler;
   sidecar::EngineProtocol engines;
 };
 
-// Runs until a stop signal. Returns the exit status: 1 where it can't start.
+// Runs until a stop signal. Returns the exit status, which is 1 if the node
+// can't start.
 int RunControlNode(const settings::CommonSettings& common,
                    const settings::ControlSettings& settings,
                    const ControlInterface& interface);
--- a/src/plugins/control_node/engine_calls.cc
+++ b/src/plugins/control_node/engine_calls.cc
@@ -12,11 +12,12 @@
 
 namespace {
 
-// A sidecar that did not answer is not asked again for this long. Short, since
-// groups that form anew after a cut are else asked from afar, with a lag.
+// How long a sidecar that did not respond is not called. Short, because groups
+// that form again after a network partition would otherwise be polled remotely,
+// with a lag.
 constexpr Duration kSidecarCooldown = Milliseconds(700);
-// An engine's reports describe it as it was up to this long before, unless a
-// sidecar asks.
+// Maximum age of the state in an engine's report, unless it was read by a
+// sidecar.
 constexpr Duration kReportLag = Milliseconds(300);
 
 net::HttpRequest MakeRelayRequest(net::HttpRequest request,
@@ -72,7 +73,8 @@
                             timeouts.engine + timeouts.transit);
   if (auto* response = std::get_if<net::HttpResponse>(&result)) {
     sidecar_failed_at_.erase(engine.address);
-    // The sidecar is well; its engine did not answer it, nor would it us.
+    // The sidecar works, but its engine did not respond to it and would not
+    // respond to this node either.
     const bool has_answered = response->head.status < net::status::kServerError;
     return has_answered
                ? Answer{response->head.status, std::move(response->body), asked}
@@ -81,14 +83,15 @@
   links_.DropIdle(sidecar);
   const auto& error = std::get<net::HttpError>(result);
   const bool was_refused = error.kind == net::HttpErrorKind::kConnect;
-  // Calls that were under way together fail together where this node stood
-  // still for a moment, so the second failure has to have been asked later.
+  // Calls that were in flight together fail together if this node was stalled
+  // for a moment, so the second failure only counts if its call was sent after
+  // the first failure.
   const auto [failed, is_first] =
       sidecar_failed_at_.try_emplace(engine.address, SteadyNow());
   if (was_refused || (!is_first && asked >= failed->second)) {
     sidecar_failed_at_.erase(failed);
     sidecar_cooldown_until_[engine.address] = SteadyNow() + kSidecarCooldown;
-    log_.Info("Sidecar lost; asking the engine directly for a while.",
+    log_.Info("Sidecar lost; calling the engine directly for a while.",
               {{"engine", engine.ToString()}, {"why", error.text}});
   }
   return was_refused ? std::nullopt : std::optional<Answer>(Answer{});
--- a/src/plugins/control_node/engine_calls.h
+++ b/src/plugins/control_node/engine_calls.h
@@ -1,6 +1,6 @@
-// Calls to engines: by the sidecar beside each, and directly where that is not
-// there. Reads from afar are worth avoiding: they describe the engine as it
-// was, and a group pauses for some of them.
+// Calls to engines: through the sidecar beside each engine, or directly if the
+// sidecar is not available. Remote reads are worth avoiding: they return an
+// older state of the engine, and some of them pause its group.
 
 #ifndef PLUGINS_CONTROL_NODE_ENGINE_CALLS_H_
 #define PLUGINS_CONTROL_NODE_ENGINE_CALLS_H_
@@ -16,12 +16,12 @@
 
 namespace bilberryspool::control_node {
 
-// Runs in the control loop. What is known of a sidecar holds for all groups.
+// Runs in the control loop. The state of a sidecar is shared by all groups.
 class EngineCalls {
  public:
-  // An answer of an engine, and how fresh it is.
+  // An engine's answer, and the time of the state that it describes.
   struct Answer {
-    int status = 0;  // 0: none came
+    int status = 0;  // 0: no answer
     std::string body;
     TimePoint as_of;
   };
@@ -31,37 +31,39 @@
               links::LinkClient& links,
               std::uint16_t sidecar_port);
 
-  // Whether its sidecar has not failed lately.
+  // Whether the engine's sidecar is not in cooldown after a failure.
   bool IsSidecarUsable(const net::Endpoint& engine, TimePoint now) const;
-  // How long an answer may take.
+  // Limits of the time that a call may take.
   struct CallTimeouts {
-    Duration engine;  // from a caller beside it
-    // To its sidecar and back, with what waits here to be sent before.
+    Duration engine;  // for the engine itself
+    // Network time to the sidecar and back, including queueing in this process.
     Duration transit = Milliseconds(40);
   };
 
-  // Blocks the calling fiber.
+  // Calls the engine through its sidecar or else directly. Blocks the calling
+  // fiber.
   Answer CallEngine(const net::Endpoint& engine,
                     const net::HttpRequest& request,
                     const CallTimeouts& timeouts);
-  // The same without asking the engine from afar where its sidecar is not
-  // there.
+  // Like CallEngine(), but does not call the engine directly if its sidecar is
+  // not available.
   Answer CallSidecar(const net::Endpoint& engine,
                      const net::HttpRequest& request,
                      const CallTimeouts& timeouts);
-  // The same by way of `helper`, another control node; the status is the
-  // helper's, see ClassifyRelayStatus().
+  // Like CallEngine(), but relayed by `helper`, another control node. The
+  // status is the helper's, see ClassifyRelayStatus().
   Answer CallThroughNode(const net::Endpoint& helper,
                          const net::Endpoint& engine,
                          const net::HttpRequest& request,
                          const CallTimeouts& timeouts);
-  // What another control node itself answers.
+  // Sends a request that another control node answers itself.
   Answer CallNode(const net::Endpoint& node,
                   net::HttpRequest request,
                   Duration timeouts);
 
  private:
-  // Nothing where the sidecar refused the connection: nothing was sent.
+  // Returns nothing if the sidecar refused the connection, so that nothing was
+  // sent.
   std::optional<Answer> TrySidecar(const net::Endpoint& engine,
                                    const net::HttpRequest& request,
                                    const CallTimeouts& timeouts);
@@ -73,10 +75,10 @@
   links::LinkClient& links_;
   std::uint16_t sidecar_port_;
   telemetry::Logger log_;
-  // When a sidecar that failed is tried again, by its VM.
+  // When the cooldown of a failed sidecar ends, by the address of its VM.
   std::map<std::string, TimePoint> sidecar_cooldown_until_;
-  // When a call that a sidecar did not answer was given up, by its VM; until
-  // the next answer.
+  // When the first call that a sidecar left unanswered was given up, by the
+  // address of its VM; erased by the next answer.
   std::map<std::string, TimePoint> sidecar_failed_at_;
 };
 
--- a/src/plugins/control_node/group_manager.cc
+++ b/src/plugins/control_node/group_manager.cc
@@ -19,8 +19,9 @@
 
 constexpr Duration kTickInterval = Milliseconds(25);
 constexpr Duration kCollectInterval = Seconds(1);
-// While ranks of a group are not known: after a takeover or a restart of all
-// control nodes it keeps a map that may not fit until the last is found.
+// Interval while ranks of a group are unknown: after a change of leader or a
+// restart of all control nodes, a group keeps a map that may not fit its load
+// until the last rank is found.
 constexpr Duration kIncompleteCollectInterval = Milliseconds(250);
 constexpr Duration kPeerPollTimeout = Milliseconds(500);
 constexpr std::uint64_t kVersionsPerTerm = 1ULL << 20U;
@@ -156,7 +157,7 @@
 }
 
 std::vector<net::Endpoint> GroupManager::Helpers() const {
-  // Each is asked once a second and may take half a second to answer.
+  // Each node is polled once a second and may take half a second to respond.
   constexpr Duration kMaxResponseAge = Milliseconds(1600);
   const TimePoint now = SteadyNow();
   std::vector<net::Endpoint> helpers;
@@ -201,7 +202,7 @@
                            ? traffic::UnpackTargets(answer->targets)
                            : std::nullopt;
   if (!targets.has_value()) {
-    log_.Warn("Can't read a control node's answer.",
+    log_.Warn("Failed to parse a control node's answer.",
               {{"node", peer.ToString()}});
     return;
   }
@@ -246,8 +247,9 @@
              : &*found->second.engine;
 }
 
-// Several targets may have told of one place: one that ended without a word,
-// and its successor. The one of the newest epoch, heard last, counts.
+// Several targets may have announced the same rank: one that terminated without
+// withdrawing, and its successor. The one with the newest epoch counts, and
+// among equals the one with the latest announcement.
 void GroupManager::CollectRanks() {
   const std::initializer_list<const traffic::TargetBook*> books = {
       &peer_targets_, &node_.targets()};
@@ -286,7 +288,8 @@
   if (task == nullptr || task->ranks() != place.size) {
     MapVersion first(term_.value() * kVersionsPerTerm + 1);
     if (task != nullptr) {
-      // Orders of the old task may still be carried out, late.
+      // Orders of the old task may still be executed late, so its versions must
+      // not be used again.
       first = std::max(first, task->unused_version());
       retired_tasks_.push_back(std::move(task));
     }
@@ -294,9 +297,9 @@
                                        place.group, *engine, place.size, first);
     task->SetHelpers(Helpers());
     task->SetMayAct([this] { return node_.replica().is_leader(); });
-    log_.Info("Looking after a group.", {{"group", place.group.value()},
-                                         {"ranks", place.size},
-                                         {"term", term_.value()}});
+    log_.Info("Started managing a group.", {{"group", place.group.value()},
+                                            {"ranks", place.size},
+                                            {"term", term_.value()}});
   }
   task->SetAddress(RankIndex(place.rank), *endpoint, announcement.domain);
 }
--- a/src/plugins/control_node/group_manager.h
+++ b/src/plugins/control_node/group_manager.h
@@ -1,8 +1,8 @@
-// Keeps the expert maps of self-stepping groups near what is in demand.
+// Keeps the expert maps of self-stepping groups close to the current demand.
 //
-// Only the leading control node acts. It learns of the ranks from the targets'
-// announcements, reads what a few of them pick, and brings better maps about
-// by groups::StepSwitch.
+// Only the leading control node acts. It learns the ranks from the targets'
+// announcements, reads which experts their requests pick, and switches the
+// groups to better maps with groups::StepSwitch.
 
 #ifndef PLUGINS_CONTROL_NODE_GROUP_MANAGER_H_
 #define PLUGINS_CONTROL_NODE_GROUP_MANAGER_H_
@@ -36,14 +36,14 @@
                traffic::ConfigurationReader read_configuration);
 
   void Start();
-  // What the control node that leads asks of this one: to read ranks, or to
-  // pass an order on to engines.
+  // Serves requests of the leading control node: to poll ranks, to multicast an
+  // order, or to relay an order to an engine.
   void Serve(net::HttpExchange& exchange);
-  // Of the groups that this node looks after; none where it does not lead.
+  // Statistics of the groups that this node manages; empty unless it leads.
   std::map<GroupId, GroupStats> stats(TimePoint now) const;
 
  private:
-  // What this node has read of another's targets.
+  // What this node has read of another node's targets.
   struct PeerState {
     std::uint64_t boot = 0;
     std::uint64_t revision = 0;
@@ -51,21 +51,21 @@
     std::uint64_t quarantine_revision = 0;
   };
 
-  // 404 for an engine that this node does not know.
+  // Responds with 404 for an engine that this node does not know.
   void Relay(net::HttpExchange& exchange);
   void Run();
   bool HasIncompleteGroup() const;
-  // Ended tasks whose last call has returned.
+  // Erases retired tasks whose last call has returned.
   void EraseFinishedTasks();
   void CollectRanks();
   void UpdateTask(const traffic::TargetAnnouncement& announcement);
-  // Targets announce themselves to any control node, and whichever leads next
-  // needs all of them at once; so each node reads what the others know.
+  // Targets announce themselves to any control node, and the next leader needs
+  // all of them immediately, so each node reads the targets of the others.
   void PollPeers();
   void PollPeer(const net::Endpoint& peer);
   const traffic::EngineModel* EngineOf(const ServiceId& service);
   bool KnowsEngine(const net::Endpoint& engine) const;
-  // Other control nodes that have answered lately.
+  // Returns the other control nodes that responded recently.
   std::vector<net::Endpoint> Helpers() const;
 
   net::NetworkLoop& loop_;
@@ -78,13 +78,13 @@
   sidecar::EngineProtocol protocol_;
   traffic::ConfigurationReader read_configuration_;
   telemetry::Logger log_;
-  // Of this term; a new leadership starts with new ones.
+  // Tasks of the current term; they are created anew in each term.
   std::map<GroupId, std::unique_ptr<GroupTask>> tasks_;
-  // Their fibers may still run.
+  // Tasks of earlier terms whose fibers may still run.
   std::vector<std::unique_ptr<GroupTask>> retired_tasks_;
   traffic::TargetBook peer_targets_;
   std::map<net::Endpoint, PeerState> peer_states_;
-  // Nodes that others have told of, to be asked once.
+  // Nodes that other nodes reported, to be polled once.
   std::set<net::Endpoint> reported_nodes_;
   LeadershipTerm leadership_term_;
   std::uint64_t read_version_ = 0;
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -42,8 +42,8 @@
 groups::StepSwitchOptions SwitchOptions(std::uint32_t ranks) {
   groups::StepSwitchOptions options;
   options.ranks = ranks;
-  // Ranks confirm one after the other, as the orders reached them; most are
-  // done when first asked.
+  // Ranks confirm one after the other, in the order in which the orders reached
+  // them; most have finished at the first poll.
   constexpr Duration kPollPerRank = Microseconds(500);
   options.copy_poll = kPollPerRank * ranks;
   return options;
@@ -101,11 +101,12 @@
   ReadMap();
 }
 
-// A node that is short of processor time may lose its lead in the middle of a
-// change, and the group then stands still until another node has taken over.
+// Postpones changes of the map after a late tick. A node that lacks processor
+// time may lose its leadership in the middle of a change, and the group is then
+// stalled until another node has taken over.
 void GroupTask::DetectLateTick(TimePoint now) {
-  // A plan for a large group alone takes a tenth of a second; followers vote
-  // anew after half a second without a word.
+  // A plan for a large group alone takes 0.1 s; followers start an election
+  // after 0.5 s without a heartbeat.
   constexpr Duration kMaxTickDelay = Milliseconds(250);
   constexpr Duration kChangePause = Milliseconds(700);
   if (ticked_at_ != TimePoint{} && now - ticked_at_ > kMaxTickDelay) {
@@ -114,7 +115,8 @@
   ticked_at_ = now;
 }
 
-// What the pauses and first events of callers follow from; one line a second.
+// Logs the state that explains pauses and times to first events of callers,
+// once a second.
 void GroupTask::LogState(TimePoint now) {
   constexpr Duration kMinLogInterval = Seconds(1);
   if (now - state_logged_at_ < kMinLogInterval) {
@@ -164,7 +166,7 @@
           last_plan_duration_, now - ticked_at_};
 }
 
-// Of the sums of present readers, how long ago the oldest one came.
+// Age of the oldest sum among the readers that are still in use.
 Duration GroupTask::OldestSumAge(TimePoint now) const {
   constexpr Duration kMaxReaderAge = Seconds(30);
   Duration oldest{};
@@ -177,7 +179,7 @@
   return oldest;
 }
 
-// Sends what is due, and plans as soon as there is room for a change.
+// Sends due orders, and starts a plan as soon as the map may be changed.
 void GroupTask::Advance() {
   const TimePoint now = SteadyNow();
   SendDue(now);
@@ -198,7 +200,8 @@
   }
   const std::vector<RankIndex> asked = switch_.Questions(now);
   if (asked.size() > kMaxDirectCalls) {
-    // The readers tell of all sooner than the leader could ask them.
+    // The readers report all of these ranks sooner than the leader could poll
+    // them.
     schedule_.Expedite(now);
     StartRounds(now);
     UpdatePhase();
@@ -225,7 +228,8 @@
   last_phase_ = switch_.phase();
   phase_since_ = now;
   if (switch_.NeedsAllReports(now)) {
-    // What was due in the calm before would come late.
+    // Rounds that were scheduled at the interval of the idle phase would come
+    // too late.
     schedule_.Expedite(now);
   }
 }
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -1,4 +1,4 @@
-// One self-stepping group: its reports, counts, plans and orders.
+// Manages one self-stepping group: its reports, counts, plans and orders.
 
 #ifndef PLUGINS_CONTROL_NODE_GROUP_TASK_H_
 #define PLUGINS_CONTROL_NODE_GROUP_TASK_H_
@@ -29,13 +29,14 @@
 
 namespace bilberryspool::control_node {
 
-// What the leader knows of a group's ranks, and how late that is.
+// Statistics of what the leader knows of a group's ranks, and of how old that
+// is.
 struct GroupStats {
-  std::size_t known_ranks = 0;  // ranks that were ever heard
+  std::size_t known_ranks = 0;  // ranks that responded at least once
   std::size_t missing = 0;
-  Duration oldest_sum_age{};      // of the readers' sums, since it came
-  Duration last_plan_duration{};  // what the last plan took
-  Duration time_since_tick{};     // since the last tick; due every 25 ms
+  Duration oldest_sum_age{};  // time since the oldest sum of a reader arrived
+  Duration last_plan_duration{};  // time that the last plan took
+  Duration time_since_tick{};     // due every 25 ms
 };
 
 // Runs in the control loop, while its node leads.
@@ -54,32 +55,32 @@
                   const net::Endpoint& endpoint,
                   const FailureDomain& domain);
   bool has_all_ranks() const { return addresses_.size() == ranks_; }
-  // Asked again before each order leaves.
+  // Checked again before each order is sent.
   void SetMayAct(std::function<bool()> may_act) {
     may_act_ = std::move(may_act);
   }
-  // Other control nodes that answer.
+  // Sets the other control nodes that respond.
   void SetHelpers(std::vector<net::Endpoint> helpers) {
     schedule_.SetReaders(helpers);
     helpers_.Set(std::move(helpers));
   }
-  // To be called often; starts what is due.
+  // Starts what is due. Must be called every few milliseconds.
   void Tick();
   std::uint32_t ranks() const { return ranks_; }
-  // Whether calls are still on their way; a task must outlive them.
+  // Whether calls are in flight; the task must outlive them.
   bool has_pending_calls() const { return pending_calls_ > 0; }
-  // Above every version that this task has given a map.
+  // Greater than every version that this task has assigned to a map.
   MapVersion unused_version() const { return switch_.unused_version(); }
-  // Adds the ranks that are too slow to be given requests, by address, with how
-  // many times as long as a healthy one they take, and those that do not answer
-  // (kMissingPace).
+  // Adds the ranks that are too slow to be sent requests, by address, with the
+  // factor by which they are slower than a healthy rank, and the ranks that do
+  // not respond (kMissingPace).
   void AddSlowTargets(std::map<std::string, double>& by_address) const;
-  // For metrics.
+  // Statistics for metrics.
   GroupStats stats(TimePoint now) const;
 
  private:
-  // Calls to ranks that the leader makes at once by itself; more go by way of
-  // the nodes that read them.
+  // Maximum number of ranks that the leader calls at once by itself; more are
+  // called through the nodes that read them.
   static constexpr std::size_t kMaxDirectCalls = 24;
   static placement::RecentLoadsOptions LoadOptions(
       const traffic::EngineModel& engine);
@@ -104,7 +105,7 @@
                    TimePoint as_of,
                    TimePoint heard_at);
   void ReadMap();
-  // The map in use, as the ranks tell of it one by one.
+  // The map in use, as assembled from the experts of each rank.
   struct MapReading {
     std::shared_ptr<placement::ExpertMap> map;
     MapVersion version;
@@ -126,8 +127,8 @@
   std::function<void()> PauseBetweenMoves();
   // group_task_orders.cc
   void SendOrder(const groups::RankOrder& order);
-  // Sends orders that are the same for many ranks by way of the nodes that read
-  // them; returns the others.
+  // Sends an order that is the same for many ranks through the nodes that read
+  // them; returns the remaining orders.
   std::vector<groups::RankOrder> SendMulticast(
       std::vector<groups::RankOrder> orders,
       TimePoint now);
@@ -155,19 +156,19 @@
   std::map<RankIndex, net::Endpoint> addresses_;
   groups::StepSwitch switch_;
   placement::RecentLoads loads_;
-  // How many times as long as a healthy rank each one takes.
+  // By which factor each rank is slower than a healthy one.
   std::map<RankIndex, double> paces_;
   groups::SilentRanks silence_;
-  // When those that no reader tells of were asked last.
+  // When the ranks without a reader's report were last polled by the leader.
   std::map<RankIndex, TimePoint> polled_at_;
   PollingSchedule schedule_;
-  // Of the last answer of each reader.
+  // The last answer of each reader.
   struct Sum {
     placement::ReadingMark mark;
-    TimePoint at;  // when it last held any work
+    TimePoint at;  // last time that it contained work
   };
   std::map<std::optional<net::Endpoint>, Sum> last_sums_;
-  // With work in them, since the state was logged last.
+  // Number of sums with work in them since the state was last logged.
   std::uint32_t sums_since_log_ = 0;
   struct RankLoad {
     std::uint32_t running = 0;
@@ -175,7 +176,7 @@
   };
   std::map<RankIndex, RankLoad> loads_at_;
   groups::StepNumber newest_step_;
-  // When the state was logged last, and the step of that time.
+  // When the state was last logged, and the step at that time.
   TimePoint state_logged_at_;
   std::uint64_t state_logged_step_ = 0;
   groups::SwitchPhase last_phase_ = groups::SwitchPhase::kObserving;
@@ -183,7 +184,7 @@
   TimePoint plan_due_;
   TimePoint phase_since_;
   TimePoint ticked_at_;
-  // No change is begun before.
+  // No change of the map is started before this time.
   TimePoint changes_allowed_from_;
   OrderHelpers helpers_;
   bool is_reading_map_ = false;
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -1,4 +1,4 @@
-// GroupTask: how orders reach the ranks.
+// GroupTask: sends orders to the ranks.
 
 #include <set>
 #include <utility>
@@ -15,10 +15,10 @@
 
 namespace {
 
-// Orders are answered at once, and the group may be standing still until the
-// last one is: a lost one is given again soon. An engine answers its sidecar
-// within a few milliseconds; to send an order to all ranks takes up to 1 ms
-// each on 0.15 of a core, and a map is longer to send and to read.
+// Orders are answered immediately, and the group may be stalled until the last
+// one is answered, so a lost order must be repeated soon. An engine answers its
+// sidecar within a few milliseconds. Sending an order to all ranks takes up to
+// 1 ms each on 0.15 of a core, and a map takes longer to send and to read.
 constexpr Duration kOrderTimeout = Milliseconds(25);
 constexpr Duration kOrderTransit = Milliseconds(40);
 constexpr Duration kMapTransit = Milliseconds(80);
@@ -35,8 +35,8 @@
 
 void GroupTask::SendOrder(const groups::RankOrder& order) {
   Spawn([this, order] {
-    // A node that was suspended may have been replaced meanwhile. Where it
-    // still leads after all, the order is given later.
+    // A suspended node may have been replaced as the leader in the meantime. If
+    // it still leads, the order is sent later.
     if (!may_act_()) {
       switch_.OnAnswer(order, groups::OrderAnswer::kUnanswered, SteadyNow());
       return;
@@ -63,8 +63,8 @@
 }
 
 // Orders to prepare and to arm may reach a rank late without harm, so they may
-// go by way of a node that freezes meanwhile; what is not answered in time is
-// given again by another way. Those about a hold go alone.
+// go through a node that freezes meanwhile; an order that is not answered in
+// time is repeated on another path. Orders about a hold are sent individually.
 std::vector<groups::RankOrder> GroupTask::SendMulticast(
     std::vector<groups::RankOrder> orders,
     TimePoint now) {
@@ -93,7 +93,7 @@
   return orders;
 }
 
-// For no rank yet.
+// Returns the order without its ranks.
 groups::WideOrder GroupTask::MulticastOrderOf(
     const groups::RankOrder& order) const {
   const net::HttpRequest request = protocol_.order_request(order, ranks_);
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -1,4 +1,4 @@
-// GroupTask: whether the map is changed, and to what.
+// GroupTask: decides whether and how to change the map.
 
 #include <algorithm>
 
@@ -13,22 +13,25 @@
 
 namespace {
 
-// Below this many counts the shares of rare experts are noise.
+// Below this number of counts the shares of rare experts are noise.
 constexpr double kMinWeight = 10'000.0;
-// How much a change must shorten the layers, and down to which imbalance a
-// layer is worth copies. While engines have room a longer step makes nobody
-// late, so only what is far off is mended: copies are dear.
+// By how much a change must shorten the layers, and above which imbalance a
+// layer gets additional copies. While engines have free slots, a longer step
+// delays no request, so only a large imbalance is corrected: copies are
+// expensive.
 struct ChangeThresholds {
   double least_gain;
   double good_enough;
 };
 constexpr ChangeThresholds kBusyThresholds{0.12, 1.08};
 constexpr ChangeThresholds kIdleThresholds{0.2, 1.25};
-// Requests at a rank, on the mean, as a share of its slots.
+// Mean number of requests per rank, as a share of its slots, above which a
+// group is busy.
 constexpr double kBusyShare = 0.6;
-// A rank is not taken for faster than a healthy one.
+// No rank is considered faster than a healthy one.
 constexpr double kMinPace = 1.0;
-// A plan is made in slices of this, and others have their turn in between.
+// A plan is computed in slices of this length, so that other fibers can run in
+// between.
 constexpr Duration kPlanSlice = Milliseconds(15);
 constexpr Duration kPlanPause = Milliseconds(1);
 
@@ -56,9 +59,9 @@
   return options;
 }
 
-// A plan for a large group takes a few hundred ms of 0.15 of a core. Answers
-// that wait for it are taken for lost, and so are the ranks and nodes that gave
-// them; so others have their turn in between.
+// A plan for a large group takes a few hundred milliseconds on 0.15 of a core.
+// Answers that are not processed meanwhile count as lost, and so do the ranks
+// and nodes that sent them; planning therefore yields to other fibers.
 std::function<void()> GroupTask::PauseBetweenMoves() {
   return [this, begun = SteadyNow()]() mutable {
     if (SteadyNow() - begun < kPlanSlice) {
@@ -84,7 +87,7 @@
   const double gain = 1.0 - plan.imbalance_after / plan.imbalance_before;
   const TimePoint now = SteadyNow();
   last_plan_duration_ = now - begun;
-  // The group may have formed anew while the plan was made.
+  // The group may have formed again while the plan was computed.
   const bool still_fits =
       switch_.phase() == SwitchPhase::kIdle && switch_.map() == map;
   if (gain < options.least_gain || !still_fits) {
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -1,4 +1,4 @@
-// GroupTask: what the ranks tell.
+// GroupTask: reads the state of the ranks.
 
 #include <algorithm>
 #include <cmath>
@@ -18,17 +18,18 @@
 
 namespace {
 
-// A rank that no reader told of for this long is asked by the leader.
+// The leader polls a rank itself if no reader reported it for this long.
 constexpr Duration kSilenceTimeout = Milliseconds(250);
-// Ranks that the leader asks itself a second: what a control node of 0.15 of a
-// core can ask and read beside its other work.
+// Number of ranks that the leader polls itself per second: what a control node
+// with 0.15 of a core can send and read beside its other work.
 constexpr double kMaxPollsPerSecond = 200.0;
-// Of them at a time, so that they don't hold up all else.
+// Maximum number of them at a time, so that they don't delay other work.
 constexpr std::size_t kMaxPollsPerBatch = 8;
-// For a reader's answer, beside the time that it may take for its ranks.
+// Network time of a reader's answer, in addition to the time limit for its
+// ranks.
 constexpr Duration kRoundTransit = Milliseconds(300);
 constexpr EngineCalls::CallTimeouts kReportTimeouts{Milliseconds(300)};
-// The map of a group that has just formed: experts in turn.
+// The map of a newly formed group: experts are assigned to ranks in turn.
 std::shared_ptr<const placement::ExpertMap> InitialMap(
     const traffic::EngineModel& engine,
     std::uint32_t ranks) {
@@ -90,8 +91,8 @@
     schedule_.OnAnswer(round, answer->domain, SteadyNow());
     RecordSum(round, *answer);
     for (const groups::RankWord& word : answer->words) {
-      // The answer waits for the slowest rank; that a rank answers is known of
-      // the time at which it was asked, and it may be frozen since.
+      // The answer waits for the slowest rank. That a rank responded is only
+      // known for the time at which it was polled; it may have frozen since.
       const TimePoint at = asked + word.asked_after;
       ApplyReport(word.rank, word.report, at, at);
     }
@@ -113,8 +114,8 @@
   loads_.Add(answer.work, now);
 }
 
-// Where most of its ranks are silent, the reader may be cut off or late itself;
-// the leader asks them then.
+// If at least half of its ranks are silent, the reader itself may be
+// partitioned or late; the leader then polls them.
 void GroupTask::RecordSilentRanks(const PollingRound& round,
                                   const groups::RoundAnswer& answer) {
   std::set<RankIndex> silent(round.ranks.begin(), round.ranks.end());
@@ -129,7 +130,8 @@
   }
 }
 
-// Work of reading one token of a prompt, in that of writing one.
+// Work of processing one prompt token, relative to the work of generating one
+// token.
 double GroupTask::read_work() const {
   const double write_time = ToSeconds(engine_.step_per_request);
   const double read_rate = engine_.prompt_tokens_per_second;
@@ -138,7 +140,8 @@
              : 1.0;
 }
 
-// Those that no reader tells of: their sidecar is gone, or the reader is.
+// Polls the ranks that no reader reports because their sidecar or the reader
+// has failed.
 void GroupTask::PollSilentRanks(TimePoint now) {
   if (now < silent_poll_due_) {
     return;
@@ -195,7 +198,7 @@
                                  engine_.step_per_request,
                                  engine_.expert_share};
   for (const RankIndex rank : groups::FindSlowRanks(paces_, times)) {
-    // In steps of a half, so that a small change is no news.
+    // Rounded to steps of 0.5, so that a small change is not published.
     by_address[addresses_.at(rank).ToString()] =
         std::round(paces_.at(rank) * 2.0) / 2.0;
   }
@@ -204,7 +207,7 @@
   }
 }
 
-// Whoever takes a group over has to learn what the map in use holds.
+// A new leader must learn the contents of the map in use.
 void GroupTask::ReadMap() {
   const auto version = switch_.unread_version();
   if (!version.has_value() || is_reading_map_) {
@@ -215,7 +218,8 @@
     return;
   }
   is_reading_map_ = true;
-  // All ranks at once: the group may be standing still until the map is known.
+  // All ranks are read at once, because the group may be stalled until the map
+  // is known.
   auto reading = std::make_shared<MapReading>();
   reading->map = std::make_shared<placement::ExpertMap>(
       engine_.expert_layers, engine_.experts_per_layer);
@@ -257,7 +261,7 @@
     switch_.OnMapRead(reading.version, reading.map);
     Advance();
   }
-  // A rank that does not answer is asked again after a while.
+  // Ranks that did not answer are read again after a delay.
   loop_.SleepFor(kSilenceTimeout);
   is_reading_map_ = false;
 }
--- a/src/plugins/control_node/leadership_term.h
+++ b/src/plugins/control_node/leadership_term.h
@@ -1,12 +1,12 @@
-// Whether what a node has begun as the one that leads is still its own.
+// Decides whether work that a node started as the leader is still valid.
 //
-// A lease lapses for a moment whenever the node is short of processor time, and
-// comes back in the same term: nobody else has led in between, so what was
-// begun goes on. To begin anew then would leave a step held that nobody knows
-// of, and the group would stand still until that is found out. In another term
-// someone else may have led, and what was begun must not go on.
+// The lease lapses for a moment whenever the node lacks processor time, and is
+// renewed in the same term: no other node has led in between, so the work
+// continues. Starting over would leave a held step that no node knows of, and
+// the group would be stalled until it is detected. In another term, another
+// node may have led, and the work must not continue.
 //
-// Pure: events in, a verdict out.
+// Pure: takes events, returns a verdict.
 
 #ifndef PLUGINS_CONTROL_NODE_LEADERSHIP_TERM_H_
 #define PLUGINS_CONTROL_NODE_LEADERSHIP_TERM_H_
@@ -20,9 +20,9 @@
 class LeadershipTerm {
  public:
   enum class Verdict {
-    kNotLeading,  // does not lead now; what was begun is kept
-    kSameTerm,    // leads, in the same term as before
-    kNewTerm,     // leads in a term that is new to it
+    kNotLeading,  // does not lead now; its work is kept
+    kSameTerm,    // leads in the same term as before
+    kNewTerm,     // leads in a new term
   };
 
   Verdict Update(bool leads, Term term) {
--- a/src/plugins/control_node/limit_manager.cc
+++ b/src/plugins/control_node/limit_manager.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::uint32_t kMaxLogLinesPerSecond = 20;
-// All gateways are told at once, which takes a small node a while.
+// Each change is sent to all gateways at once, which takes a small node some
+// time.
 constexpr Duration kMinUpdateInterval = Milliseconds(250);
 
 }  // namespace
@@ -32,7 +33,7 @@
     const boost::json::value& params) {
   const auto request = declared_limits::GrantRequestFromJson(params);
   if (!request.has_value()) {
-    log_.Warn("Can't read a gateway's question for grants.", {});
+    log_.Warn("Failed to parse a gateway's grant request.", {});
     return std::nullopt;
   }
   const TimePoint now = net::SteadyNow();
--- a/src/plugins/control_node/limit_manager.h
+++ b/src/plugins/control_node/limit_manager.h
@@ -1,4 +1,4 @@
-// A control node's part in keeping to the limits that targets declare.
+// Enforcement of the limits that targets declare, on a control node.
 
 #ifndef PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
 #define PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
@@ -18,26 +18,26 @@
 
 namespace bilberryspool::control_node {
 
-// Every control node hears of the limits from all gateways that ask it and
-// divides them for itself. Belongs to the control loop.
+// Each control node receives the declared limits from all gateways that poll
+// it, and divides them independently of the others. Runs in the control loop.
 class LimitManager {
  public:
-  // `changed` is notified where gateways have to be told.
+  // `changed` is notified when gateways must be sent an update.
   explicit LimitManager(net::FiberSignal& changed);
 
   void Register(links::LinkServer& server);
 
-  // What `gateway` heard from targets.
+  // Records the limits that `gateway` received from targets.
   void Note(const std::string& gateway,
             const std::vector<declared_limits::LimitStatement>& statements,
             TimePoint now);
   void SetGateways(std::vector<std::string> gateways, TimePoint now);
-  // To be called a few times a second.
+  // Must be called a few times a second.
   void Tick(TimePoint now);
 
   const declared_limits::LimitBook& book() const { return book_; }
   const declared_limits::LimitGranter& granter() const { return granter_; }
-  // Changes a few times a second at most, some time after the book does.
+  // Changes at most a few times a second, with a delay after the registry.
   std::uint64_t published_revision() const { return published_revision_; }
 
  private:
--- a/src/plugins/control_node/order_helpers.h
+++ b/src/plugins/control_node/order_helpers.h
@@ -1,15 +1,15 @@
-// Which control node passes the next order about a hold on.
+// Selects the control node that relays the next order about a hold.
 //
-// While a step is held the whole group depends on whoever can release it. A VM
-// beside an engine that freezes takes its engine along, which can't be reached
-// until it wakes: where that VM had just passed the hold on, the group stood
-// still for the whole freeze of 4 s. The loss of the node that leads costs an
-// election. The loss of another control node costs nothing, so the two orders
-// about a hold go by way of one of those: in turn, so that the release does not
-// wait for the one that has just passed the hold on, and past those that
-// failed.
+// While a step is held, the whole group depends on the node that can release
+// it. If the VM beside an engine freezes, its engine freezes too and can't be
+// reached until the VM is awake: when that VM had just relayed the hold, the
+// group was stalled for the whole freeze of 4 s. Losing the leader costs an
+// election; losing any other control node costs nothing. Both orders about a
+// hold therefore go through one of the other nodes: in turn, so that the
+// release does not depend on the node that has just relayed the hold, and
+// skipping nodes that failed.
 //
-// Pure.
+// Pure: no I/O and no clock.
 
 #ifndef PLUGINS_CONTROL_NODE_ORDER_HELPERS_H_
 #define PLUGINS_CONTROL_NODE_ORDER_HELPERS_H_
@@ -24,11 +24,11 @@
 
 namespace bilberryspool::control_node {
 
-// What the status that a helper answered says; 0: it did not answer.
+// Meaning of the status that a helper returned; 0: it did not respond.
 enum class RelayResult {
   kAnswered,      // the engine's own answer
-  kEngineSilent,  // the helper is well, its engine did not answer it
-  kHelperFailed,  // out of reach, or it does not know the engine
+  kEngineSilent,  // the helper responded, the engine did not
+  kHelperFailed,  // unreachable, or it does not know the engine
 };
 
 inline RelayResult ClassifyRelayStatus(int status) {
@@ -41,11 +41,12 @@
 
 class OrderHelpers {
  public:
-  // The other control nodes that answer; one that failed may be among them
-  // again.
+  // Sets the other control nodes that respond; a node that failed may be among
+  // them again.
   void Set(std::vector<net::Endpoint> nodes) { nodes_ = std::move(nodes); }
 
-  // Nothing where there is none: the order then goes the usual way.
+  // Returns nothing if there is no other node; the order then takes the usual
+  // path.
   std::optional<net::Endpoint> Next() {
     if (nodes_.empty()) {
       return std::nullopt;
@@ -53,9 +54,10 @@
     return nodes_[next_index_++ % nodes_.size()];
   }
 
-  // What became of an order by way of `node`. An engine that leaves orders
-  // unanswered says nothing against whoever passed them on: were that node left
-  // out too, two lost orders would lead back to the VM beside the engine.
+  // Handles the result of an order relayed by `node`. Only a failure of the
+  // helper removes it: an engine that does not answer says nothing about the
+  // helper. If helpers were removed for that as well, two lost orders would
+  // lead back to the VM beside the engine.
   void OnRelayed(const net::Endpoint& node, RelayResult result) {
     if (result == RelayResult::kHelperFailed) {
       std::erase(nodes_, node);
--- a/src/plugins/control_node/order_multicaster.cc
+++ b/src/plugins/control_node/order_multicaster.cc
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr char kMulticastTarget[] = "/wide-order";
-// To a sidecar and back, and what waits here to be sent before.
+// Network time to a sidecar and back, including queueing in this process.
 constexpr Duration kTransit = Milliseconds(40);
 constexpr Duration kTimePerRank = Milliseconds(1);
 
-// What all ranks get.
+// Returns the request that all ranks get.
 net::HttpRequest RequestToEngines(const groups::WideOrder& order) {
   net::HttpRequest request;
   request.method = order.method;
--- a/src/plugins/control_node/order_multicaster.h
+++ b/src/plugins/control_node/order_multicaster.h
@@ -1,9 +1,9 @@
-// Passes one order on to several ranks of a group, all at once.
+// Sends one order to several ranks of a group at once.
 //
-// A new map is long. Sent by the leader to each of hundreds of ranks it fills
-// the leader's link, and all its other calls time out meanwhile. Multicast by
-// the control nodes near the ranks it leaves the leader a few times, and
-// packed.
+// A new map is large. Sent by the leader to each of hundreds of ranks, it
+// saturates the leader's link, and all its other calls time out meanwhile.
+// Multicast by the control nodes near the ranks, the leader sends it only a few
+// times, and compressed.
 
 #ifndef PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
 #define PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
@@ -15,7 +15,7 @@
 
 namespace bilberryspool::control_node {
 
-// Runs in the control loop. Keeps nothing.
+// Runs in the control loop. Has no state.
 class OrderMulticaster {
  public:
   OrderMulticaster(net::NetworkLoop& loop, EngineCalls& calls)
@@ -25,12 +25,13 @@
   static bool Handles(const net::HttpRequest& request);
   static net::HttpRequest RequestFor(const groups::WideOrder& order);
 
-  // Blocks the calling fiber until all ranks have answered or were given up.
+  // Blocks the calling fiber until all ranks have answered or timed out.
   groups::WideAnswer Multicast(const groups::WideOrder& order);
-  // The same for another control node; 400 for what can't be read.
+  // Like Multicast(), for another control node; responds with 400 if the order
+  // can't be parsed.
   void Answer(net::HttpExchange& exchange);
 
-  // How long Multicast() may take.
+  // Maximum duration of Multicast().
   static Duration TimeoutFor(const groups::WideOrder& order);
 
  private:
--- a/src/plugins/control_node/polling_schedule.cc
+++ b/src/plugins/control_node/polling_schedule.cc
@@ -11,17 +11,19 @@
 namespace {
 
 constexpr Duration kMinInterval = Milliseconds(60);
-// What one rank takes of a node that has 0.15 of a core for all it does, and of
-// the leader, which has more to do.
+// Time that polling one rank takes on a node that has 0.15 of a core for all
+// its work, and on the leader, which has more other work.
 constexpr Duration kTimePerRank = Microseconds(2500);
 constexpr Duration kLeaderTimePerRank = Microseconds(4000);
-// Ranks that the leader reads at a time. All at once would hold up all else
-// that it does, and then it would take whoever answers it for lost.
+// Number of ranks that the leader polls at a time. Polling all ranks at once
+// would delay its other work so much that it would consider the nodes that
+// answer it lost.
 constexpr std::size_t kLeaderBatchSize = 24;
 constexpr std::uint32_t kMaxFailures = 3;
-// From one question to the next, in the time that the last answer took.
+// Minimum time between the starts of two rounds, as a multiple of the duration
+// of the last one.
 constexpr double kIntervalFactor = 1.5;
-// A node that did not answer is tried again after this.
+// How long a node that did not respond is not used.
 constexpr Duration kCooldown = Seconds(1);
 
 }  // namespace
@@ -42,7 +44,8 @@
   }
 }
 
-// Each rank to a reader of its domain, else to the one that has least.
+// Assigns each rank to a reader in its failure domain, or else to the reader
+// with the fewest ranks.
 void PollingSchedule::AssignRanks(TimePoint now) {
   std::vector<Reader*> usable;
   for (auto& [endpoint, reader] : readers_) {
@@ -98,7 +101,7 @@
   return rounds;
 }
 
-// Of the leader's ranks, in turn.
+// Returns the next of the leader's ranks, in rotation.
 std::vector<RankIndex> PollingSchedule::NextLeaderBatch(
     const std::vector<RankIndex>& ranks) {
   std::vector<RankIndex> batch;
--- a/src/plugins/control_node/polling_schedule.h
+++ b/src/plugins/control_node/polling_schedule.h
@@ -1,17 +1,19 @@
-// Which control node reads which ranks of a group for its leader, and when.
+// Schedules which control node polls which ranks of a group for the leader, and
+// when.
 //
-// Every rank is read ten times a second: on 0.15 of a core a leader that read
-// 192 of them itself would do nothing else, and one that reads a few does not
-// know what the others are asked for. So the ranks are shared out among the
-// other control nodes that answer, those of a node's own failure domain first.
-// A node that takes long is asked less often: it is short of processor time,
-// and more questions would make it later still.
-// A node that does not answer is left out for a while, and its ranks go to the
-// others with the next round; a rank has one reader at a time, so that nothing
-// is counted twice. Where there is no other node the leader reads all
-// by turns, a few at a time.
+// Each rank is polled ten times a second. With 0.15 of a core, a leader that
+// polled 192 ranks itself could do nothing else, and one that polls only a few
+// does not know the load of the others. The ranks are therefore divided among
+// the other control nodes that respond, with each node polling those in its own
+// failure domain first.
 //
-// Pure: events and `now` in, rounds out.
+// A node that takes long is polled less often: it lacks processor time, and
+// more requests would delay it further. A node that does not respond is in
+// cooldown, and its ranks are assigned to other nodes from the next round on; a
+// rank has one reader at a time, so that nothing is counted twice. If there is
+// no other node, the leader polls all ranks in rotation, a few at a time.
+//
+// Pure: takes events and `now`, returns polling rounds.
 
 #ifndef PLUGINS_CONTROL_NODE_POLLING_SCHEDULE_H_
 #define PLUGINS_CONTROL_NODE_POLLING_SCHEDULE_H_
@@ -28,43 +30,45 @@
 
 namespace bilberryspool::control_node {
 
-// Ranks to be read now, by one reader.
+// Ranks that one reader polls now.
 struct PollingRound {
-  std::optional<net::Endpoint> reader;  // nothing: the leader itself
+  std::optional<net::Endpoint> reader;  // nullopt: the leader itself
   std::vector<RankIndex> ranks;
 };
 
 class PollingSchedule {
  public:
   void SetRank(RankIndex rank, const FailureDomain& domain);
-  // The other control nodes that have answered lately.
+  // Sets the other control nodes that responded recently.
   void SetReaders(const std::vector<net::Endpoint>& readers);
-  // A new round of each reader that is due; it is under way from then on.
+  // Starts a round on each reader that is due, and returns these rounds. They
+  // are in flight until OnAnswer() or OnFailure().
   std::vector<PollingRound> StartDueRounds(TimePoint now);
-  // Those ranks by their readers, under the same shares.
+  // Groups `ranks` by the readers that they are assigned to.
   std::vector<PollingRound> SplitByReader(const std::vector<RankIndex>& ranks,
                                           TimePoint now);
   void OnAnswer(const PollingRound& round,
                 const FailureDomain& domain,
                 TimePoint now);
-  // `was_leader_late`: the leader was late itself meanwhile. What it has not
-  // read may have come, so the reader is only left out if that happens again
-  // and again.
+  // `was_leader_late`: the leader itself was late meanwhile. The answer may
+  // have arrived unread, so the reader's cooldown starts only after several
+  // failures in a row.
   void OnFailure(const PollingRound& round,
                  bool was_leader_late,
                  TimePoint now);
-  // A reader left a call of another kind unanswered.
+  // Starts the cooldown of a reader that left another kind of call unanswered.
   void StartCooldown(const net::Endpoint& reader, TimePoint now);
-  // What was due in a while is due now.
+  // Makes all scheduled rounds due now; a reader with a round in flight starts
+  // the next one right after it.
   void Expedite(TimePoint now);
 
  private:
   struct Reader {
-    std::optional<FailureDomain> domain;  // told with its first answer
+    std::optional<FailureDomain> domain;  // known from the first answer on
     bool is_in_flight = false;
-    // Rounds without an answer, one after the other.
+    // Number of consecutive rounds without an answer.
     std::uint32_t failures = 0;
-    bool is_expedited = false;  // while it was asked
+    bool is_expedited = false;  // while a round was in flight
     TimePoint asked_at;
     TimePoint due;
     TimePoint cooldown_until;
@@ -77,9 +81,9 @@
   void FinishRound(const PollingRound& round, TimePoint now);
 
   std::map<RankIndex, FailureDomain> ranks_;
-  // With the leader itself, which is used where no other is.
+  // Includes the leader itself, which is used if there is no other reader.
   Readers readers_{{std::nullopt, Reader{}}};
-  // Where the leader's next portion begins.
+  // Start of the leader's next batch.
   std::size_t next_batch_start_ = 0;
 };
 
--- a/src/plugins/control_node/quarantine_manager.cc
+++ b/src/plugins/control_node/quarantine_manager.cc
@@ -15,13 +15,15 @@
 
 namespace {
 
-// All gateways are told at once, which takes a small node a while.
+// Each change is sent to all gateways at once, which takes a small node some
+// time.
 constexpr Duration kMinUpdateInterval = Milliseconds(250);
 constexpr std::uint32_t kMaxLogLinesPerSecond = 20;
-// Gateways tell again, other control nodes answer, and a leader is found.
+// Time after a start in which gateways report again, other control nodes
+// respond, and a leader is elected.
 constexpr Duration kSettlingTime = Seconds(3);
 constexpr Duration kLogReplayQuietTime = Milliseconds(300);
-// Bound what an attack by many such requests adds to the log.
+// Limits how much an attack with many such requests adds to the log.
 constexpr Duration kMinSaveInterval = Seconds(5);
 constexpr std::size_t kMaxSavedRecords = 64;
 
@@ -72,7 +74,7 @@
 bool QuarantineManager::Report(const Json& reports, TimePoint now) {
   const auto observations = quarantine::ObservationsFromJson(reports);
   if (!observations.has_value()) {
-    log_.Warn("Can't read what a gateway reports.", {});
+    log_.Warn("Failed to parse a gateway's quarantine report.", {});
     return false;
   }
   for (const quarantine::Observation& observation : *observations) {
@@ -120,7 +122,7 @@
     return std::nullopt;
   }
   const TimePoint now = SteadyNow();
-  // What the asker has seen may still be on its way.
+  // Reports that the requester has sent separately may not have arrived yet.
   if (const auto* reports = object->if_contains("reports")) {
     Report(*reports, now);
   }
@@ -163,8 +165,8 @@
     is_settled_ = true;
     ++published_revision_;
   }
-  // A log that is read after a start gives one list after the other; the last
-  // one holds.
+  // Replaying the log after a start yields one list after the other; only the
+  // last one is valid.
   if (log_records_received_at_.has_value() &&
       now - *log_records_received_at_ > kLogReplayQuietTime) {
     log_records_received_at_.reset();
--- a/src/plugins/control_node/quarantine_manager.h
+++ b/src/plugins/control_node/quarantine_manager.h
@@ -1,4 +1,4 @@
-// A control node's part in keeping requests that end targets from the targets.
+// Quarantine of requests that terminate targets, on a control node.
 
 #ifndef PLUGINS_CONTROL_NODE_QUARANTINE_MANAGER_H_
 #define PLUGINS_CONTROL_NODE_QUARANTINE_MANAGER_H_
@@ -17,40 +17,45 @@
 
 namespace bilberryspool::control_node {
 
-// Every control node hears of the ends from all gateways that reach it, decides
-// for itself, and tells the gateways with their next watch; none leads. Belongs
-// to the control loop.
+// Each control node receives reports of terminated targets from all gateways
+// that reach it, decides independently, and sends the result with the gateways'
+// next watch; there is no leader. Runs in the control loop.
 class QuarantineManager {
  public:
-  // `changed` is notified where gateways have to be told.
+  // `changed` is notified when gateways must be sent an update.
   explicit QuarantineManager(net::FiberSignal& changed);
 
   void Register(links::LinkServer& server);
-  // To be called a few times a second.
+  // Must be called a few times a second.
   void Tick(TimePoint now);
-  // What another control node tells.
+  // Merges the records of another control node.
   void Adopt(const std::vector<quarantine::QuarantineRecord>& records,
              TimePoint now);
-  // An operator lets a request pass. False where nothing is held against it.
+  // Releases a request on behalf of an operator. Returns false if it is not in
+  // quarantine.
   bool Release(const quarantine::RequestFingerprint& request, TimePoint now);
 
-  // What the replicas' log holds, in turn also while it is read after a start.
+  // Sets the records in the replicated log; also called repeatedly while the
+  // log is replayed after a start.
   void OnLogRecords(std::vector<quarantine::QuarantineRecord> records,
                     TimePoint now);
-  // What the log should hold; nothing where it does, or did a moment ago.
+  // Returns the records that the log should hold; nothing if it already holds
+  // them, or if a save was requested recently.
   std::optional<std::vector<quarantine::QuarantineRecord>> RecordsToSave(
       TimePoint now);
 
-  // What gateways are told. It changes a few times a second at most.
+  // The records that gateways are sent. They change at most a few times a
+  // second.
   const std::vector<quarantine::QuarantineRecord>& published_records() const {
     return published_records_;
   }
   std::uint64_t published_revision() const { return published_revision_; }
-  // Whether the node has heard what there is to hear since its start. Until
-  // then gateways keep what it told them before.
+  // Whether the node has had time to receive all reports since its start. Until
+  // then gateways keep the records that it sent them before.
   bool is_settled() const { return is_settled_; }
-  // The revision that gateways have to be told of at once. What is suspected
-  // for one end alone reaches them with the next answer that they get anyway.
+  // The latest revision that must be sent to gateways immediately. A request
+  // that is only suspected because of a single termination is sent with the
+  // next regular answer.
   std::uint64_t urgent_revision() const { return urgent_revision_; }
   std::size_t size() const { return book_.size(); }
   std::uint64_t trials() const { return trials_; }
@@ -60,7 +65,7 @@
 
   std::optional<Json> OnReport(const Json& params);
   std::optional<Json> OnTrial(const Json& params);
-  // False where it can't be read.
+  // Returns false if the reports can't be parsed.
   bool Report(const Json& reports, TimePoint now);
   void Note(const quarantine::Observation& observation, TimePoint now);
   void Publish(TimePoint now);
@@ -72,14 +77,14 @@
   std::vector<quarantine::QuarantineRecord> published_records_;
   std::uint64_t published_revision_ = 0;
   std::uint64_t urgent_revision_ = 0;
-  std::uint64_t published_registry_revision_ = 0;  // the book's revision
+  std::uint64_t published_registry_revision_ = 0;  // revision of `book_`
   TimePoint published_at_;
   telemetry::LineBudget log_budget_;
   std::uint64_t trials_ = 0;
   std::optional<TimePoint> first_tick_at_;
   bool is_settled_ = false;
   std::vector<quarantine::QuarantineRecord> log_records_;
-  // Unset once what was saved has been taken over.
+  // Unset once the records have been merged.
   std::optional<TimePoint> log_records_received_at_;
   TimePoint save_requested_at_;
 };
--- a/src/plugins/control_node/quarantine_service.h
+++ b/src/plugins/control_node/quarantine_service.h
@@ -1,4 +1,4 @@
-// What operators see of requests that end targets, and can do about them.
+// Lets operators list and release requests in quarantine.
 
 #ifndef PLUGINS_CONTROL_NODE_QUARANTINE_SERVICE_H_
 #define PLUGINS_CONTROL_NODE_QUARANTINE_SERVICE_H_
@@ -9,16 +9,16 @@
 
 namespace bilberryspool::control_node {
 
-// On the metrics address of a control node:
+// HTTP interface on the metrics address of a control node:
 //
-//     GET /quarantine            what is held against which request, as JSON
-//     DELETE /quarantine/CONTENT lets that one pass: 200, or 404 where nothing
-//                                is held against it at this node
+//     GET /quarantine            the requests in quarantine, as JSON
+//     DELETE /quarantine/CONTENT releases that request: 200, or 404 if it is
+//                                not in quarantine at this node
 class QuarantineService {
  public:
   explicit QuarantineService(ControlNode& node) : node_(node) {}
 
-  // False where the request is for something else.
+  // Returns false if the request is for something else.
   bool Serve(net::HttpExchange& exchange);
   void SetMetrics(telemetry::Registry& metrics);
 
--- a/src/plugins/control_node/rank_poller.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -22,7 +22,8 @@
 // sidecar has 0.15 of a core to read them.
 constexpr EngineCalls::CallTimeouts kReadingTimeouts{Milliseconds(60),
                                                      Milliseconds(60)};
-// A group that was not asked for this long has another reader, or is gone.
+// A group that was not polled for this long has another reader, or no longer
+// exists.
 constexpr Duration kGroupRetention = Seconds(10);
 
 net::HttpRequest ReadingRequest(placement::ReadingMark mark) {
@@ -62,7 +63,7 @@
 RankPoller::Group& RankPoller::GroupOf(const groups::RoundQuestion& question,
                                        TimePoint now) {
   auto found = groups_.find(question.group);
-  // Its engines may have been replaced by ones with other experts.
+  // The engines may have been replaced by ones with other experts.
   if (found != groups_.end() && found->second.counters != question.counters) {
     groups_.erase(found);
     found = groups_.end();
@@ -70,7 +71,8 @@
   if (found == groups_.end()) {
     placement::PickWorkOptions work;
     work.read_work = question.read_work;
-    // Marks of before a restart of this process must name no sum of now.
+    // A mark from before a restart of this process must not match a current
+    // sum.
     const placement::ReadingMark first((std::uint64_t{random_()} << 32U) + 1U);
     found =
         groups_
@@ -112,7 +114,7 @@
       *endpoint,
       ReadingRequest(groups_.at(group).rank_states.at(rank.rank).last),
       kReadingTimeouts);
-  // It may have been forgotten meanwhile.
+  // The group may have been removed during the call.
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return std::nullopt;
@@ -152,7 +154,7 @@
   Group& group = GroupOf(question, SteadyNow());
   groups::RoundAnswer answer;
   answer.domain = domain_;
-  // A late one still adds to `round`, which nobody reads again.
+  // A late answer is still added to `round`, which is not read again.
   answer.words = std::move(round->words);
   answer.work = group.sums.Take(question.mark);
   answer.mark = group.sums.mark();
--- a/src/plugins/control_node/rank_poller.h
+++ b/src/plugins/control_node/rank_poller.h
@@ -1,5 +1,5 @@
-// Reads ranks of a group through their sidecars, all at once, and adds up what
-// they were asked for.
+// Polls ranks of a group through their sidecars, all at once, and sums up the
+// work that they were requested to do.
 
 #ifndef PLUGINS_CONTROL_NODE_RANK_POLLER_H_
 #define PLUGINS_CONTROL_NODE_RANK_POLLER_H_
@@ -18,8 +18,8 @@
 
 namespace bilberryspool::control_node {
 
-// Runs in the control loop, on the leader and on all other control nodes. What
-// it keeps of a group that nobody asks for is forgotten.
+// Runs in the control loop, on the leader and on all other control nodes. The
+// state of a group that is no longer polled is removed.
 class RankPoller {
  public:
   RankPoller(net::NetworkLoop& loop, EngineCalls& calls, FailureDomain domain);
@@ -28,10 +28,11 @@
   static bool Handles(const net::HttpRequest& request);
   static net::HttpRequest RequestFor(const groups::RoundQuestion& question);
 
-  // Blocks the calling fiber until all ranks have answered, or for
-  // kRoundTimeout. What comes later is in the next sum.
+  // Blocks the calling fiber until all ranks have answered, but at most for
+  // kRoundTimeout. Later answers are part of the next sum.
   groups::RoundAnswer Read(const groups::RoundQuestion& question);
-  // The same for another control node; 400 for what can't be read.
+  // Like Read(), for another control node; responds with 400 if the request
+  // can't be parsed.
   void Answer(net::HttpExchange& exchange);
 
   static constexpr Duration kRoundTimeout = Milliseconds(100);
@@ -39,8 +40,9 @@
  private:
   struct RankReadingState {
     placement::ReadingMark last;
-    // A sidecar gives growth from its last reading alone, so of two questions
-    // under way the second would get none, and its mark void the first's.
+    // A sidecar only reports growth since its last reading. Of two concurrent
+    // requests, the second one would get none, and its mark would invalidate
+    // the mark of the first one.
     bool is_in_flight = false;
   };
   struct Group {
@@ -49,10 +51,10 @@
     std::map<RankIndex, RankReadingState> rank_states;
     TimePoint asked_at;
   };
-  // The readings of one question.
+  // The readings of one polling round.
   struct PollingRound;
 
-  // False where the rank has another question under way.
+  // Returns false if another request to the rank is in flight.
   bool BeginReading(const GroupId& group, RankIndex rank);
   std::optional<groups::RankWord> ReadRank(const GroupId& group,
                                            const groups::RankAddress& rank,
--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -14,11 +14,11 @@
 
 namespace {
 
-// How often membership, disk and failed folders are looked after.
+// Interval of the checks of membership, disk and failed data folders.
 constexpr Duration kMaintenanceInterval = Milliseconds(200);
 constexpr Duration kChangeTimeout = Seconds(2);
-// A leader whose disk has not answered for this long hands over: it can't
-// vouch for what it proposes, and every change would wait for its disk.
+// A leader whose disk has not responded for this long hands over: it can't
+// guarantee what it proposes, and every change would wait for its disk.
 constexpr Duration kDiskStallTimeout = Milliseconds(700);
 // The log is kept short: each entry holds a whole configuration, which may be
 // hundreds of kilobytes.
@@ -49,7 +49,7 @@
       self_(NameOf(settings.peers_advertise)) {}
 
 void ReplicaHost::Register(links::LinkServer& server) {
-  // The driver may be replaced, so the call is looked up each time.
+  // The driver may be replaced, so it is looked up for each call.
   server.Register("consensus.message",
                   [this](const boost::json::value& params)
                       -> std::optional<boost::json::value> {
@@ -146,15 +146,16 @@
       return;
     }
     if (driver_ == nullptr || driver_->has_failed()) {
-      // A full disk may have room again, so the folder is read anew: what it
-      // promised is in it, and nothing was promised since.
+      // A full disk may have free space again, so the data folder is read
+      // again: everything that the replica promised is in it, and nothing was
+      // promised since.
       if (driver_ != nullptr) {
         driver_->CloseFolder();
         failed_drivers_.push_back(std::move(driver_));
       }
       const std::string error = Open();
       if (!error.empty()) {
-        log_.Warn("Can't open the data folder again.", {{"error", error}});
+        log_.Warn("Failed to reopen the data folder.", {{"error", error}});
       }
       continue;
     }
@@ -258,7 +259,8 @@
   return members;
 }
 
-// A node with a new folder knows the seeds alone, and none of them may lead.
+// A node with a new data folder knows only the seeds, and none of them may be
+// the leader.
 void ReplicaHost::LearnMembers(const std::vector<std::string>& members) {
   if (driver_ == nullptr || !driver_->replica().is_blank()) {
     return;
--- a/src/plugins/control_node/replica_host.h
+++ b/src/plugins/control_node/replica_host.h
@@ -1,5 +1,5 @@
-// The control replica of a control node: its data folder, its place in the
-// log's membership, and its return after a failed disk.
+// Hosts the control replica of a control node: its data folder, its membership
+// in the log, and its recovery after a disk failure.
 
 #ifndef PLUGINS_CONTROL_NODE_REPLICA_HOST_H_
 #define PLUGINS_CONTROL_NODE_REPLICA_HOST_H_
@@ -24,7 +24,7 @@
 class ReplicaHost {
  public:
   struct Hooks {
-    // Committed commands, in order.
+    // Called with committed commands, in order.
     std::function<void(const std::string& command)> apply;
     std::function<void(const std::string& state)> restore;
     std::function<std::string()> make_snapshot;
@@ -37,21 +37,22 @@
               Hooks hooks);
 
   void Register(links::LinkServer& server);
-  // Empty, or why the data folder can't be used at all.
+  // Returns an empty string, or the reason why the data folder can't be used.
   std::string Start();
   void Stop();
 
-  // Null while the data folder is being opened again.
+  // Null while the data folder is being reopened.
   control::ReplicaDriver* driver() { return driver_.get(); }
   bool is_leader() const;
-  // Whether this node's folder is in the log's membership, as far as it knows.
+  // Whether this node's data folder is in the log's membership, as far as it
+  // knows.
   bool is_member() const;
-  // Where the leader is called; nothing where none is known or this is it.
+  // The address of the leader; nothing if it is unknown or this node leads.
   std::optional<net::Endpoint> FindLeader() const;
-  // The voters and learners, and where nothing is known yet the seeds.
+  // The voters and learners, or the seeds if no members are known yet.
   std::vector<net::Endpoint> FindMembers() const;
   const NodeId& self() const { return self_; }
-  // Addresses of the control nodes as another one knows them.
+  // Adds the addresses of control nodes that another one reported.
   void LearnMembers(const std::vector<std::string>& members);
 
  private:
@@ -69,15 +70,15 @@
   Hooks hooks_;
   telemetry::Logger log_;
   storage::PosixFileSystem files_;
-  // The replica is named by its address, so that no other list of addresses
-  // has to be kept.
+  // The replica is identified by its address, so that no separate list of
+  // addresses is needed.
   NodeId self_;
   std::unique_ptr<control::ReplicaDriver> driver_;
   // Drivers whose disk failed; their fibers may still be running.
   std::vector<std::unique_ptr<control::ReplicaDriver>> failed_drivers_;
   bool is_stopping_ = false;
   bool is_membership_changing_ = false;
-  // Of the present leadership.
+  // Exists while this node leads.
   std::optional<consensus::MemberKeeper> member_keeper_;
 };
 
--- a/src/plugins/control_node/replicated_state.cc
+++ b/src/plugins/control_node/replicated_state.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-// No number, which is what a configuration begins with.
+// Not a number, unlike the start of a configuration command.
 constexpr std::string_view kRefusals = "refusals\n";
-// In a snapshot, behind the configuration, whose packed text has no line break.
+// Separates the refusals from the configuration in a snapshot; the packed text
+// of the configuration contains no line break.
 constexpr std::string_view kRefusalsSeparator = "\nrefusals\n";
 
 }  // namespace
--- a/src/plugins/control_node/replicated_state.h
+++ b/src/plugins/control_node/replicated_state.h
@@ -1,5 +1,5 @@
-// What the control replicas' log decides: the configuration, and the requests
-// that are refused since targets ended under them.
+// The state that the control replicas' log determines: the configuration, and
+// the requests that are refused because they terminated targets.
 
 #ifndef PLUGINS_CONTROL_NODE_REPLICATED_STATE_H_
 #define PLUGINS_CONTROL_NODE_REPLICATED_STATE_H_
@@ -13,32 +13,32 @@
 
 namespace bilberryspool::control_node {
 
-// Deterministic.
+// Deterministic: the same commands result in the same state on each replica.
 class ReplicatedState {
  public:
   enum class Change { kNone, kConfiguration, kRefusals };
 
-  // The command that replaces the refusals. Versions that don't know it ignore
-  // it.
+  // Returns the command that replaces the refusals. Versions that don't know
+  // this command ignore it.
   static std::string ProposeRefusals(
       const std::vector<quarantine::QuarantineRecord>& records);
 
   Change Apply(std::string_view command);
 
-  // The state as bytes, and back. False where the bytes are malformed; the
-  // state is then unchanged.
+  // Serializes the state, and restores it. Import() returns false if the bytes
+  // are malformed; the state is then unchanged.
   std::string Export() const;
   bool Import(std::string_view bytes);
 
   const config::NumberedConfiguration& configuration() const {
     return configuration_;
   }
-  // As they were when they were proposed; empty where they can't be read.
+  // The refusals as they were proposed; empty if they can't be parsed.
   std::vector<quarantine::QuarantineRecord> refusals() const;
 
  private:
   config::NumberedConfiguration configuration_;
-  // JSON without line breaks; empty before the first.
+  // JSON without line breaks; empty before the first proposal.
   std::string refusals_;
 };
 
--- a/src/plugins/control_node/target_updates.h
+++ b/src/plugins/control_node/target_updates.h
@@ -1,13 +1,13 @@
-// News of targets for many askers, each made and packed once.
+// Updates of targets for many requesters, each created and compressed once.
 //
-// Each gateway asks what has changed since the revision that it knows. Where
-// hundreds ask while thousands of targets announce themselves, as after all
-// control nodes were killed, an answer made for each costs a node of 0.15 of a
-// core seconds: 3,000 records of 0.3 KB for 240 gateways are 216 MB. Askers are
-// therefore told up to a revision that stays for a moment, so that few
-// different answers are made, and the text is packed.
+// Each gateway requests the changes since the revision that it knows. When
+// hundreds of gateways do so while thousands of targets announce themselves, as
+// after all control nodes were killed, a separate answer for each takes seconds
+// on 0.15 of a core: 3,000 records of 0.3 KB for 240 gateways are 216 MB.
+// Requesters therefore get updates up to a revision that is kept for a short
+// time, so that there are few different answers, and the text is compressed.
 //
-// Pure: the book and `now` in, a text out.
+// Pure: takes the registry and `now`, returns a text.
 
 #ifndef PLUGINS_CONTROL_NODE_TARGET_UPDATES_H_
 #define PLUGINS_CONTROL_NODE_TARGET_UPDATES_H_
@@ -24,13 +24,13 @@
 class TargetUpdates {
  public:
   struct Update {
-    // What the asker knows once it has read this.
+    // The revision that the requester has after reading this update.
     std::uint64_t revision = 0;
     packing::PackedText targets;
   };
 
-  // All that has changed in `book` since `from`, up to a revision that may be
-  // as old as `freshness`, but is never one that the asker has already.
+  // Returns all changes in `book` since `from`, up to a revision that may be as
+  // old as `freshness`, but is newer than `from` whenever `book` is.
   Update ChangesSince(const traffic::TargetBook& book,
                       std::uint64_t from,
                       Duration freshness,
@@ -39,7 +39,7 @@
  private:
   std::uint64_t revision_ = 0;
   TimePoint taken_at_;
-  // By `from`, up to `revision_`.
+  // By `from`; each update ends at `revision_`.
   std::map<std::uint64_t, packing::PackedText> updates_;
 };
 
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -67,8 +67,8 @@
       (!knows_this_boot || query->limits_revision != answer.limits_revision)) {
     answer.shares = node_.limits().book().SharesOf(query->asker);
   }
-  // Half of what news wait for anyway: an asker that was told up to an older
-  // revision asks again at once.
+  // Half of the batching delay: a requester that got an update up to an older
+  // revision sends its next request immediately.
   const Duration freshness = BatchingDelay() / 2;
   TargetUpdates::Update update = target_updates_.ChangesSince(
       node_.targets(), revision, freshness, SteadyNow());
@@ -95,7 +95,7 @@
 }
 
 std::size_t WatchService::CountGateways(TimePoint now) {
-  // Several questions may be lost before one counts as gone.
+  // Several watch requests may be lost before a gateway counts as gone.
   const Duration retention = traffic::kLongestWatch * 5;
   const std::size_t gone = std::erase_if(gateways_, [&](const auto& item) {
     return now - item.second > retention;
@@ -115,13 +115,13 @@
   node_.limits().SetGateways(std::move(names), SteadyNow());
 }
 
-// Where thousands of targets announce themselves within a second, each would be
-// told to each of hundreds of gateways in an answer of its own, which is more
-// than a small node can send: it falls behind in all that it does.
+// When thousands of targets announce themselves within a second, each one would
+// be sent to each of hundreds of gateways in a separate answer. That is more
+// than a small node can send, and all its other work falls behind.
 Duration WatchService::BatchingDelay() const {
-  // At 240 gateways and 3,000 targets a node of 0.15 of a core stood at 98%
-  // without, at 52% with it. The longest leaves most of the two seconds that a
-  // leaving target goes on serving.
+  // With 240 gateways and 3,000 targets, a node with 0.15 of a core had 98%
+  // load without this delay, and 52% with it. The maximum leaves most of the 2
+  // s for which a leaving target continues to serve.
   constexpr Duration kPerGateway = Microseconds(1500);
   constexpr Duration kMaxDelay = Milliseconds(400);
   const auto gateways = static_cast<Duration::rep>(gateways_.size());
--- a/src/plugins/control_node/watch_service.h
+++ b/src/plugins/control_node/watch_service.h
@@ -1,4 +1,4 @@
-// Tells gateways what changes: configuration, targets, control nodes.
+// Notifies gateways of changes to the configuration, targets and control nodes.
 
 #ifndef PLUGINS_CONTROL_NODE_WATCH_SERVICE_H_
 #define PLUGINS_CONTROL_NODE_WATCH_SERVICE_H_
@@ -16,8 +16,8 @@
 
 namespace bilberryspool::control_node {
 
-// A gateway calls "control.watch" with what it knows and gets an answer as
-// soon as there is something else, or after a while without.
+// A gateway calls "control.watch" with the state that it knows, and gets an
+// answer as soon as there is a change, or after a timeout.
 class WatchService {
  public:
   WatchService(net::NetworkLoop& loop, ControlNode& node)
@@ -31,17 +31,18 @@
   std::optional<Json> OnWatch(const Json& params);
 
   void RecordGateway(const traffic::WatchQuery& query);
-  // Forgets those that have not asked for long.
+  // Removes gateways that have not sent a request for a long time, and returns
+  // the number of the others.
   std::size_t CountGateways(TimePoint now);
   // Divides the limits of targets among the gateways that are known now.
   void ShareLimits();
-  // How long news of targets are gathered before they are told.
+  // How long changes of targets are collected before they are sent.
   Duration BatchingDelay() const;
 
   net::NetworkLoop& loop_;
   ControlNode& node_;
   TargetUpdates target_updates_;
-  // When each gateway last asked, by name.
+  // When each gateway last sent a request, by name.
   std::map<std::string, TimePoint> gateways_;
 };
 
--- a/src/plugins/sidecar/engine_protocol.h
+++ b/src/plugins/sidecar/engine_protocol.h
@@ -1,5 +1,5 @@
-// How engines that run in lock-step by themselves are asked and ordered;
-// decided where the program is put together.
+// Requests to self-stepping engines, and the parsing of their answers; chosen
+// by the application.
 
 #ifndef PLUGINS_SIDECAR_ENGINE_PROTOCOL_H_
 #define PLUGINS_SIDECAR_ENGINE_PROTOCOL_H_
--- a/src/plugins/sidecar/engine_reader.cc
+++ b/src/plugins/sidecar/engine_reader.cc
@@ -16,7 +16,7 @@
 
 placement::ReadingMark MakeFirstMark() {
   std::random_device device;
-  // Never 0, which names no reading.
+  // Never 0, which stands for no reading.
   return placement::ReadingMark((std::uint64_t{device()} << 32U) + 1U);
 }
 
@@ -64,8 +64,8 @@
   if (!report.has_value()) {
     head.status = net::status::kBadGateway;
     exchange.Respond(std::move(head), "");
-    return report_body.has_value() ? "its report can't be read"
-                                   : "no report came";
+    return report_body.has_value() ? "the engine's report can't be parsed"
+                                   : "the engine sent no report";
   }
   groups::RankReading reading;
   reading.report = *report;
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -1,4 +1,5 @@
-// Reads the engine beside it: its report, and what its counters have grown by.
+// Reads the state of the engine beside the sidecar: its report, and the growth
+// of its counters.
 
 #ifndef PLUGINS_SIDECAR_ENGINE_READER_H_
 #define PLUGINS_SIDECAR_ENGINE_READER_H_
@@ -15,23 +16,23 @@
 
 namespace bilberryspool::sidecar {
 
-// Runs in its loop.
+// Runs in the loop that it is constructed with.
 class EngineReader {
  public:
   EngineReader(net::NetworkLoop& loop,
                net::Endpoint engine,
                EngineProtocol protocol);
 
-  // Whether this reader is asked, rather than the engine.
+  // Whether the request is for this reader rather than for the engine.
   static bool Handles(const net::HttpRequest& request);
 
-  // Answers with a groups::RankReading, or 502 where the engine does not answer
-  // within the time that the asker allows. Returns why it did not; empty where
-  // it did.
+  // Responds with a groups::RankReading, or with 502 if the engine does not
+  // answer within the time limit of the requester. Returns the error, or an
+  // empty string on success.
   std::string Answer(net::HttpExchange& exchange);
 
  private:
-  // The body of the engine's answer.
+  // Returns the body of the engine's answer.
   std::optional<std::string> CallEngine(const net::HttpRequest& request,
                                         Duration timeout);
 
--- a/src/plugins/sidecar/engine_relay.cc
+++ b/src/plugins/sidecar/engine_relay.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// What the engine is to get.
+// Returns the body to send to the engine; nothing if it can't be unpacked.
 std::optional<std::string> BodyOf(const net::HttpRequest& incoming) {
   return incoming.headers.Find(kPackedField).has_value()
              ? packing::Unpack({incoming.body})
--- a/src/plugins/sidecar/engine_relay.h
+++ b/src/plugins/sidecar/engine_relay.h
@@ -1,4 +1,4 @@
-// Passes calls on to engines, for an asker on another VM.
+// Relays calls to engines for a requester on another VM.
 
 #ifndef PLUGINS_SIDECAR_ENGINE_RELAY_H_
 #define PLUGINS_SIDECAR_ENGINE_RELAY_H_
@@ -12,15 +12,16 @@
 
 namespace bilberryspool::sidecar {
 
-// Runs in its loop. Keeps nothing but idle connections.
+// Runs in the loop that it is constructed with. Its only state are idle
+// connections.
 class EngineRelay {
  public:
   explicit EngineRelay(net::NetworkLoop& loop);
 
-  // The engine gets method, target, type and body, and none of the fields that
-  // sign the link; the asker gets its status and body, or 502 where it does not
-  // answer within the time that the asker allows. Returns why it did not;
-  // empty where it did.
+  // Sends method, target, content type and body to the engine, without the
+  // headers that authenticate the link. Responds with the engine's status and
+  // body, or with 502 if the engine does not answer within the time limit of
+  // the requester. Returns the error, or an empty string on success.
   std::string Relay(net::HttpExchange& exchange, const net::Endpoint& engine);
 
  private:
--- a/src/plugins/sidecar/sidecar_call.cc
+++ b/src/plugins/sidecar/sidecar_call.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Where the asker names none; it is not taken for more either.
+// Default and upper bound of the requester's time limit.
 constexpr Duration kMaxEngineTimeout = Milliseconds(400);
 
 }  // namespace
--- a/src/plugins/sidecar/sidecar_call.h
+++ b/src/plugins/sidecar/sidecar_call.h
@@ -1,4 +1,5 @@
-// What control nodes and sidecars agree on beside the engine's own calls.
+// Headers of calls between control nodes and sidecars, in addition to the
+// engine's own protocol.
 
 #ifndef PLUGINS_SIDECAR_SIDECAR_CALL_H_
 #define PLUGINS_SIDECAR_SIDECAR_CALL_H_
@@ -8,18 +9,19 @@
 
 namespace bilberryspool::sidecar {
 
-// How many milliseconds the engine may take; the sidecar then answers 502 in
-// its place, so that the asker knows that the sidecar itself is well.
+// Time limit of the engine in milliseconds. After it the sidecar responds with
+// 502 on its behalf, so that the requester knows that the sidecar itself works.
 inline constexpr char kTimeoutField[] = "Patience-Ms";
 // "IP:PORT" of the engine, for relays that serve more than one.
 inline constexpr char kEngineField[] = "Engine";
-// Asks the sidecar for a groups::RankReading; the mark of the last one, or 0.
+// Requests a groups::RankReading from the sidecar; the value is the mark of the
+// last one, or 0.
 inline constexpr char kMarkField[] = "Reading-Mark";
 
-// The body is a packing::PackedText of what the engine is to get.
+// The body is a packing::PackedText of the body for the engine.
 inline constexpr char kPackedField[] = "Packed";
 
-// The time that the asker allows the engine, within bounds.
+// Returns the time that the requester allows the engine, within bounds.
 Duration TimeoutOf(const net::HttpRequest& request);
 
 }  // namespace bilberryspool::sidecar
--- a/src/plugins/sidecar/sidecar_process.cc
+++ b/src/plugins/sidecar/sidecar_process.cc
@@ -46,7 +46,7 @@
       log_.Info("Started.", {{"engine", engine_.ToString()}});
       loop_.OnStopSignal([this] { loop_.Stop(); });
       loop_.OnReloadSignal([this] {
-        log_.Info("Settings may have changed; they count at the next start.");
+        log_.Info("Changed settings take effect at the next start.");
       });
       loop_.WaitForStop();
       log_.Info("Stopped.");
--- a/src/plugins/sidecar/sidecar_process.h
+++ b/src/plugins/sidecar/sidecar_process.h
@@ -1,10 +1,11 @@
 // A sidecar: the small process beside an engine through which control nodes
-// ask and order it.
+// read it and send it orders.
 //
-// From its own VM an engine's reports are fresh and its counts cost the group
-// no pause, so the control nodes see a change of demand within a step or two.
-// It keeps the counts that it told last, so that it tells what they have grown
-// by, and decides nothing; without it control nodes ask the engine from afar.
+// Read from its own VM, an engine's reports are fresh and its counts don't
+// pause the group, so the control nodes see a change of demand within one or
+// two steps. The sidecar keeps the last counts that it reported, to report
+// their growth, and makes no decisions. Without it, control nodes call the
+// engine remotely.
 
 #ifndef PLUGINS_SIDECAR_SIDECAR_PROCESS_H_
 #define PLUGINS_SIDECAR_SIDECAR_PROCESS_H_
@@ -14,7 +15,8 @@
 
 namespace bilberryspool::sidecar {
 
-// Runs until a stop signal. Returns the exit status: 1 where it can't start.
+// Runs until a stop signal. Returns the exit status, which is 1 if the sidecar
+// can't start.
 int RunSidecar(const settings::CommonSettings& common,
                const settings::SidecarSettings& settings,
                const EngineProtocol& protocol);
