--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -32,7 +32,7 @@
 // as silent.
 constexpr int kMissedAnnouncements = 3;
 
-traffic::TargetBookOptions MakeBookOptions(
+traffic::TargetBookOptions MakeRegistryOptions(
     const settings::ControlSettings& settings) {
   traffic::TargetBookOptions options;
   options.silence = settings.announcement_interval * kMissedAnnouncements;
@@ -72,7 +72,7 @@
       client_(loop, std::move(authenticator)),
       read_configuration_(std::move(read_configuration)),
       log_("control"),
-      targets_(MakeBookOptions(settings)),
+      targets_(MakeRegistryOptions(settings)),
       boot_(std::random_device()()),
       replica_(loop, client_, common, settings, MakeHooks()) {}
 
@@ -393,15 +393,15 @@
   std::vector<net::Endpoint> nodes = replica_.FindMembers();
   std::set<net::Endpoint> known(nodes.begin(), nodes.end());
   const TimePoint now = SteadyNow();
-  for (const auto& [node, heard_at] : node_last_seen_at_) {
-    if (now - heard_at < kNodeRetention && known.insert(node).second) {
+  for (const auto& [node, last_seen_at] : node_last_seen_at_) {
+    if (now - last_seen_at < kNodeRetention && known.insert(node).second) {
       nodes.push_back(node);
     }
   }
   return nodes;
 }
 
-void ControlNode::OnNodeResponded(const net::Endpoint& node) {
+void ControlNode::OnNodeContact(const net::Endpoint& node) {
   node_last_seen_at_[node] = SteadyNow();
 }
 
--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -86,7 +86,7 @@
   std::vector<net::Endpoint> FindNodes() const;
   // Records that a control node has sent a request to this one, or responded to
   // it.
-  void OnNodeResponded(const net::Endpoint& node);
+  void OnNodeContact(const net::Endpoint& node);
 
   const config::NumberedConfiguration& configuration() const {
     return state_.configuration();
--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -139,7 +139,7 @@
     metrics_
         .GaugeFor({"bilberryspool_declared_limits",
                    "Targets that declare a limit for all callers"})
-        .Set(static_cast<double>(node_.limits().book().size()));
+        .Set(static_cast<double>(node_.limits().registry().size()));
     metrics_
         .GaugeFor({"bilberryspool_limit_grants",
                    "Requests that this node has granted of declared limits"})
--- a/src/plugins/control_node/group_manager.cc
+++ b/src/plugins/control_node/group_manager.cc
@@ -145,8 +145,9 @@
 
 bool GroupManager::KnowsEngine(const net::Endpoint& engine) const {
   const std::string address = engine.ToString();
-  for (const traffic::TargetBook* book : {&peer_targets_, &node_.targets()}) {
-    for (const auto& [target, record] : book->records()) {
+  for (const traffic::TargetBook* registry :
+       {&peer_targets_, &node_.targets()}) {
+    for (const auto& [target, record] : registry->records()) {
       if (record.announcement.address == address &&
           record.announcement.group.has_value()) {
         return true;
@@ -211,7 +212,7 @@
   if (answer->quarantine.has_value()) {
     node_.quarantine().Adopt(*answer->quarantine, SteadyNow());
   }
-  node_.OnNodeResponded(peer);
+  node_.OnNodeContact(peer);
   node_.replica().LearnMembers(answer->members);
   for (const std::string& member : answer->members) {
     if (const auto endpoint = net::ParseEndpoint(member)) {
@@ -251,12 +252,12 @@
 // withdrawing, and its successor. The one with the newest epoch counts, and
 // among equals the one with the latest announcement.
 void GroupManager::CollectRanks() {
-  const std::initializer_list<const traffic::TargetBook*> books = {
+  const std::initializer_list<const traffic::TargetBook*> registries = {
       &peer_targets_, &node_.targets()};
   std::map<std::pair<GroupId, std::uint32_t>, const traffic::TargetRecord*>
       latest;
-  for (const traffic::TargetBook* book : books) {
-    for (const auto& [target, record] : book->records()) {
+  for (const traffic::TargetBook* registry : registries) {
+    for (const auto& [target, record] : registry->records()) {
       const auto& place = record.announcement.group;
       if (!place.has_value() ||
           record.announcement.standing == traffic::Standing::kGone) {
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -103,7 +103,7 @@
   void ApplyReport(RankIndex rank,
                    const groups::EngineReport& report,
                    TimePoint as_of,
-                   TimePoint heard_at);
+                   TimePoint responded_at);
   void ReadMap();
   // The map in use, as assembled from the experts of each rank.
   struct MapReading {
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -184,12 +184,12 @@
 void GroupTask::ApplyReport(RankIndex rank,
                             const groups::EngineReport& report,
                             TimePoint as_of,
-                            TimePoint heard_at) {
+                            TimePoint responded_at) {
   paces_[rank] = report.pace;
   silence_.OnHeard(rank, SteadyNow());
   loads_at_[rank] = {report.running, report.waiting};
   newest_step_ = report.step;
-  switch_.OnReport(rank, report, as_of, heard_at);
+  switch_.OnReport(rank, report, as_of, responded_at);
 }
 
 void GroupTask::AddSlowTargets(
--- a/src/plugins/control_node/limit_manager.cc
+++ b/src/plugins/control_node/limit_manager.cc
@@ -20,7 +20,7 @@
     : changed_(changed),
       log_("limits"),
       log_budget_(kMaxLogLinesPerSecond),
-      book_(declared_limits::LimitBookOptions{}),
+      registry_(declared_limits::LimitBookOptions{}),
       granter_(declared_limits::LimitGranterOptions{}) {}
 
 void LimitManager::Register(links::LinkServer& server) {
@@ -38,7 +38,7 @@
   }
   const TimePoint now = net::SteadyNow();
   const declared_limits::GrantAnswer answer =
-      granter_.Ask(*request, book_, now);
+      granter_.Ask(*request, registry_, now);
   if (answer.grants.empty() && log_budget_.Take(now)) {
     log_.Info("No target may be sent more.",
               {{"targets", request->targets.size()},
@@ -54,7 +54,7 @@
     TimePoint now) {
   bool is_changed = false;
   for (const declared_limits::LimitStatement& statement : statements) {
-    if (!book_.Note(statement, now)) {
+    if (!registry_.Note(statement, now)) {
       continue;
     }
     is_changed = true;
@@ -75,22 +75,22 @@
 
 void LimitManager::SetGateways(std::vector<std::string> gateways,
                                TimePoint now) {
-  book_.SetGateways(std::move(gateways));
+  registry_.SetGateways(std::move(gateways));
   Publish(now);
 }
 
 void LimitManager::Tick(TimePoint now) {
-  book_.Tick(now);
+  registry_.Tick(now);
   granter_.Tick(now);
   Publish(now);
 }
 
 void LimitManager::Publish(TimePoint now) {
-  if (book_.revision() == published_revision_ ||
+  if (registry_.revision() == published_revision_ ||
       now - published_at_ < kMinUpdateInterval) {
     return;
   }
-  published_revision_ = book_.revision();
+  published_revision_ = registry_.revision();
   published_at_ = now;
   changed_.NotifyAll();
 }
--- a/src/plugins/control_node/limit_manager.h
+++ b/src/plugins/control_node/limit_manager.h
@@ -35,7 +35,7 @@
   // Must be called a few times a second.
   void Tick(TimePoint now);
 
-  const declared_limits::LimitBook& book() const { return book_; }
+  const declared_limits::LimitBook& registry() const { return registry_; }
   const declared_limits::LimitGranter& granter() const { return granter_; }
   // Changes at most a few times a second, with a delay after the registry.
   std::uint64_t published_revision() const { return published_revision_; }
@@ -47,7 +47,7 @@
   net::FiberSignal& changed_;
   telemetry::Logger log_;
   telemetry::LineBudget log_budget_;
-  declared_limits::LimitBook book_;
+  declared_limits::LimitBook registry_;
   declared_limits::LimitGranter granter_;
   std::uint64_t published_revision_ = 0;
   TimePoint published_at_;
--- a/src/plugins/control_node/quarantine_manager.cc
+++ b/src/plugins/control_node/quarantine_manager.cc
@@ -53,7 +53,7 @@
 QuarantineManager::QuarantineManager(net::FiberSignal& changed)
     : changed_(changed),
       log_("quarantine"),
-      book_(quarantine::QuarantineOptions{}),
+      registry_(quarantine::QuarantineOptions{}),
       log_budget_(kMaxLogLinesPerSecond) {}
 
 void QuarantineManager::Register(links::LinkServer& server) {
@@ -85,26 +85,27 @@
 
 void QuarantineManager::Note(const quarantine::Observation& observation,
                              TimePoint now) {
-  std::visit(
-      Overloaded{
-          [&](const quarantine::EndObserved& end) {
-            if (book_.OnEnd(end, now)) {
-              LogVerdict(end.request, now);
-            }
-          },
-          [&](const quarantine::CompletionObserved& completion) {
-            if (book_.OnCompleted(completion, now)) {
-              LogVerdict(completion.request, now);
-            }
-          },
-          [&](const quarantine::TrialOver& over) { book_.OnTrialOver(over); },
-          [&](const quarantine::ReleaseOrdered& release) {
-            if (book_.OnReleased(release, now)) {
-              LogVerdict(release.request, now);
-            }
-          },
-      },
-      observation);
+  std::visit(Overloaded{
+                 [&](const quarantine::EndObserved& end) {
+                   if (registry_.OnEnd(end, now)) {
+                     LogVerdict(end.request, now);
+                   }
+                 },
+                 [&](const quarantine::CompletionObserved& completion) {
+                   if (registry_.OnCompleted(completion, now)) {
+                     LogVerdict(completion.request, now);
+                   }
+                 },
+                 [&](const quarantine::TrialOver& over) {
+                   registry_.OnTrialOver(over);
+                 },
+                 [&](const quarantine::ReleaseOrdered& release) {
+                   if (registry_.OnReleased(release, now)) {
+                     LogVerdict(release.request, now);
+                   }
+                 },
+             },
+             observation);
 }
 
 std::optional<boost::json::value> QuarantineManager::OnTrial(
@@ -126,7 +127,7 @@
   if (const auto* reports = object->if_contains("reports")) {
     Report(*reports, now);
   }
-  const bool is_allowed = book_.TryTrial(*request, *requester, now);
+  const bool is_allowed = registry_.TryTrial(*request, *requester, now);
   trials_ += is_allowed ? 1 : 0;
   Publish(now);
   return Json(is_allowed);
@@ -173,10 +174,10 @@
     log_.Info("The log holds refused requests.",
               {{"records", log_records_.size()}});
     for (const quarantine::QuarantineRecord& record : log_records_) {
-      book_.Adopt(record, now);
+      registry_.Adopt(record, now);
     }
   }
-  for (const quarantine::RequestFingerprint& request : book_.Tick(now)) {
+  for (const quarantine::RequestFingerprint& request : registry_.Tick(now)) {
     LogVerdict(request, now);
   }
   Publish(now);
@@ -186,14 +187,14 @@
     const std::vector<quarantine::QuarantineRecord>& records,
     TimePoint now) {
   for (const quarantine::QuarantineRecord& record : records) {
-    book_.Adopt(record, now);
+    registry_.Adopt(record, now);
   }
   Publish(now);
 }
 
 bool QuarantineManager::Release(const quarantine::RequestFingerprint& request,
                                 TimePoint now) {
-  const bool is_held = book_.OnReleased({request, Duration::zero()}, now);
+  const bool is_held = registry_.OnReleased({request, Duration::zero()}, now);
   if (is_held) {
     LogVerdict(request, now);
   }
@@ -202,14 +203,14 @@
 }
 
 void QuarantineManager::Publish(TimePoint now) {
-  if (book_.revision() == published_registry_revision_ ||
+  if (registry_.revision() == published_registry_revision_ ||
       now - published_at_ < kMinUpdateInterval) {
     return;
   }
-  published_registry_revision_ = book_.revision();
+  published_registry_revision_ = registry_.revision();
   published_at_ = now;
   const auto before = quarantine::StrictlyHeld(published_records_);
-  published_records_ = book_.Told(now);
+  published_records_ = registry_.Told(now);
   ++published_revision_;
   if (quarantine::StrictlyHeld(published_records_) != before) {
     urgent_revision_ = published_revision_;
@@ -220,7 +221,7 @@
 void QuarantineManager::LogVerdict(
     const quarantine::RequestFingerprint& request,
     TimePoint now) {
-  const auto record = book_.RecordOf(request, now);
+  const auto record = registry_.RecordOf(request, now);
   if (!log_budget_.Take(now) || !record.has_value()) {
     return;
   }
--- a/src/plugins/control_node/quarantine_manager.h
+++ b/src/plugins/control_node/quarantine_manager.h
@@ -57,7 +57,7 @@
   // that is only suspected because of a single termination is sent with the
   // next regular answer.
   std::uint64_t urgent_revision() const { return urgent_revision_; }
-  std::size_t size() const { return book_.size(); }
+  std::size_t size() const { return registry_.size(); }
   std::uint64_t trials() const { return trials_; }
 
  private:
@@ -73,11 +73,11 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  quarantine::QuarantineBook book_;
+  quarantine::QuarantineBook registry_;
   std::vector<quarantine::QuarantineRecord> published_records_;
   std::uint64_t published_revision_ = 0;
   std::uint64_t urgent_revision_ = 0;
-  std::uint64_t published_registry_revision_ = 0;  // revision of `book_`
+  std::uint64_t published_registry_revision_ = 0;  // revision of `registry_`
   TimePoint published_at_;
   telemetry::LineBudget log_budget_;
   std::uint64_t trials_ = 0;
--- a/src/plugins/control_node/target_updates.h
+++ b/src/plugins/control_node/target_updates.h
@@ -31,7 +31,7 @@
 
   // Returns all changes in `book` since `from`, up to a revision that may be as
   // old as `freshness`, but is newer than `from` whenever `book` is.
-  Update ChangesSince(const traffic::TargetBook& book,
+  Update ChangesSince(const traffic::TargetBook& registry,
                       std::uint64_t from,
                       Duration freshness,
                       TimePoint now);
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -26,7 +26,7 @@
     RecordGateway(*query);
   }
   if (const auto node = net::ParseEndpoint(query->control_address)) {
-    node_.OnNodeResponded(*node);
+    node_.OnNodeContact(*node);
   }
   const bool knows_this_boot = query->boot == node_.boot();
   const std::uint64_t revision = knows_this_boot ? query->revision : 0;
@@ -65,7 +65,7 @@
   answer.limits_revision = node_.limits().published_revision();
   if (!query->asker.empty() &&
       (!knows_this_boot || query->limits_revision != answer.limits_revision)) {
-    answer.shares = node_.limits().book().SharesOf(query->asker);
+    answer.shares = node_.limits().registry().SharesOf(query->asker);
   }
   // Half of the batching delay: a requester that got an update up to an older
   // revision sends its next request immediately.
@@ -109,7 +109,7 @@
 void WatchService::ShareLimits() {
   std::vector<std::string> names;
   names.reserve(gateways_.size());
-  for (const auto& [name, heard_at] : gateways_) {
+  for (const auto& [name, last_request_at] : gateways_) {
     names.push_back(name);
   }
   node_.limits().SetGateways(std::move(names), SteadyNow());
--- a/tests/auto/control_node/target_updates_test.cc
+++ b/tests/auto/control_node/target_updates_test.cc
@@ -49,28 +49,28 @@
 // Symptom: for eight seconds after all control nodes were killed hardly anyone
 // is served. Cause: an answer was made for each of hundreds of gateways.
 TEST_CASE("askers that know as much are told the same") {
-  traffic::TargetBook book(traffic::TargetBookOptions{});
+  traffic::TargetBook registry(traffic::TargetBookOptions{});
   TargetUpdates updates;
   for (std::uint64_t i = 0; i < 50; ++i) {
-    book.Announce(MakeAnnouncement(i, 1), At(0));
+    registry.Announce(MakeAnnouncement(i, 1), At(0));
   }
-  const auto first = updates.ChangesSince(book, 0, kFreshness, At(0));
-  book.Announce(MakeAnnouncement(60, 1), At(10));
-  const auto second = updates.ChangesSince(book, 0, kFreshness, At(20));
+  const auto first = updates.ChangesSince(registry, 0, kFreshness, At(0));
+  registry.Announce(MakeAnnouncement(60, 1), At(10));
+  const auto second = updates.ChangesSince(registry, 0, kFreshness, At(20));
   CHECK(second.revision == first.revision);
   CHECK(second.targets == first.targets);
-  CHECK(updates.ChangesSince(book, 0, kFreshness, At(200)).revision >
+  CHECK(updates.ChangesSince(registry, 0, kFreshness, At(200)).revision >
         first.revision);
 }
 
 TEST_CASE("an asker is never told only what it knows while there is more") {
-  traffic::TargetBook book(traffic::TargetBookOptions{});
+  traffic::TargetBook registry(traffic::TargetBookOptions{});
   TargetUpdates updates;
-  book.Announce(MakeAnnouncement(1, 1), At(0));
-  const auto first = updates.ChangesSince(book, 0, kFreshness, At(0));
-  book.Announce(MakeAnnouncement(2, 1), At(1));
+  registry.Announce(MakeAnnouncement(1, 1), At(0));
+  const auto first = updates.ChangesSince(registry, 0, kFreshness, At(0));
+  registry.Announce(MakeAnnouncement(2, 1), At(1));
   const auto next =
-      updates.ChangesSince(book, first.revision, kFreshness, At(1));
+      updates.ChangesSince(registry, first.revision, kFreshness, At(1));
   CHECK(next.revision > first.revision);
   CHECK(traffic::UnpackTargets(next.targets)->size() == 1);
 }
@@ -79,24 +79,24 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     Random random(seed);
-    traffic::TargetBook book(traffic::TargetBookOptions{});
+    traffic::TargetBook registry(traffic::TargetBookOptions{});
     TargetUpdates updates;
     std::vector<Gateway> gateways(6);
     std::uint64_t sequence = 0;
     for (std::int64_t ms = 0; ms < 2000; ms += 7) {
-      book.Announce(MakeAnnouncement(random.Below(20), ++sequence), At(ms));
+      registry.Announce(MakeAnnouncement(random.Below(20), ++sequence), At(ms));
       Gateway& gateway = gateways[random.Below(gateways.size())];
       gateway.Read(
-          updates.ChangesSince(book, gateway.revision, kFreshness, At(ms)));
+          updates.ChangesSince(registry, gateway.revision, kFreshness, At(ms)));
     }
     for (Gateway& gateway : gateways) {
-      for (int i = 0; i < 3 && gateway.revision < book.revision(); ++i) {
-        gateway.Read(
-            updates.ChangesSince(book, gateway.revision, kFreshness, At(3000)));
+      for (int i = 0; i < 3 && gateway.revision < registry.revision(); ++i) {
+        gateway.Read(updates.ChangesSince(registry, gateway.revision,
+                                          kFreshness, At(3000)));
       }
-      CHECK(gateway.revision == book.revision());
-      CHECK(gateway.slots.size() == book.records().size());
-      for (const auto& [target, record] : book.records()) {
+      CHECK(gateway.revision == registry.revision());
+      CHECK(gateway.slots.size() == registry.records().size());
+      for (const auto& [target, record] : registry.records()) {
         CHECK(gateway.slots[target.value()] == record.announcement.slots);
       }
     }
