--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -31,7 +31,7 @@
       return "arming";
     case SwitchPhase::kReleasing:
       return "releasing";
-    case SwitchPhase::kSettlingTime:
+    case SwitchPhase::kSettling:
       return "settling";
     case SwitchPhase::kClearing:
       return "clearing";
