--- a/src/plugins/control_node/engine_calls.cc
+++ b/src/plugins/control_node/engine_calls.cc
@@ -112,9 +112,9 @@
 
 EngineCalls::Answer EngineCalls::CallNode(const net::Endpoint& node,
                                           net::HttpRequest request,
-                                          Duration timeouts) {
+                                          Duration timeout) {
   const TimePoint asked = SteadyNow();
-  auto result = links_.Send(node, std::move(request), timeouts);
+  auto result = links_.Send(node, std::move(request), timeout);
   auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     links_.DropIdle(node);
@@ -128,9 +128,9 @@
 
 EngineCalls::Answer EngineCalls::CallDirectly(const net::Endpoint& engine,
                                               const net::HttpRequest& request,
-                                              Duration timeouts) {
+                                              Duration timeout) {
   const TimePoint asked = SteadyNow();
-  auto result = client_.Send(engine, request, timeouts);
+  auto result = client_.Send(engine, request, timeout);
   auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     client_.DropIdle(engine);
--- a/src/plugins/control_node/engine_calls.h
+++ b/src/plugins/control_node/engine_calls.h
@@ -59,7 +59,7 @@
   // Sends a request that another control node answers itself.
   Answer CallNode(const net::Endpoint& node,
                   net::HttpRequest request,
-                  Duration timeouts);
+                  Duration timeout);
 
  private:
   // Returns nothing if the sidecar refused the connection, so that nothing was
@@ -69,7 +69,7 @@
                                    const CallTimeouts& timeouts);
   Answer CallDirectly(const net::Endpoint& engine,
                       const net::HttpRequest& request,
-                      Duration timeouts);
+                      Duration timeout);
 
   net::HttpClient client_;
   links::LinkClient& links_;
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -33,8 +33,8 @@
 // is.
 struct GroupStats {
   std::size_t known_ranks = 0;  // ranks that responded at least once
-  std::size_t missing = 0;
-  Duration oldest_sum_age{};  // time since the oldest sum of a reader arrived
+  std::size_t missing = 0;      // ranks that do not respond now
+  Duration oldest_sum_age{};    // time since the oldest sum of a reader arrived
   Duration last_plan_duration{};  // time that the last plan took
   Duration time_since_tick{};     // due every 25 ms
 };
--- a/src/plugins/control_node/target_updates.h
+++ b/src/plugins/control_node/target_updates.h
@@ -29,8 +29,8 @@
     packing::PackedText targets;
   };
 
-  // Returns all changes in `book` since `from`, up to a revision that may be as
-  // old as `freshness`, but is newer than `from` whenever `book` is.
+  // Returns all changes in `registry` since `from`, up to a revision that may
+  // be as old as `freshness`, but is newer than `from` whenever `registry` is.
   Update ChangesSince(const traffic::TargetBook& registry,
                       std::uint64_t from,
                       Duration freshness,
--- a/tests/auto/control_node/leadership_term_test.cc
+++ b/tests/auto/control_node/leadership_term_test.cc
@@ -7,11 +7,11 @@
 
 using Verdict = LeadershipTerm::Verdict;
 
-// Symptom: a group stands still for 1.5 s, and all its streams are cut off.
-// Sequence: a step is held; the node is short of processor time, its lease
-// lapses and comes back in the same term. Cause: the change was dropped with
-// the lease, and the hold was only found by looking at all ranks anew.
-TEST_CASE("a lapse within a term keeps what was begun") {
+// Guards against a group being stalled for 1.5 s and all its streams being
+// aborted. While a step is held, the node lacks processor time, and its lease
+// lapses and is renewed in the same term. The change was dropped with the
+// lease, and the hold was only found by polling all ranks again.
+TEST_CASE("a lapse of the lease within a term keeps the work") {
   LeadershipTerm leadership_term;
   CHECK(leadership_term.Update(true, Term(4)) == Verdict::kNewTerm);
   CHECK(leadership_term.Update(true, Term(4)) == Verdict::kSameTerm);
@@ -20,7 +20,7 @@
   CHECK(leadership_term.Update(true, Term(4)) == Verdict::kSameTerm);
 }
 
-TEST_CASE("another term ends what was begun") {
+TEST_CASE("another term ends the work") {
   LeadershipTerm leadership_term;
   CHECK(leadership_term.Update(true, Term(4)) == Verdict::kNewTerm);
   CHECK(leadership_term.Update(false, Term()) == Verdict::kNotLeading);
@@ -28,7 +28,7 @@
   CHECK(leadership_term.Update(true, Term(6)) == Verdict::kSameTerm);
 }
 
-TEST_CASE("who has never led has nothing to keep") {
+TEST_CASE("a node that has never led starts with a new term") {
   LeadershipTerm leadership_term;
   CHECK(leadership_term.Update(false, Term()) == Verdict::kNotLeading);
   CHECK(leadership_term.Update(true, Term(1)) == Verdict::kNewTerm);
--- a/tests/auto/control_node/order_helpers_test.cc
+++ b/tests/auto/control_node/order_helpers_test.cc
@@ -1,4 +1,4 @@
-// Who passes the orders about a held step on.
+// Tests which node relays the orders about a held step.
 
 #include "plugins/control_node/order_helpers.h"
 
@@ -10,10 +10,10 @@
 const net::Endpoint kFirstNode{"10.0.0.1", 7000};
 const net::Endpoint kSecondNode{"10.0.0.2", 7000};
 
-// Symptom: a group stands still for 4 s. Sequence: a VM passes the hold on and
-// freezes; the release goes the same way and is not answered. Cause: one VM
-// stood for both.
-TEST_CASE("the release does not go by the node that passed the hold on") {
+// Guards against a group being stalled for 4 s. A VM relays the hold and
+// freezes; the release takes the same path and is not answered, because one VM
+// was used for both orders.
+TEST_CASE("the release is not relayed by the node that relayed the hold") {
   OrderHelpers helpers;
   helpers.Set({kFirstNode, kSecondNode});
   for (int change = 0; change < 5; ++change) {
@@ -25,7 +25,7 @@
   }
 }
 
-TEST_CASE("a node that failed is passed over until it is told of again") {
+TEST_CASE("a failed node is skipped until it is set again") {
   OrderHelpers helpers;
   helpers.Set({kFirstNode, kSecondNode});
   helpers.OnRelayed(kFirstNode, RelayResult::kHelperFailed);
@@ -38,12 +38,12 @@
   CHECK(helpers.Next() == kFirstNode);
 }
 
-// Symptom: a freeze stops the group for its length although others could pass
-// the hold on. Sequence: two orders are lost at an engine; both helpers are
-// left out for it; the next hold goes by the VM beside the engine, which
-// freezes. Cause: the engine's silence counted against the node that passed the
-// order on.
-TEST_CASE("an engine's silence says nothing against its helper") {
+// Guards against a freeze stalling the group for its whole length although
+// other nodes could relay the hold. Two orders get no answer from an engine,
+// both helpers are excluded for it, and the next hold goes through the VM
+// beside the engine, which freezes. An engine's silence must not count against
+// the node that relayed the order.
+TEST_CASE("an engine that does not answer does not exclude the helper") {
   OrderHelpers helpers;
   helpers.Set({kFirstNode, kSecondNode});
   for (int i = 0; i < 6; ++i) {
@@ -54,7 +54,7 @@
   CHECK(helpers.Next().has_value());
 }
 
-TEST_CASE("what a helper's status says") {
+TEST_CASE("a helper's status is classified") {
   struct Row {
     int status;
     RelayResult result;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("where there is no other node there is no helper") {
+TEST_CASE("there is no helper without other nodes") {
   OrderHelpers helpers;
   CHECK_FALSE(helpers.Next().has_value());
 }
--- a/tests/auto/control_node/polling_schedule_test.cc
+++ b/tests/auto/control_node/polling_schedule_test.cc
@@ -24,8 +24,8 @@
   return FailureDomain(kDomains[index % std::size(kDomains)]);
 }
 
-// A group of `ranks` over five domains; the leader is in the last one, which
-// has no other reader.
+// A group of `ranks` in five failure domains. The leader is in the last one,
+// which has no other reader.
 class PollingSimulation {
  public:
   PollingSimulation(std::uint32_t ranks, std::uint64_t seed) : random_(seed) {
@@ -36,7 +36,7 @@
     schedule_.SetReaders(Readers());
   }
 
-  // `failed` readers leave questions unanswered.
+  // Readers in `failed` leave requests unanswered.
   void Run(Duration length, const std::set<std::size_t>& failed) {
     const TimePoint end = now_ + length;
     for (; now_ < end; now_ += kTick) {
@@ -82,7 +82,8 @@
     pending.ends += pending.is_answered
                         ? random_.Between(Milliseconds(5), Milliseconds(100))
                         : Milliseconds(250);
-    // One rank has one reader at a time: what both had read counts twice.
+    // A rank has one reader at a time; ranks read by two readers would be
+    // counted twice.
     for (const Pending& other : pending_) {
       CHECK(other.reader != pending.reader);
     }
@@ -116,7 +117,7 @@
   std::size_t cross_domain_reads_ = 0;
 };
 
-TEST_CASE("all ranks are read by whom is near, whatever the size") {
+TEST_CASE("all ranks are read by readers in their domain, for any group size") {
   for (const std::uint32_t ranks : {16U, 72U, 192U}) {
     CAPTURE(ranks);
     PollingSimulation simulation(ranks, 1);
@@ -125,17 +126,17 @@
     simulation.ResetCrossDomainReads();
     const TimePoint from = simulation.now();
     simulation.Run(Seconds(2), {});
-    // Those of the leader's domain, which has no other reader, are read by the
-    // others; a fifth of all.
+    // The ranks in the leader's domain, which has no other reader, are read by
+    // the others; they are a fifth of all.
     const double rounds = ToSeconds(simulation.now() - from) / 0.06;
     CHECK(simulation.cross_domain_reads() <= rounds * (ranks / 5.0 + 1.0));
   }
 }
 
-// Symptom: maps follow a demand that one domain does not see. Sequence: the
-// node that read a domain's ranks dies, freezes or is cut off; nobody reads
-// them. Cause: the ranks stayed with it.
-TEST_CASE("the ranks of a reader that fails have another within a second") {
+// Guards against maps that ignore the demand in one failure domain. The node
+// that reads the domain's ranks dies, freezes or is partitioned, and no other
+// node reads them because they stay assigned to it.
+TEST_CASE("ranks of a failed reader get another one within a second") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (const std::set<std::size_t>& failed :
          {std::set<std::size_t>{0}, {1, 2}, {0, 1, 2, 3}}) {
@@ -147,7 +148,7 @@
       if (failed.size() < 4) {
         CHECK(simulation.MaxReadAge() < Seconds(1));
       }
-      // Where all fail the leader reads, though slowly.
+      // If all readers fail, the leader reads the ranks, though slowly.
       simulation.Run(Seconds(2), failed);
       CHECK(simulation.MaxReadAge() < Milliseconds(1300));
       simulation.Run(Seconds(2), {});
@@ -156,12 +157,12 @@
   }
 }
 
-// Symptom: a group keeps a map that its demand left 8 s ago; all readers are
-// said not to answer, every 1.4 s and at one moment. Sequence: the leader is
-// held up for 0.3 s; all calls under way time out, all readers rest, and the
-// leader reads 192 ranks itself, which holds it up for 0.3 s. Cause: its own
-// lateness was taken for theirs, and what it did instead made it late again.
-TEST_CASE("a leader that was late itself goes on with its readers") {
+// Guards against a group keeping a map that its demand left 8 s ago, while all
+// readers are reported as failed every 1.4 s at the same moment. The leader is
+// delayed by 0.3 s, so all calls in flight time out and all readers go into
+// cooldown; the leader then reads 192 ranks itself, which delays it by 0.3 s
+// again. Its own delay must not count as the readers' failure.
+TEST_CASE("a leader that was late itself keeps its readers") {
   for (const std::uint32_t failures : {1U, 2U, 3U}) {
     CAPTURE(failures);
     PollingSchedule schedule;
@@ -178,17 +179,18 @@
       now += Milliseconds(400);
     }
     const std::vector<PollingRound> rounds = schedule.StartDueRounds(now);
-    // Three times in a row it is they after all; and then not all at once.
+    // After three failures in a row the readers are at fault; the leader then
+    // reads the ranks in batches.
     REQUIRE_FALSE(rounds.empty());
     CHECK(rounds[0].reader.has_value() == (failures < 3));
     CHECK((rounds[0].reader.has_value() || rounds[0].ranks.size() <= 24));
   }
 }
 
-// Symptom: all readers of a fleet answer later and later, until none answers in
-// time. Sequence: each is short of processor time for a moment, is asked again
-// as soon as it has answered, and never catches up. Cause: questions came at
-// the same interval whatever they took.
+// Guards against all readers of a fleet answering later and later until none
+// answers in time. Each one lacks processor time for a moment, gets the next
+// request as soon as it has answered, and never catches up, because the
+// interval of requests does not depend on their duration.
 TEST_CASE("a reader that takes long is asked less often") {
   struct Row {
     Duration takes;
@@ -211,7 +213,7 @@
   }
 }
 
-TEST_CASE("a reader that is not known any more is not asked") {
+TEST_CASE("a reader that was removed is not polled") {
   PollingSimulation simulation(16, 3);
   simulation.Run(Seconds(1), {});
   simulation.schedule().SetReaders({});
@@ -222,7 +224,7 @@
   }
 }
 
-TEST_CASE("what is hastened while it is under way follows at once") {
+TEST_CASE("a round expedited while in flight is followed by another at once") {
   PollingSchedule schedule;
   schedule.SetRank(RankIndex(0), FailureDomain("a"));
   schedule.SetReaders({ReaderIn(0)});
--- a/tests/auto/control_node/rank_poller_test.cc
+++ b/tests/auto/control_node/rank_poller_test.cc
@@ -1,4 +1,5 @@
-// Ranks read, and ordered, through their sidecars, over real connections.
+// Polls ranks and sends them orders through their sidecars, over real
+// connections.
 
 #include "plugins/control_node/rank_poller.h"
 
@@ -29,7 +30,7 @@
 constexpr int kMaxTries = 50;
 constexpr std::uint32_t kAccepted = net::status::kAccepted;
 
-// Engines that tell their step and one counter as plain numbers.
+// Engines that report their step and one counter as plain numbers.
 sidecar::EngineProtocol PlainProtocol() {
   sidecar::EngineProtocol protocol;
   const auto get = [](std::string target) {
@@ -53,7 +54,8 @@
   return protocol;
 }
 
-// Of all three VMs, which differ by their loopback addresses.
+// One engine with its sidecar. The VMs are distinguished by their loopback
+// addresses.
 struct Engine {
   std::unique_ptr<net::HttpServer> server;
   std::unique_ptr<sidecar::EngineReader> reader;
@@ -128,7 +130,7 @@
     engine.reader = std::make_unique<sidecar::EngineReader>(loop_, engine.at,
                                                             PlainProtocol());
     engine.relay = std::make_unique<sidecar::EngineRelay>(loop_);
-    // All sidecars share one port; the first one picks it.
+    // All sidecars share one port, which the first one chooses.
     options.listen.port = sidecar_port_;
     engine.sidecar_server = std::make_unique<links::LinkServer>(
         loop_, options, authenticator_,
@@ -181,8 +183,8 @@
   thread.join();
 }
 
-// A rank that answers late on a busy machine is in the next round.
-TEST_CASE("rounds tell of all ranks and add up what they were asked for") {
+// A rank that answers late on a busy machine is part of the next round.
+TEST_CASE("rounds report all ranks and sum up their work") {
   WithFixture([](RankFixture& fixture) {
     placement::ReadingMark mark;
     std::set<RankIndex> polled_ranks;
@@ -194,7 +196,7 @@
         polled_ranks.insert(word.rank);
         CHECK(word.asked_after >= Duration::zero());
       }
-      // First readings only set the marks.
+      // The first readings only set the marks.
       CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) ==
             0.0);
     }
@@ -209,16 +211,16 @@
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
     CHECK(work == doctest::Approx(60.0));
-    // Nothing new, and nothing twice.
+    // There is no new work, and none is counted twice.
     const groups::RoundAnswer answer = fixture.Read(mark);
     CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) == 0.0);
   });
 }
 
-// Symptom: a group keeps its first map for good. Sequence: its engines are
-// replaced by ones with other experts under the same name. Cause: the reader
-// went on with sums of the former size, and left out all growth.
-TEST_CASE("a group whose engines have other experts begins anew") {
+// Guards against a group keeping its first map forever. Its engines are
+// replaced under the same name by ones with other experts, and the reader
+// continues with sums of the former size, which drops all growth.
+TEST_CASE("a group starts over when its engines have other experts") {
   WithFixture([](RankFixture& fixture) {
     placement::ReadingMark mark = fixture.Read({}, 7).mark;
     double work = 0.0;
@@ -232,12 +234,12 @@
   });
 }
 
-// Symptom: one frozen VM and the leader hears of none of that domain's ranks.
-// Cause: the answer waited for all of them.
-TEST_CASE("a silent rank holds a round up for its patience alone") {
+// Guards against the leader getting no reports from a whole failure domain
+// because one of its VMs is frozen: the answer must not wait for all ranks.
+TEST_CASE("a silent rank delays a round only until its timeout") {
   WithFixture([](RankFixture& fixture) {
     fixture.engine(1).is_silent = true;
-    // Returns at all, though that rank says nothing as long as it lasts.
+    // Returns although that rank never answers meanwhile.
     const groups::RoundAnswer answer = fixture.Read({});
     CHECK(fixture.engine(1).is_silent);
     for (const groups::RankWord& word : answer.words) {
@@ -246,9 +248,10 @@
   });
 }
 
-// What is left unanswered on a busy machine is ordered again, as its giver
+// An order that is not answered on a busy machine is repeated, as its sender
 // does.
-TEST_CASE("an order reaches every rank whole, and each answer comes back") {
+TEST_CASE(
+    "an order reaches every rank completely, and each answer is returned") {
   WithFixture([](RankFixture& fixture) {
     const std::string map(20'000, 'm');
     fixture.engine(2).is_silent = true;
--- a/tests/auto/control_node/replicated_state_test.cc
+++ b/tests/auto/control_node/replicated_state_test.cc
@@ -23,7 +23,7 @@
                                                 packing::PackedText{"text"});
 }
 
-TEST_CASE("configuration and refusals change apart from each other") {
+TEST_CASE("configuration and refusals change independently") {
   ReplicatedState state;
   CHECK(state.Apply(Configuration(3)) ==
         ReplicatedState::Change::kConfiguration);
@@ -38,8 +38,8 @@
   CHECK(state.refusals().empty());
 }
 
-// Guards against a quarantine that is lost where all processes start anew.
-TEST_CASE("a snapshot holds both, and one from before refusals is read") {
+// Guards against losing the quarantine when all processes are restarted.
+TEST_CASE("a snapshot holds both, and one without refusals can be imported") {
   ReplicatedState state;
   state.Apply(Configuration(3));
   ReplicatedState old;
@@ -57,14 +57,14 @@
   CHECK(read.configuration().version() == 3);
 }
 
-TEST_CASE("refusals that can't be read are none") {
+TEST_CASE("malformed refusals are treated as none") {
   ReplicatedState state;
   state.Apply("refusals\n{");
   CHECK(state.refusals().empty());
 }
 
-// A version that knows no refusals ignores them.
-TEST_CASE("a configuration alone takes no refusals for one") {
+// Versions that don't know refusals ignore them.
+TEST_CASE("a configuration ignores refusals") {
   config::NumberedConfiguration configuration;
   configuration.Apply(Configuration(3));
   CHECK_FALSE(
--- a/tests/auto/control_node/target_updates_test.cc
+++ b/tests/auto/control_node/target_updates_test.cc
@@ -1,4 +1,4 @@
-// News of targets for many gateways.
+// Tests updates of targets for many gateways.
 
 #include "plugins/control_node/target_updates.h"
 
@@ -46,9 +46,10 @@
   }
 };
 
-// Symptom: for eight seconds after all control nodes were killed hardly anyone
-// is served. Cause: an answer was made for each of hundreds of gateways.
-TEST_CASE("askers that know as much are told the same") {
+// Guards against an outage of 8 s after all control nodes were killed, in which
+// hardly any request is served because a separate answer is created for each of
+// hundreds of gateways.
+TEST_CASE("requesters with the same revision get the same update") {
   traffic::TargetBook registry(traffic::TargetBookOptions{});
   TargetUpdates updates;
   for (std::uint64_t i = 0; i < 50; ++i) {
@@ -63,7 +64,7 @@
         first.revision);
 }
 
-TEST_CASE("an asker is never told only what it knows while there is more") {
+TEST_CASE("an update is never empty while there are changes") {
   traffic::TargetBook registry(traffic::TargetBookOptions{});
   TargetUpdates updates;
   registry.Announce(MakeAnnouncement(1, 1), At(0));
@@ -75,7 +76,7 @@
   CHECK(traffic::UnpackTargets(next.targets)->size() == 1);
 }
 
-TEST_CASE("whenever they ask, all gateways come to know all") {
+TEST_CASE("all gateways learn all targets whenever they poll") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     Random random(seed);
--- a/tests/auto/sidecar/engine_relay_test.cc
+++ b/tests/auto/sidecar/engine_relay_test.cc
@@ -1,4 +1,4 @@
-// Calls passed on to engines, over real connections.
+// Tests relaying calls to engines over real connections.
 
 #include "plugins/sidecar/engine_relay.h"
 
@@ -23,17 +23,17 @@
   return options;
 }
 
-// An engine, a relay in front of it, and an asker, in one loop.
+// An engine, a relay in front of it, and a requester, in one loop.
 struct RelayFixture {
   net::NetworkLoop& loop;
   net::Endpoint relay;
   net::HttpRequest seen;    // by the engine
   std::string relay_error;  // why the engine did not answer
-  bool is_silent = false;   // the engine takes calls and answers none
+  bool is_silent = false;   // the engine accepts calls without answering
   int engine_status = 202;
   int active_calls = 0;  // calls in the engine
 
-  // The engine.
+  // Serves requests as the engine.
   void Serve(net::HttpExchange& exchange) {
     ++active_calls;
     seen = exchange.request();
@@ -72,7 +72,7 @@
       REQUIRE(relay_server.Start().empty());
       fixture.relay = {"127.0.0.1", relay_server.port()};
       body(fixture);
-      // A drain does not wait for calls that their askers gave up.
+      // Drain() does not wait for calls that their requesters gave up.
       while (fixture.active_calls > 0) {
         loop.SleepFor(Milliseconds(10));
       }
@@ -94,7 +94,7 @@
   return request;
 }
 
-TEST_CASE("an engine gets the order and the asker its own answer") {
+TEST_CASE("the engine gets the order and the requester the engine's answer") {
   WithFixture([](RelayFixture& fixture) {
     for (const int status : {200, 202, 409}) {
       CAPTURE(status);
@@ -112,16 +112,16 @@
   });
 }
 
-// Symptom: one lost order makes a control node take whoever passed it on for
-// lost. Cause: the asker's own time ran out before the relay said that it is
-// well and its engine silent.
-TEST_CASE("a silent engine is told of within the asker's patience") {
+// Guards against a control node considering the relaying node failed because of
+// one unanswered order. The requester's own timeout expired before the relay
+// reported that it works and its engine does not answer.
+TEST_CASE("a silent engine is reported within the requester's timeout") {
   WithFixture([](RelayFixture& fixture) {
     fixture.is_silent = true;
     const net::HttpResponse answer = fixture.Call(Order());
     CHECK(answer.head.status == net::status::kBadGateway);
     CHECK_FALSE(fixture.relay_error.empty());
-    // The next call does not go over the connection that is still awaited.
+    // The next call does not reuse the connection that is still waiting.
     fixture.is_silent = false;
     CHECK(fixture.Call(Order()).head.status == 202);
   });
