--- a/src/plugins/control_node/quarantine_manager.cc
+++ b/src/plugins/control_node/quarantine_manager.cc
@@ -78,13 +78,14 @@
     return false;
   }
   for (const quarantine::Observation& observation : *observations) {
-    Note(observation, now);
+    ApplyObservation(observation, now);
   }
   return true;
 }
 
-void QuarantineManager::Note(const quarantine::Observation& observation,
-                             TimePoint now) {
+void QuarantineManager::ApplyObservation(
+    const quarantine::Observation& observation,
+    TimePoint now) {
   std::visit(Overloaded{
                  [&](const quarantine::EndObserved& end) {
                    if (registry_.OnEnd(end, now)) {
--- a/src/plugins/control_node/quarantine_manager.h
+++ b/src/plugins/control_node/quarantine_manager.h
@@ -67,7 +67,8 @@
   std::optional<Json> OnTrial(const Json& params);
   // Returns false if the reports can't be parsed.
   bool Report(const Json& reports, TimePoint now);
-  void Note(const quarantine::Observation& observation, TimePoint now);
+  void ApplyObservation(const quarantine::Observation& observation,
+                        TimePoint now);
   void Publish(TimePoint now);
   void LogVerdict(const quarantine::RequestFingerprint& request, TimePoint now);
 
