--- a/src/plugins/control_node/control_node.h
+++ b/src/plugins/control_node/control_node.h
@@ -71,8 +71,9 @@
   void OnUnreadableAnnouncement(const TargetId& target);
 
   // Sets the slow targets that this node has detected as the leader: by
-  // address, the factor by which they are slower than healthy ones. Meant to be
-  // called periodically: changes in quick succession are not all published.
+  // address, with the time that they take as a multiple of a healthy target's.
+  // Meant to be called periodically: changes in quick succession are not all
+  // published.
   void SetSlowTargets(std::map<std::string, double> by_address);
   const std::map<std::string, double>& slow_targets() const {
     return slow_targets_;
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -64,7 +64,7 @@
     schedule_.SetReaders(helpers);
     helpers_.Set(std::move(helpers));
   }
-  // Starts what is due. Must be called every few milliseconds.
+  // Starts what is due. Must be called frequently.
   void Tick();
   std::uint32_t ranks() const { return ranks_; }
   // Whether calls are in flight; the task must outlive them.
@@ -72,8 +72,8 @@
   // Greater than every version that this task has assigned to a map.
   MapVersion unused_version() const { return switch_.unused_version(); }
   // Adds the ranks that are too slow to be sent requests, by address, with the
-  // factor by which they are slower than a healthy rank, and the ranks that do
-  // not respond (kMissingPace).
+  // time that they take as a multiple of a healthy rank's, and the ranks that
+  // do not respond (kMissingPace).
   void AddSlowTargets(std::map<std::string, double>& by_address) const;
   // Statistics for metrics.
   GroupStats stats(TimePoint now) const;
@@ -156,7 +156,7 @@
   std::map<RankIndex, net::Endpoint> addresses_;
   groups::StepSwitch switch_;
   placement::RecentLoads loads_;
-  // By which factor each rank is slower than a healthy one.
+  // The time that each rank takes, as a multiple of a healthy rank's.
   std::map<RankIndex, double> paces_;
   groups::SilentRanks silence_;
   // When the ranks without a reader's report were last polled by the leader.
--- a/src/plugins/control_node/order_multicaster.h
+++ b/src/plugins/control_node/order_multicaster.h
@@ -1,8 +1,8 @@
 // Sends one order to several ranks of a group at once.
 //
 // A new map is large. Sent by the leader to each of hundreds of ranks, it
-// saturates the leader's link, and all its other calls time out meanwhile.
-// Multicast by the control nodes near the ranks, the leader sends it only a few
+// saturates the leader's link, and all its other calls time out meanwhile. When
+// the control nodes near the ranks multicast it, the leader sends it only a few
 // times, and compressed.
 
 #ifndef PLUGINS_CONTROL_NODE_ORDER_MULTICASTER_H_
