--- a/src/plugins/control_node/control_node.cc
+++ b/src/plugins/control_node/control_node.cc
@@ -194,10 +194,10 @@
     }
     loop_.SleepFor(kLeaderPollInterval);
   }
-  const auto* unclear = std::get_if<ConfigurationOutcomeUnknown>(&outcome);
+  const auto* unknown = std::get_if<ConfigurationOutcomeUnknown>(&outcome);
   log_.Info("Handled a configuration.",
             {{"version", proposed.version},
-             {"outcome", unclear == nullptr ? "accepted" : unclear->reason},
+             {"outcome", unknown == nullptr ? "accepted" : unknown->reason},
              {"in_force", configuration().version()}});
   return outcome;
 }
--- a/src/plugins/control_node/rank_poller.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -112,7 +112,7 @@
   }
   const EngineCalls::Answer answer = calls_.CallSidecar(
       *endpoint,
-      ReadingRequest(groups_.at(group).rank_states.at(rank.rank).last),
+      ReadingRequest(groups_.at(group).rank_states.at(rank.rank).last_mark),
       kReadingTimeouts);
   // The group may have been removed during the call.
   const auto found = groups_.find(group);
@@ -125,7 +125,7 @@
   if (!reading.has_value()) {
     return std::nullopt;
   }
-  mark.last = reading->mark;
+  mark.last_mark = reading->mark;
   if (reading->growth.has_value()) {
     found->second.sums.Add(*reading->growth);
   }
--- a/src/plugins/control_node/rank_poller.h
+++ b/src/plugins/control_node/rank_poller.h
@@ -39,7 +39,7 @@
 
  private:
   struct RankReadingState {
-    placement::ReadingMark last;
+    placement::ReadingMark last_mark;
     // A sidecar only reports growth since its last reading. Of two concurrent
     // requests, the second one would get none, and its mark would invalidate
     // the mark of the first one.
