--- a/src/plugins/control_node/rank_poller.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -98,8 +98,8 @@
   if (found == groups_.end()) {
     return false;
   }
-  RankReadingState& mark = found->second.rank_states[rank];
-  return !std::exchange(mark.is_in_flight, true);
+  RankReadingState& state = found->second.rank_states[rank];
+  return !std::exchange(state.is_in_flight, true);
 }
 
 std::optional<groups::RankWord> RankPoller::ReadRank(
@@ -119,13 +119,13 @@
   if (found == groups_.end()) {
     return std::nullopt;
   }
-  RankReadingState& mark = found->second.rank_states[rank.rank];
-  mark.is_in_flight = false;
+  RankReadingState& state = found->second.rank_states[rank.rank];
+  state.is_in_flight = false;
   const auto reading = groups::DecodeReading(answer.body);
   if (!reading.has_value()) {
     return std::nullopt;
   }
-  mark.last_mark = reading->mark;
+  state.last_mark = reading->mark;
   if (reading->growth.has_value()) {
     found->second.sums.Add(*reading->growth);
   }
--- a/src/plugins/control_node/watch_service.cc
+++ b/src/plugins/control_node/watch_service.cc
@@ -120,8 +120,8 @@
 // than a small node can send, and all its other work falls behind.
 Duration WatchService::BatchingDelay() const {
   // With 240 gateways and 3,000 targets, a node with 0.15 of a core had 98%
-  // load without this delay, and 52% with it. The maximum leaves most of the 2
-  // s for which a leaving target continues to serve.
+  // load without this delay, and 52% with it. The maximum leaves most of the
+  // two seconds for which a leaving target continues to serve.
   constexpr Duration kPerGateway = Microseconds(1500);
   constexpr Duration kMaxDelay = Milliseconds(400);
   const auto gateways = static_cast<Duration::rep>(gateways_.size());
