--- a/src/plugins/control_node/control_node_process.cc
+++ b/src/plugins/control_node/control_node_process.cc
@@ -8,7 +8,7 @@
 #include "libs/net/steady_time.h"
 #include "libs/telemetry/metrics.h"
 #include "plugins/control_node/control_node.h"
-#include "plugins/control_node/group_keeper.h"
+#include "plugins/control_node/group_manager.h"
 #include "plugins/control_node/quarantine_service.h"
 #include "plugins/control_node/watch_service.h"
 
@@ -16,11 +16,11 @@
 
 namespace {
 
-// Room for a configuration in a message of the replicated log, whose quoting
-// may double it.
+// Leaves room for a configuration in a message of the replicated log, where
+// JSON escaping may double its size.
 constexpr std::size_t kMaxPeerBodyBytes = 16UL * 1024 * 1024;
-// Questions for metrics have no body.
-constexpr std::size_t kMaxQuestionBytes = 4UL * 1024;
+// Requests for metrics have no body.
+constexpr std::size_t kMaxMetricsRequestBytes = 4UL * 1024;
 constexpr std::size_t kMaxOperatorBodyBytes = 8UL * 1024 * 1024;
 
 net::Endpoint ToEndpoint(const settings::SocketAddress& address) {
@@ -64,7 +64,7 @@
                    interface.make_handler(node_)),
         metrics_server_(
             loop_,
-            OptionsFor(settings.metrics_listen, kMaxQuestionBytes),
+            OptionsFor(settings.metrics_listen, kMaxMetricsRequestBytes),
             [this](net::HttpExchange& exchange) { Serve(exchange); }) {}
 
   void Run() {
@@ -76,7 +76,7 @@
       }
       loop_.OnStopSignal([this] { loop_.Stop(); });
       loop_.OnReloadSignal([this] {
-        log_.Info("Settings may have changed; they count at the next start.");
+        log_.Info("Changed settings take effect at the next start.");
       });
       loop_.WaitForStop();
       log_.Info("Stopping.");
@@ -119,7 +119,7 @@
     return error;
   }
 
-  // Figures for whoever watches, and what operators can do about quarantines.
+  // Serves metrics and the operators' quarantine requests.
   void Serve(net::HttpExchange& exchange) {
     if (!quarantine_service_.Serve(exchange)) {
       ServeMetrics(exchange);
@@ -139,7 +139,7 @@
     metrics_
         .GaugeFor({"bilberryspool_declared_limits",
                    "Targets that declare a limit for all callers"})
-        .Set(static_cast<double>(node_.limits().book().size()));
+        .Set(static_cast<double>(node_.limits().registry().size()));
     metrics_
         .GaugeFor({"bilberryspool_limit_grants",
                    "Requests that this node has granted of declared limits"})
@@ -148,40 +148,40 @@
         .GaugeFor({"bilberryspool_limit_denials",
                    "Questions for grants that this node had nothing for"})
         .Set(static_cast<double>(node_.limits().granter().denied()));
-    for (const auto& [group, figures] : groups_.figures(net::SteadyNow())) {
-      SetGroupMetrics(group, figures);
+    for (const auto& [group, stats] : groups_.stats(net::SteadyNow())) {
+      SetGroupMetrics(group, stats);
     }
     net::HttpResponseHead head;
     head.headers.Add("Content-Type", "text/plain; version=0.0.4");
     exchange.Respond(std::move(head), metrics_.ToPrometheusText());
   }
 
-  void SetGroupMetrics(const GroupId& group, const GroupFigures& figures) {
+  void SetGroupMetrics(const GroupId& group, const GroupStats& stats) {
     const telemetry::Labels labels = {{"group", group.value()}};
     metrics_
         .GaugeFor({"bilberryspool_group_ranks_heard", "Ranks ever heard"},
                   labels)
-        .Set(static_cast<double>(figures.heard));
+        .Set(static_cast<double>(stats.known_ranks));
     metrics_
         .GaugeFor(
             {"bilberryspool_group_ranks_missing", "Ranks asked in vain lately"},
             labels)
-        .Set(static_cast<double>(figures.missing));
+        .Set(static_cast<double>(stats.missing));
     metrics_
         .GaugeFor({"bilberryspool_group_oldest_sum_seconds",
                    "Age of the oldest sum of counts among the readers'"},
                   labels)
-        .Set(ToSeconds(figures.oldest_sum));
+        .Set(ToSeconds(stats.oldest_sum_age));
     metrics_
         .GaugeFor({"bilberryspool_group_last_plan_seconds",
                    "What the last plan of a map took"},
                   labels)
-        .Set(ToSeconds(figures.last_plan));
+        .Set(ToSeconds(stats.last_plan_duration));
     metrics_
         .GaugeFor({"bilberryspool_group_last_tick_seconds",
                    "Since the group was last looked after"},
                   labels)
-        .Set(ToSeconds(figures.last_tick));
+        .Set(ToSeconds(stats.time_since_tick));
   }
 
   const settings::ControlSettings& settings_;
@@ -192,7 +192,7 @@
   WatchService watch_;
   QuarantineService quarantine_service_;
   links::LinkClient links_;
-  GroupKeeper groups_;
+  GroupManager groups_;
   links::LinkServer peers_;
   net::HttpServer operators_;
   net::HttpServer metrics_server_;
--- a/src/plugins/control_node/group_keeper.cc
+++ b/src/plugins/control_node/group_manager.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/group_keeper.h"
+#include "plugins/control_node/group_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,63 +19,66 @@
 
 constexpr Duration kTickInterval = Milliseconds(25);
 constexpr Duration kCollectInterval = Seconds(1);
-// While ranks of a group are not known: after a takeover or a restart of all
-// control nodes it keeps a map that may not fit until the last is found.
-constexpr Duration kHastyInterval = Milliseconds(250);
-constexpr Duration kLearnPatience = Milliseconds(500);
-constexpr std::uint64_t kVersionsOfATerm = 1ULL << 20U;
+// Interval while ranks of a group are unknown: after a change of leader or a
+// restart of all control nodes, a group keeps a map that may not fit its load
+// until the last rank is found.
+constexpr Duration kIncompleteCollectInterval = Milliseconds(250);
+constexpr Duration kPeerPollTimeout = Milliseconds(500);
+constexpr std::uint64_t kVersionsPerTerm = 1ULL << 20U;
 
 }  // namespace
 
-GroupKeeper::GroupKeeper(net::NetworkLoop& loop,
-                         links::LinkClient& client,
-                         ControlNode& node,
-                         const FailureDomain& domain,
-                         std::uint16_t sidecar_port,
-                         sidecar::EngineProtocol protocol,
-                         traffic::ConfigurationReader read_configuration)
+GroupManager::GroupManager(net::NetworkLoop& loop,
+                           links::LinkClient& client,
+                           ControlNode& node,
+                           const FailureDomain& domain,
+                           std::uint16_t sidecar_port,
+                           sidecar::EngineProtocol protocol,
+                           traffic::ConfigurationReader read_configuration)
     : loop_(loop),
       links_(client),
       calls_(loop, client, sidecar_port),
-      rounds_(loop, calls_, domain),
-      spreader_(loop, calls_),
+      poller_(loop, calls_, domain),
+      multicaster_(loop, calls_),
       relay_(loop),
       node_(node),
       protocol_(std::move(protocol)),
       read_configuration_(std::move(read_configuration)),
       log_("groups"),
-      others_(traffic::TargetRegistryOptions{}) {}
+      peer_targets_(traffic::TargetRegistryOptions{}) {}
 
-void GroupKeeper::Start() {
+void GroupManager::Start() {
   loop_.Spawn([this] { Run(); });
 }
 
-void GroupKeeper::Run() {
+void GroupManager::Run() {
   while (true) {
     loop_.SleepFor(kTickInterval);
     const bool is_due = SteadyNow() >= collect_due_;
     if (is_due) {
       collect_due_ =
-          SteadyNow() + (LacksRanks() ? kHastyInterval : kCollectInterval);
-      LearnFromMembers();
+          SteadyNow() + (HasIncompleteGroup() ? kIncompleteCollectInterval
+                                              : kCollectInterval);
+      PollPeers();
     }
-    ForgetEnded();
+    EraseFinishedTasks();
     const bool leads = node_.replica().is_leader();
     const Term term =
         leads ? node_.replica().driver()->replica().term() : Term();
-    const Tenure::Verdict verdict = tenure_.Note(leads, term);
-    if (verdict == Tenure::Verdict::kRests) {
+    const LeadershipTerm::Verdict verdict =
+        leadership_term_.Update(leads, term);
+    if (verdict == LeadershipTerm::Verdict::kNotLeading) {
       node_.SetSlowTargets({});
       continue;
     }
-    if (verdict == Tenure::Verdict::kBeginsAnew) {
+    if (verdict == LeadershipTerm::Verdict::kNewTerm) {
       term_ = term;
       for (auto& [group, task] : tasks_) {
-        ended_.push_back(std::move(task));
+        retired_tasks_.push_back(std::move(task));
       }
       tasks_.clear();
     }
-    if (is_due || verdict == Tenure::Verdict::kBeginsAnew) {
+    if (is_due || verdict == LeadershipTerm::Verdict::kNewTerm) {
       CollectRanks();
     }
     std::map<std::string, double> slow;
@@ -84,46 +87,47 @@
         task->SetHelpers(Helpers());
       }
       task->Tick();
-      task->AddSlow(slow);
+      task->AddSlowTargets(slow);
     }
     node_.SetSlowTargets(std::move(slow));
   }
 }
 
-std::map<GroupId, GroupFigures> GroupKeeper::figures(TimePoint now) const {
-  std::map<GroupId, GroupFigures> by_group;
+std::map<GroupId, GroupStats> GroupManager::stats(TimePoint now) const {
+  std::map<GroupId, GroupStats> by_group;
   if (!node_.replica().is_leader()) {
     return by_group;
   }
   for (const auto& [group, task] : tasks_) {
-    by_group[group] = task->figures(now);
+    by_group[group] = task->stats(now);
   }
   return by_group;
 }
 
-bool GroupKeeper::LacksRanks() const {
+bool GroupManager::HasIncompleteGroup() const {
   return std::any_of(tasks_.begin(), tasks_.end(), [](const auto& item) {
     return !item.second->has_all_ranks();
   });
 }
 
-void GroupKeeper::ForgetEnded() {
-  std::erase_if(ended_, [](const auto& task) { return !task->is_calling(); });
+void GroupManager::EraseFinishedTasks() {
+  std::erase_if(retired_tasks_,
+                [](const auto& task) { return !task->has_pending_calls(); });
 }
 
-void GroupKeeper::Serve(net::HttpExchange& exchange) {
-  if (RankRounds::IsAsked(exchange.request())) {
-    rounds_.Answer(exchange);
+void GroupManager::Serve(net::HttpExchange& exchange) {
+  if (RankPoller::Handles(exchange.request())) {
+    poller_.Answer(exchange);
     return;
   }
-  if (OrderSpreader::IsAsked(exchange.request())) {
-    spreader_.Answer(exchange);
+  if (OrderMulticaster::Handles(exchange.request())) {
+    multicaster_.Answer(exchange);
     return;
   }
   Relay(exchange);
 }
 
-void GroupKeeper::Relay(net::HttpExchange& exchange) {
+void GroupManager::Relay(net::HttpExchange& exchange) {
   const auto engine = net::ParseEndpoint(
       exchange.request().headers.ValueOr(sidecar::kEngineField, ""));
   if (!engine.has_value() || !KnowsEngine(*engine)) {
@@ -139,10 +143,11 @@
   }
 }
 
-bool GroupKeeper::KnowsEngine(const net::Endpoint& engine) const {
+bool GroupManager::KnowsEngine(const net::Endpoint& engine) const {
   const std::string address = engine.ToString();
-  for (const traffic::TargetRegistry* book : {&others_, &node_.targets()}) {
-    for (const auto& [target, record] : book->records()) {
+  for (const traffic::TargetRegistry* registry :
+       {&peer_targets_, &node_.targets()}) {
+    for (const auto& [target, record] : registry->records()) {
       if (record.announcement.address == address &&
           record.announcement.group.has_value()) {
         return true;
@@ -152,42 +157,42 @@
   return false;
 }
 
-std::vector<net::Endpoint> GroupKeeper::Helpers() const {
-  // Each is asked once a second and may take half a second to answer.
-  constexpr Duration kLately = Milliseconds(1600);
+std::vector<net::Endpoint> GroupManager::Helpers() const {
+  // Each node is polled once a second and may take half a second to respond.
+  constexpr Duration kMaxResponseAge = Milliseconds(1600);
   const TimePoint now = SteadyNow();
   std::vector<net::Endpoint> helpers;
-  for (const auto& [node, mark] : marks_) {
-    if (now - mark.heard_at < kLately) {
+  for (const auto& [node, peer_state] : peer_states_) {
+    if (now - peer_state.heard_at < kMaxResponseAge) {
       helpers.push_back(node);
     }
   }
   return helpers;
 }
 
-void GroupKeeper::LearnFromMembers() {
-  std::set<net::Endpoint> nodes = std::exchange(told_nodes_, {});
+void GroupManager::PollPeers() {
+  std::set<net::Endpoint> nodes = std::exchange(reported_nodes_, {});
   for (const net::Endpoint& node : node_.FindNodes()) {
     nodes.insert(node);
   }
   for (const net::Endpoint& node : nodes) {
     if (node.ToString() != node_.replica().self().value()) {
-      loop_.Spawn([this, node] { LearnFrom(node); });
+      loop_.Spawn([this, node] { PollPeer(node); });
     }
   }
 }
 
-void GroupKeeper::LearnFrom(const net::Endpoint& peer) {
-  const Mark mark = marks_[peer];
+void GroupManager::PollPeer(const net::Endpoint& peer) {
+  const PeerState peer_state = peer_states_[peer];
   traffic::WatchQuery query;
   query.control_address = node_.replica().self().value();
-  query.boot = mark.boot;
-  query.revision = mark.revision;
+  query.boot = peer_state.boot;
+  query.revision = peer_state.revision;
   query.version = node_.configuration().version();
   query.wants_configuration = false;
-  query.quarantine_revision = mark.quarantine_revision;
+  query.quarantine_revision = peer_state.quarantine_revision;
   const auto result = links_.Call(peer, "control.watch", traffic::ToJson(query),
-                                  kLearnPatience);
+                                  kPeerPollTimeout);
   const auto* json = std::get_if<boost::json::value>(&result);
   if (json == nullptr) {
     links_.DropIdle(peer);
@@ -198,33 +203,33 @@
                            ? traffic::UnpackTargets(answer->targets)
                            : std::nullopt;
   if (!targets.has_value()) {
-    log_.Warn("Can't read a control node's answer.",
+    log_.Warn("Failed to parse a control node's answer.",
               {{"node", peer.ToString()}});
     return;
   }
-  marks_[peer] = {answer->boot, answer->revision, SteadyNow(),
-                  answer->quarantine_revision};
+  peer_states_[peer] = {answer->boot, answer->revision, SteadyNow(),
+                        answer->quarantine_revision};
   if (answer->quarantine.has_value()) {
     node_.quarantine().Adopt(*answer->quarantine, SteadyNow());
   }
-  node_.NoteNode(peer);
+  node_.OnNodeContact(peer);
   node_.replica().LearnMembers(answer->members);
   for (const std::string& member : answer->members) {
     if (const auto endpoint = net::ParseEndpoint(member)) {
-      told_nodes_.insert(*endpoint);
+      reported_nodes_.insert(*endpoint);
     }
   }
   for (const traffic::TargetRecord& record : *targets) {
     if (record.announcement.standing == traffic::Standing::kGone) {
-      others_.Withdraw(record.announcement.target,
-                       record.announcement.incarnation, SteadyNow());
+      peer_targets_.Withdraw(record.announcement.target,
+                             record.announcement.incarnation, SteadyNow());
     } else if (!record.is_silent) {
-      others_.Announce(record.announcement, SteadyNow());
+      peer_targets_.Announce(record.announcement, SteadyNow());
     }
   }
 }
 
-const traffic::EngineModel* GroupKeeper::EngineOf(const ServiceId& service) {
+const traffic::EngineModel* GroupManager::EngineOf(const ServiceId& service) {
   const config::NumberedConfiguration& accepted = node_.configuration();
   if (accepted.version() != read_version_) {
     const auto text = packing::Unpack(accepted.text());
@@ -243,15 +248,16 @@
              : &*found->second.engine;
 }
 
-// Several targets may have told of one place: one that ended without a word,
-// and its successor. The one of the newest epoch, heard last, counts.
-void GroupKeeper::CollectRanks() {
-  const std::initializer_list<const traffic::TargetRegistry*> books = {
-      &others_, &node_.targets()};
+// Several targets may have announced the same rank: one that terminated without
+// withdrawing, and its successor. The one with the newest epoch counts, and
+// among equals the one with the latest announcement.
+void GroupManager::CollectRanks() {
+  const std::initializer_list<const traffic::TargetRegistry*> registries = {
+      &peer_targets_, &node_.targets()};
   std::map<std::pair<GroupId, std::uint32_t>, const traffic::TargetRecord*>
       latest;
-  for (const traffic::TargetRegistry* book : books) {
-    for (const auto& [target, record] : book->records()) {
+  for (const traffic::TargetRegistry* registry : registries) {
+    for (const auto& [target, record] : registry->records()) {
       const auto& place = record.announcement.group;
       if (!place.has_value() ||
           record.announcement.standing == traffic::Standing::kGone) {
@@ -267,35 +273,36 @@
     }
   }
   for (const auto& [place, record] : latest) {
-    Tend(record->announcement);
+    UpdateTask(record->announcement);
   }
 }
 
-void GroupKeeper::Tend(const traffic::TargetAnnouncement& told) {
-  const traffic::GroupMembership& place = *told.group;
-  const traffic::EngineModel* engine = EngineOf(told.service);
-  const auto endpoint = net::ParseEndpoint(told.address);
+void GroupManager::UpdateTask(const traffic::TargetAnnouncement& announcement) {
+  const traffic::GroupMembership& place = *announcement.group;
+  const traffic::EngineModel* engine = EngineOf(announcement.service);
+  const auto endpoint = net::ParseEndpoint(announcement.address);
   if (engine == nullptr || engine->expert_layers == 0 || place.size == 0 ||
       !endpoint.has_value()) {
     return;
   }
   auto& task = tasks_[place.group];
   if (task == nullptr || task->ranks() != place.size) {
-    MapVersion first(term_.value() * kVersionsOfATerm + 1);
+    MapVersion first(term_.value() * kVersionsPerTerm + 1);
     if (task != nullptr) {
-      // Orders of the old task may still be carried out, late.
+      // Orders of the old task may still be executed late, so its versions must
+      // not be used again.
       first = std::max(first, task->unused_version());
-      ended_.push_back(std::move(task));
+      retired_tasks_.push_back(std::move(task));
     }
-    task = std::make_unique<GroupTask>(loop_, calls_, rounds_, protocol_,
+    task = std::make_unique<GroupTask>(loop_, calls_, poller_, protocol_,
                                        place.group, *engine, place.size, first);
     task->SetHelpers(Helpers());
     task->SetMayAct([this] { return node_.replica().is_leader(); });
-    log_.Info("Looking after a group.", {{"group", place.group.value()},
-                                         {"ranks", place.size},
-                                         {"term", term_.value()}});
+    log_.Info("Started managing a group.", {{"group", place.group.value()},
+                                            {"ranks", place.size},
+                                            {"term", term_.value()}});
   }
-  task->SetAddress(RankIndex(place.rank), *endpoint, told.domain);
+  task->SetAddress(RankIndex(place.rank), *endpoint, announcement.domain);
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_task.cc
+++ b/src/plugins/control_node/group_task.cc
@@ -42,8 +42,8 @@
 groups::StepSwitchOptions SwitchOptions(std::uint32_t ranks) {
   groups::StepSwitchOptions options;
   options.ranks = ranks;
-  // Ranks confirm one after the other, as the orders reached them; most are
-  // done when first asked.
+  // Ranks confirm one after the other, in the order in which the orders reached
+  // them; most have finished at the first poll.
   constexpr Duration kPollPerRank = Microseconds(500);
   options.copy_poll = kPollPerRank * ranks;
   return options;
@@ -53,7 +53,7 @@
 
 GroupTask::GroupTask(net::NetworkLoop& loop,
                      EngineCalls& calls,
-                     RankRounds& rounds,
+                     RankPoller& poller,
                      const sidecar::EngineProtocol& protocol,
                      GroupId group,
                      const traffic::EngineModel& engine,
@@ -61,7 +61,7 @@
                      MapVersion first_version)
     : loop_(loop),
       calls_(calls),
-      rounds_(rounds),
+      poller_(poller),
       protocol_(protocol),
       group_(std::move(group)),
       engine_(engine),
@@ -83,7 +83,7 @@
                            const FailureDomain& domain) {
   if (rank.value() < ranks_) {
     addresses_[rank] = endpoint;
-    shares_.SetRank(rank, domain);
+    schedule_.SetRank(rank, domain);
   }
 }
 
@@ -92,32 +92,34 @@
     return;
   }
   const TimePoint now = SteadyNow();
-  NoteLateness(now);
+  DetectLateTick(now);
   silence_.Tick(now);
-  NoteState(now);
-  BeginRounds(now);
-  AskSilent(now);
-  Pump();
+  LogState(now);
+  StartRounds(now);
+  PollSilentRanks(now);
+  Advance();
   ReadMap();
 }
 
-// A node that is short of processor time may lose its lead in the middle of a
-// change, and the group then stands still until another node has taken over.
-void GroupTask::NoteLateness(TimePoint now) {
-  // A plan for a large group alone takes a tenth of a second; followers vote
-  // anew after half a second without a word.
-  constexpr Duration kLate = Milliseconds(250);
-  constexpr Duration kCalm = Milliseconds(700);
-  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kLate) {
-    calm_from_ = now + kCalm;
+// Postpones changes of the map after a late tick. A node that lacks processor
+// time may lose its leadership in the middle of a change, and the group is then
+// stalled until another node has taken over.
+void GroupTask::DetectLateTick(TimePoint now) {
+  // A plan for a large group alone takes 0.1 s; followers start an election
+  // after 0.5 s without a heartbeat.
+  constexpr Duration kMaxTickDelay = Milliseconds(250);
+  constexpr Duration kChangePause = Milliseconds(700);
+  if (ticked_at_ != TimePoint{} && now - ticked_at_ > kMaxTickDelay) {
+    changes_allowed_from_ = now + kChangePause;
   }
   ticked_at_ = now;
 }
 
-// What the pauses and first events of callers follow from; one line a second.
-void GroupTask::NoteState(TimePoint now) {
-  constexpr Duration kBetweenLines = Seconds(1);
-  if (now - state_at_ < kBetweenLines) {
+// Logs the state that explains pauses and times to first events of callers,
+// once a second.
+void GroupTask::LogState(TimePoint now) {
+  constexpr Duration kMinLogInterval = Seconds(1);
+  if (now - state_logged_at_ < kMinLogInterval) {
     return;
   }
   std::uint32_t running = 0;
@@ -131,8 +133,10 @@
     slowest = std::max(slowest, pace);
   }
   const std::uint64_t step = newest_step_.value();
-  const std::uint64_t steps = step > state_step_ ? step - state_step_ : 0;
-  const auto elapsed = static_cast<std::uint64_t>((now - state_at_).count());
+  const std::uint64_t steps =
+      step > state_logged_step_ ? step - state_logged_step_ : 0;
+  const auto elapsed =
+      static_cast<std::uint64_t>((now - state_logged_at_).count());
   constexpr std::uint64_t kMicrosecondsPerMs = 1000;
   constexpr double kPercent = 100.0;
   log_.Info("Group state.",
@@ -140,7 +144,7 @@
              {"epoch", switch_.epoch().value()},
              {"version", switch_.version().value()},
              {"step", step},
-             {"step_ms", steps == 0 || state_at_ == TimePoint{}
+             {"step_ms", steps == 0 || state_logged_at_ == TimePoint{}
                              ? 0
                              : elapsed / kMicrosecondsPerMs / steps},
              {"running", running},
@@ -150,37 +154,37 @@
              {"heard", silence_.known_ranks()},
              {"missing", silence_.Missing(now).size()},
              {"counts", static_cast<std::uint64_t>(loads_.weight())},
-             {"sums", sums_},
-             {"oldest_sum_ms", OldestSum(now) / Milliseconds(1)}});
-  sums_ = 0;
-  state_at_ = now;
-  state_step_ = step;
+             {"sums", sums_since_log_},
+             {"oldest_sum_ms", OldestSumAge(now) / Milliseconds(1)}});
+  sums_since_log_ = 0;
+  state_logged_at_ = now;
+  state_logged_step_ = step;
 }
 
-GroupFigures GroupTask::figures(TimePoint now) const {
-  return {silence_.known_ranks(), silence_.Missing(now).size(), OldestSum(now),
-          last_plan_, now - ticked_at_};
+GroupStats GroupTask::stats(TimePoint now) const {
+  return {silence_.known_ranks(), silence_.Missing(now).size(),
+          OldestSumAge(now), last_plan_duration_, now - ticked_at_};
 }
 
-// Of the sums of present readers, how long ago the oldest one came.
-Duration GroupTask::OldestSum(TimePoint now) const {
-  constexpr Duration kLongReplaced = Seconds(30);
+// Age of the oldest sum among the readers that are still in use.
+Duration GroupTask::OldestSumAge(TimePoint now) const {
+  constexpr Duration kMaxReaderAge = Seconds(30);
   Duration oldest{};
-  for (const auto& [reader, sum] : sums_of_) {
+  for (const auto& [reader, sum] : last_sums_) {
     const Duration age = now - sum.at;
-    if (age < kLongReplaced) {
+    if (age < kMaxReaderAge) {
       oldest = std::max(oldest, age);
     }
   }
   return oldest;
 }
 
-// Sends what is due, and plans as soon as there is room for a change.
-void GroupTask::Pump() {
+// Sends due orders, and starts a plan as soon as the map may be changed.
+void GroupTask::Advance() {
   const TimePoint now = SteadyNow();
   SendDue(now);
   if (switch_.phase() == SwitchPhase::kIdle && now >= plan_due_ &&
-      now >= calm_from_ && !is_planning_) {
+      now >= changes_allowed_from_ && !is_planning_) {
     plan_due_ = now + kPlanInterval;
     is_planning_ = true;
     Spawn([this] {
@@ -191,24 +195,25 @@
 }
 
 void GroupTask::SendDue(TimePoint now) {
-  for (const groups::RankOrder& order : SendWide(switch_.Tick(now), now)) {
+  for (const groups::RankOrder& order : SendMulticast(switch_.Tick(now), now)) {
     SendOrder(order);
   }
   const std::vector<RankIndex> asked = switch_.RanksToPoll(now);
-  if (asked.size() > kMostCalls) {
-    // The readers tell of all sooner than the leader could ask them.
-    shares_.Hasten(now);
-    BeginRounds(now);
-    NotePhase();
+  if (asked.size() > kMaxDirectCalls) {
+    // The readers report all of these ranks sooner than the leader could poll
+    // them.
+    schedule_.Expedite(now);
+    StartRounds(now);
+    UpdatePhase();
     return;
   }
   for (const RankIndex rank : asked) {
-    AskReport(rank, addresses_.at(rank));
+    RequestReport(rank, addresses_.at(rank));
   }
-  NotePhase();
+  UpdatePhase();
 }
 
-void GroupTask::NotePhase() {
+void GroupTask::UpdatePhase() {
   if (switch_.phase() == last_phase_) {
     return;
   }
@@ -223,16 +228,17 @@
   last_phase_ = switch_.phase();
   phase_since_ = now;
   if (switch_.NeedsAllReports(now)) {
-    // What was due in the calm before would come late.
-    shares_.Hasten(now);
+    // Rounds that were scheduled at the interval of the idle phase would come
+    // too late.
+    schedule_.Expedite(now);
   }
 }
 
 void GroupTask::Spawn(std::function<void()> body) {
-  ++calling_;
+  ++pending_calls_;
   loop_.Spawn([this, body = std::move(body)] {
     body();
-    --calling_;
+    --pending_calls_;
   });
 }
 
--- a/src/plugins/control_node/group_task.h
+++ b/src/plugins/control_node/group_task.h
@@ -1,4 +1,4 @@
-// One self-stepping group: its reports, counts, plans and orders.
+// Manages one self-stepping group: its reports, counts, plans and orders.
 
 #ifndef PLUGINS_CONTROL_NODE_GROUP_TASK_H_
 #define PLUGINS_CONTROL_NODE_GROUP_TASK_H_
@@ -22,20 +22,21 @@
 #include "libs/traffic/traffic_configuration.h"
 #include "plugins/control_node/engine_calls.h"
 #include "plugins/control_node/order_helpers.h"
-#include "plugins/control_node/order_spreader.h"
-#include "plugins/control_node/rank_rounds.h"
-#include "plugins/control_node/round_shares.h"
+#include "plugins/control_node/order_multicaster.h"
+#include "plugins/control_node/polling_schedule.h"
+#include "plugins/control_node/rank_poller.h"
 #include "plugins/sidecar/engine_protocol.h"
 
 namespace bilberryspool::control_node {
 
-// What the leader knows of a group's ranks, and how late that is.
-struct GroupFigures {
-  std::size_t heard = 0;  // ranks that were ever heard
-  std::size_t missing = 0;
-  Duration oldest_sum{};  // of the readers' sums, since it came
-  Duration last_plan{};   // what the last plan took
-  Duration last_tick{};   // since the last tick; due every 25 ms
+// Statistics of what the leader knows of a group's ranks, and of how old that
+// is.
+struct GroupStats {
+  std::size_t known_ranks = 0;  // ranks that responded at least once
+  std::size_t missing = 0;      // ranks that do not respond now
+  Duration oldest_sum_age{};    // time since the oldest sum of a reader arrived
+  Duration last_plan_duration{};  // time that the last plan took
+  Duration time_since_tick{};     // due every 25 ms
 };
 
 // Runs in the control loop, while its node leads.
@@ -43,7 +44,7 @@
  public:
   GroupTask(net::NetworkLoop& loop,
             EngineCalls& calls,
-            RankRounds& rounds,
+            RankPoller& poller,
             const sidecar::EngineProtocol& protocol,
             GroupId group,
             const traffic::EngineModel& engine,
@@ -54,96 +55,99 @@
                   const net::Endpoint& endpoint,
                   const FailureDomain& domain);
   bool has_all_ranks() const { return addresses_.size() == ranks_; }
-  // Asked again before each order leaves.
+  // Checked again before each order is sent.
   void SetMayAct(std::function<bool()> may_act) {
     may_act_ = std::move(may_act);
   }
-  // Other control nodes that answer.
+  // Sets the other control nodes that respond.
   void SetHelpers(std::vector<net::Endpoint> helpers) {
-    shares_.SetReaders(helpers);
+    schedule_.SetReaders(helpers);
     helpers_.Set(std::move(helpers));
   }
-  // To be called often; starts what is due.
+  // Starts what is due. Must be called frequently.
   void Tick();
   std::uint32_t ranks() const { return ranks_; }
-  // Whether calls are still on their way; a task must outlive them.
-  bool is_calling() const { return calling_ > 0; }
-  // Above every version that this task has given a map.
+  // Whether calls are in flight; the task must outlive them.
+  bool has_pending_calls() const { return pending_calls_ > 0; }
+  // Greater than every version that this task has assigned to a map.
   MapVersion unused_version() const { return switch_.unused_version(); }
-  // Adds the ranks that are too slow to be given requests, by address, with how
-  // many times as long as a healthy one they take, and those that do not answer
-  // (kUnresponsivePace).
-  void AddSlow(std::map<std::string, double>& by_address) const;
-  // For metrics.
-  GroupFigures figures(TimePoint now) const;
+  // Adds the ranks that are too slow to be sent requests, by address, with the
+  // time that they take as a multiple of a healthy rank's, and the ranks that
+  // do not respond (kUnresponsivePace).
+  void AddSlowTargets(std::map<std::string, double>& by_address) const;
+  // Statistics for metrics.
+  GroupStats stats(TimePoint now) const;
 
  private:
-  // Calls to ranks that the leader makes at once by itself; more go by way of
-  // the nodes that read them.
-  static constexpr std::size_t kMostCalls = 24;
+  // Maximum number of ranks that the leader calls at once by itself; more are
+  // called through the nodes that read them.
+  static constexpr std::size_t kMaxDirectCalls = 24;
   static placement::RecentLoadsOptions LoadOptions(
       const traffic::EngineModel& engine);
   // group_task.cc
   void Spawn(std::function<void()> body);
-  void Pump();
+  void Advance();
   void SendDue(TimePoint now);
   // group_task_readings.cc
-  void BeginRounds(TimePoint now);
-  void AskRound(const Round& round);
-  std::optional<groups::RoundResponse> AnswerOf(
-      const Round& round,
+  void StartRounds(TimePoint now);
+  void PollRanks(const PollingRound& round);
+  std::optional<groups::RoundResponse> RequestAnswer(
+      const PollingRound& round,
       const groups::RoundRequest& question);
   double read_work() const;
-  void NoteSum(const Round& round, const groups::RoundResponse& answer);
-  void NoteSilent(const Round& round, const groups::RoundResponse& answer);
-  void AskSilent(TimePoint now);
-  void AskReport(RankIndex rank, const net::Endpoint& endpoint);
-  void TakeReport(RankIndex rank,
-                  const groups::EngineReport& report,
-                  TimePoint as_of,
-                  TimePoint heard_at);
+  void RecordSum(const PollingRound& round,
+                 const groups::RoundResponse& answer);
+  void RecordSilentRanks(const PollingRound& round,
+                         const groups::RoundResponse& answer);
+  void PollSilentRanks(TimePoint now);
+  void RequestReport(RankIndex rank, const net::Endpoint& endpoint);
+  void ApplyReport(RankIndex rank,
+                   const groups::EngineReport& report,
+                   TimePoint as_of,
+                   TimePoint responded_at);
   void ReadMap();
-  // The map in use, as the ranks tell of it one by one.
+  // The map in use, as assembled from the experts of each rank.
   struct MapReading {
     std::shared_ptr<placement::ExpertMap> map;
     MapVersion version;
     std::size_t missing = 0;
-    bool is_whole = true;
+    bool is_complete = true;
   };
   void AddExperts(placement::ExpertMap& map,
                   RankIndex rank,
                   const std::vector<std::vector<ExpertIndex>>& experts) const;
-  void EndReading(const MapReading& reading);
+  void FinishMapReading(const MapReading& reading);
   // group_task.cc
-  void NotePhase();
-  void NoteLateness(TimePoint now);
-  void NoteState(TimePoint now);
-  Duration OldestSum(TimePoint now) const;
+  void UpdatePhase();
+  void DetectLateTick(TimePoint now);
+  void LogState(TimePoint now);
+  Duration OldestSumAge(TimePoint now) const;
   // group_task_plan.cc
   void Plan();
   placement::BoundedPlanOptions PlanOptions();
   std::function<void()> PauseBetweenMoves();
   // group_task_orders.cc
   void SendOrder(const groups::RankOrder& order);
-  // Sends orders that are the same for many ranks by way of the nodes that read
-  // them; returns the others.
-  std::vector<groups::RankOrder> SendWide(std::vector<groups::RankOrder> orders,
-                                          TimePoint now);
-  groups::MulticastOrder WideOrderOf(const groups::RankOrder& order) const;
-  void SendPart(const Round& part,
-                const groups::RankOrder& order,
-                groups::MulticastOrder wide);
-  std::optional<groups::MulticastResult> AnswerOf(
-      const Round& part,
-      const groups::MulticastOrder& wide);
+  // Sends an order that is the same for many ranks through the nodes that read
+  // them; returns the remaining orders.
+  std::vector<groups::RankOrder> SendMulticast(
+      std::vector<groups::RankOrder> orders,
+      TimePoint now);
+  groups::MulticastOrder MulticastOrderOf(const groups::RankOrder& order) const;
+  void SendMulticastPart(const PollingRound& part,
+                         const groups::RankOrder& order,
+                         groups::MulticastOrder multicast);
+  std::optional<groups::MulticastResult> RequestAnswer(
+      const PollingRound& part,
+      const groups::MulticastOrder& multicast);
   void OnAnswer(const groups::RankOrder& order, int status);
-  EngineCalls::Answer AskForHold(const net::Endpoint& engine,
-                                 const net::HttpRequest& request);
-  EngineCalls::Patience PatienceFor(const groups::EngineOrder& order) const;
+  EngineCalls::Answer SendHoldOrder(const net::Endpoint& engine,
+                                    const net::HttpRequest& request);
+  EngineCalls::CallTimeouts TimeoutFor(const groups::EngineOrder& order) const;
 
   net::NetworkLoop& loop_;
   EngineCalls& calls_;
-  RankRounds& rounds_;
+  RankPoller& poller_;
   const sidecar::EngineProtocol& protocol_;
   std::function<bool()> may_act_;
   GroupId group_;
@@ -153,41 +157,41 @@
   std::map<RankIndex, net::Endpoint> addresses_;
   groups::StepSwitch switch_;
   placement::RecentLoads loads_;
-  // How many times as long as a healthy rank each one takes.
+  // The time that each rank takes, as a multiple of a healthy rank's.
   std::map<RankIndex, double> paces_;
   groups::SilentRanks silence_;
-  // When those that no reader tells of were asked last.
-  std::map<RankIndex, TimePoint> asked_at_;
-  RoundShares shares_;
-  // Of the last answer of each reader.
+  // When the ranks without a reader's report were last polled by the leader.
+  std::map<RankIndex, TimePoint> polled_at_;
+  PollingSchedule schedule_;
+  // The last answer of each reader.
   struct Sum {
     placement::ReadingMark mark;
-    TimePoint at;  // when it last held any work
+    TimePoint at;  // last time that it contained work
   };
-  std::map<std::optional<net::Endpoint>, Sum> sums_of_;
-  // With work in them, since the state was logged last.
-  std::uint32_t sums_ = 0;
+  std::map<std::optional<net::Endpoint>, Sum> last_sums_;
+  // Number of sums with work in them since the state was last logged.
+  std::uint32_t sums_since_log_ = 0;
   struct RankLoad {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
   };
   std::map<RankIndex, RankLoad> loads_at_;
   groups::StepNumber newest_step_;
-  // When the state was logged last, and the step of that time.
-  TimePoint state_at_;
-  std::uint64_t state_step_ = 0;
+  // When the state was last logged, and the step at that time.
+  TimePoint state_logged_at_;
+  std::uint64_t state_logged_step_ = 0;
   groups::SwitchPhase last_phase_ = groups::SwitchPhase::kObserving;
-  TimePoint silent_due_;
+  TimePoint silent_poll_due_;
   TimePoint plan_due_;
   TimePoint phase_since_;
   TimePoint ticked_at_;
-  // No change is begun before.
-  TimePoint calm_from_;
+  // No change of the map is started before this time.
+  TimePoint changes_allowed_from_;
   OrderHelpers helpers_;
   bool is_reading_map_ = false;
   bool is_planning_ = false;
-  Duration last_plan_{};
-  std::uint32_t calling_ = 0;
+  Duration last_plan_duration_{};
+  std::uint32_t pending_calls_ = 0;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_task_orders.cc
+++ b/src/plugins/control_node/group_task_orders.cc
@@ -1,4 +1,4 @@
-// GroupTask: how orders reach the ranks.
+// GroupTask: sends orders to the ranks.
 
 #include <set>
 #include <utility>
@@ -15,42 +15,43 @@
 
 namespace {
 
-// Orders are answered at once, and the group may be standing still until the
-// last one is: a lost one is given again soon. An engine answers its sidecar
-// within a few milliseconds; to send an order to all ranks takes up to 1 ms
-// each on 0.15 of a core, and a map is longer to send and to read.
-constexpr Duration kOrderPatience = Milliseconds(25);
-constexpr Duration kOrderWay = Milliseconds(40);
-constexpr Duration kMapWay = Milliseconds(80);
+// Orders are answered immediately, and the group may be stalled until the last
+// one is answered, so a lost order must be repeated soon. An engine answers its
+// sidecar within a few milliseconds. Sending an order to all ranks takes up to
+// 1 ms each on 0.15 of a core, and a map takes longer to send and to read.
+constexpr Duration kOrderTimeout = Milliseconds(25);
+constexpr Duration kOrderTransit = Milliseconds(40);
+constexpr Duration kMapTransit = Milliseconds(80);
 constexpr Duration kOrderTimePerRank = Milliseconds(1);
 
 }  // namespace
 
-EngineCalls::Patience GroupTask::PatienceFor(
+EngineCalls::CallTimeouts GroupTask::TimeoutFor(
     const groups::EngineOrder& order) const {
   const bool has_map = std::holds_alternative<groups::PrepareMap>(order);
-  return {kOrderPatience,
-          (has_map ? kMapWay : kOrderWay) + kOrderTimePerRank * ranks_};
+  return {kOrderTimeout,
+          (has_map ? kMapTransit : kOrderTransit) + kOrderTimePerRank * ranks_};
 }
 
 void GroupTask::SendOrder(const groups::RankOrder& order) {
   Spawn([this, order] {
-    // A node that was suspended may have been replaced meanwhile. Where it
-    // still leads after all, the order is given later.
+    // A suspended node may have been replaced as the leader in the meantime. If
+    // it still leads, the order is sent later.
     if (!may_act_()) {
       switch_.OnAnswer(order, groups::OrderAnswer::kUnanswered, SteadyNow());
       return;
     }
     const net::HttpRequest request = protocol_.order_request(order, ranks_);
     const net::Endpoint& engine = addresses_.at(order.rank);
-    const bool is_about_hold =
+    const bool is_hold_order =
         std::holds_alternative<groups::HoldStep>(order.order) ||
         std::holds_alternative<groups::ReleaseStep>(order.order);
     const EngineCalls::Answer answer =
-        is_about_hold ? AskForHold(engine, request)
-                      : calls_.Ask(engine, request, PatienceFor(order.order));
+        is_hold_order
+            ? SendHoldOrder(engine, request)
+            : calls_.CallEngine(engine, request, TimeoutFor(order.order));
     OnAnswer(order, answer.status);
-    Pump();
+    Advance();
   });
 }
 
@@ -62,12 +63,12 @@
 }
 
 // Orders to prepare and to arm may reach a rank late without harm, so they may
-// go by way of a node that freezes meanwhile; what is not answered in time is
-// given again by another way. Those about a hold go alone.
-std::vector<groups::RankOrder> GroupTask::SendWide(
+// go through a node that freezes meanwhile; an order that is not answered in
+// time is repeated on another path. Orders about a hold are sent individually.
+std::vector<groups::RankOrder> GroupTask::SendMulticast(
     std::vector<groups::RankOrder> orders,
     TimePoint now) {
-  if (orders.size() <= kMostCalls) {
+  if (orders.size() <= kMaxDirectCalls) {
     return orders;
   }
   const groups::RankOrder first = orders.front();
@@ -77,13 +78,13 @@
       ranks.push_back(order.rank);
     }
   }
-  const groups::MulticastOrder wide = WideOrderOf(first);
+  const groups::MulticastOrder multicast = MulticastOrderOf(first);
   std::set<RankIndex> sent;
-  for (const Round& part : shares_.Split(ranks, now)) {
+  for (const PollingRound& part : schedule_.SplitByReader(ranks, now)) {
     if (!part.reader.has_value()) {
       continue;
     }
-    SendPart(part, first, wide);
+    SendMulticastPart(part, first, multicast);
     sent.insert(part.ranks.begin(), part.ranks.end());
   }
   std::erase_if(orders, [&](const groups::RankOrder& order) {
@@ -92,71 +93,71 @@
   return orders;
 }
 
-// For no rank yet.
-groups::MulticastOrder GroupTask::WideOrderOf(
+// Returns the order without its ranks.
+groups::MulticastOrder GroupTask::MulticastOrderOf(
     const groups::RankOrder& order) const {
   const net::HttpRequest request = protocol_.order_request(order, ranks_);
-  groups::MulticastOrder wide;
-  wide.timeout = kOrderPatience;
-  wide.method = request.method;
-  wide.target = request.target;
-  wide.content_type = request.headers.ValueOr("Content-Type", "");
-  wide.body = packing::Pack(request.body);
-  return wide;
+  groups::MulticastOrder multicast;
+  multicast.timeout = kOrderTimeout;
+  multicast.method = request.method;
+  multicast.target = request.target;
+  multicast.content_type = request.headers.ValueOr("Content-Type", "");
+  multicast.body = packing::Pack(request.body);
+  return multicast;
 }
 
-void GroupTask::SendPart(const Round& part,
-                         const groups::RankOrder& order,
-                         groups::MulticastOrder wide) {
+void GroupTask::SendMulticastPart(const PollingRound& part,
+                                  const groups::RankOrder& order,
+                                  groups::MulticastOrder multicast) {
   for (const RankIndex rank : part.ranks) {
-    wide.ranks.push_back({rank, addresses_.at(rank).ToString()});
+    multicast.ranks.push_back({rank, addresses_.at(rank).ToString()});
   }
-  Spawn([this, part, order, wide = std::move(wide)] {
+  Spawn([this, part, order, multicast = std::move(multicast)] {
     const TimePoint asked = SteadyNow();
-    const auto answer = AnswerOf(part, wide);
+    const auto answer = RequestAnswer(part, multicast);
     if (!answer.has_value() && !silence_.WasLateSince(asked, SteadyNow())) {
-      shares_.Rest(*part.reader, SteadyNow());
+      schedule_.StartCooldown(*part.reader, SteadyNow());
     }
     groups::RankOrder one = order;
     for (std::size_t i = 0; i < part.ranks.size(); ++i) {
-      const bool is_told = answer.has_value() && i < answer->statuses.size();
+      const bool has_status = answer.has_value() && i < answer->statuses.size();
       one.rank = part.ranks[i];
-      OnAnswer(one, is_told ? static_cast<int>(answer->statuses[i]) : 0);
+      OnAnswer(one, has_status ? static_cast<int>(answer->statuses[i]) : 0);
     }
-    Pump();
+    Advance();
   });
 }
 
-std::optional<groups::MulticastResult> GroupTask::AnswerOf(
-    const Round& part,
-    const groups::MulticastOrder& wide) {
+std::optional<groups::MulticastResult> GroupTask::RequestAnswer(
+    const PollingRound& part,
+    const groups::MulticastOrder& multicast) {
   if (!may_act_()) {
     return std::nullopt;
   }
   const EngineCalls::Answer answer =
-      calls_.AskNode(*part.reader, OrderSpreader::RequestFor(wide),
-                     OrderSpreader::PatienceFor(wide) + kOrderWay);
+      calls_.CallNode(*part.reader, OrderMulticaster::RequestFor(multicast),
+                      OrderMulticaster::TimeoutFor(multicast) + kOrderTransit);
   return answer.status == net::status::kOk
              ? groups::DecodeMulticastResult(answer.body)
              : std::nullopt;
 }
 
-EngineCalls::Answer GroupTask::AskForHold(const net::Endpoint& engine,
-                                          const net::HttpRequest& request) {
-  constexpr EngineCalls::Patience kPatience{kOrderPatience, kOrderWay};
+EngineCalls::Answer GroupTask::SendHoldOrder(const net::Endpoint& engine,
+                                             const net::HttpRequest& request) {
+  constexpr EngineCalls::CallTimeouts kTimeouts{kOrderTimeout, kOrderTransit};
   const auto helper = helpers_.Next();
   if (!helper.has_value()) {
-    return calls_.Ask(engine, request, kPatience);
+    return calls_.CallEngine(engine, request, kTimeouts);
   }
   EngineCalls::Answer answer =
-      calls_.AskThrough(*helper, engine, request, kPatience);
-  const Passing passing = JudgePassing(answer.status);
-  helpers_.OnPassed(*helper, passing);
-  if (passing == Passing::kHelperFailed) {
+      calls_.CallThroughNode(*helper, engine, request, kTimeouts);
+  const RelayResult result = ClassifyRelayStatus(answer.status);
+  helpers_.OnRelayed(*helper, result);
+  if (result == RelayResult::kHelperFailed) {
     log_.Info("An order about a hold goes by way of another node.",
               {{"failed", helper->ToString()}, {"status", answer.status}});
   }
-  return passing == Passing::kAnswered ? answer : EngineCalls::Answer{};
+  return result == RelayResult::kAnswered ? answer : EngineCalls::Answer{};
 }
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -1,4 +1,4 @@
-// GroupTask: whether the map is changed, and to what.
+// GroupTask: decides whether and how to change the map.
 
 #include <algorithm>
 
@@ -13,22 +13,25 @@
 
 namespace {
 
-// Below this many counts the shares of rare experts are noise.
-constexpr double kLeastWeight = 10'000.0;
-// How much a change must shorten the layers, and down to which imbalance a
-// layer is worth copies. While engines have room a longer step makes nobody
-// late, so only what is far off is mended: copies are dear.
-struct Ambition {
+// Below this number of counts the shares of rare experts are noise.
+constexpr double kMinWeight = 10'000.0;
+// By how much a change must shorten the layers, and above which imbalance a
+// layer gets additional copies. While engines have free slots, a longer step
+// delays no request, so only a large imbalance is corrected: copies are
+// expensive.
+struct ChangeThresholds {
   double least_gain;
   double good_enough;
 };
-constexpr Ambition kBusyAmbition{0.12, 1.08};
-constexpr Ambition kCalmAmbition{0.2, 1.25};
-// Requests at a rank, on the mean, as a share of its slots.
+constexpr ChangeThresholds kBusyThresholds{0.12, 1.08};
+constexpr ChangeThresholds kIdleThresholds{0.2, 1.25};
+// Mean number of requests per rank, as a share of its slots, above which a
+// group is busy.
 constexpr double kBusyShare = 0.6;
-// A rank is not taken for faster than a healthy one.
-constexpr double kLeastPace = 1.0;
-// A plan is made in slices of this, and others have their turn in between.
+// No rank is considered faster than a healthy one.
+constexpr double kMinPace = 1.0;
+// A plan is computed in slices of this length, so that other fibers can run in
+// between.
 constexpr Duration kPlanSlice = Milliseconds(15);
 constexpr Duration kPlanPause = Milliseconds(1);
 
@@ -44,20 +47,21 @@
     requests += load.running + load.waiting;
   }
   const bool is_busy = requests > kBusyShare * engine_.slots * ranks_;
-  const Ambition& ambition = is_busy ? kBusyAmbition : kCalmAmbition;
-  options.good_enough = ambition.good_enough;
-  options.least_gain = ambition.least_gain;
+  const ChangeThresholds& thresholds =
+      is_busy ? kBusyThresholds : kIdleThresholds;
+  options.good_enough = thresholds.good_enough;
+  options.least_gain = thresholds.least_gain;
   options.speeds.assign(ranks_, 1.0);
   for (const auto& [rank, pace] : paces_) {
-    options.speeds[rank.value()] = 1.0 / std::max(pace, kLeastPace);
+    options.speeds[rank.value()] = 1.0 / std::max(pace, kMinPace);
   }
   options.pause = PauseBetweenMoves();
   return options;
 }
 
-// A plan for a large group takes a few hundred ms of 0.15 of a core. Answers
-// that wait for it are taken for lost, and so are the ranks and nodes that gave
-// them; so others have their turn in between.
+// A plan for a large group takes a few hundred milliseconds on 0.15 of a core.
+// Answers that are not processed meanwhile count as lost, and so do the ranks
+// and nodes that sent them; planning therefore yields to other fibers.
 std::function<void()> GroupTask::PauseBetweenMoves() {
   return [this, begun = SteadyNow()]() mutable {
     if (SteadyNow() - begun < kPlanSlice) {
@@ -70,7 +74,7 @@
 
 void GroupTask::Plan() {
   const auto map = switch_.map();
-  if (loads_.weight() < kLeastWeight || map == nullptr) {
+  if (loads_.weight() < kMinWeight || map == nullptr) {
     return;
   }
   const TimePoint begun = SteadyNow();
@@ -82,8 +86,8 @@
       placement::PlanSoonest(*map, loads, options, times);
   const double gain = 1.0 - plan.imbalance_after / plan.imbalance_before;
   const TimePoint now = SteadyNow();
-  last_plan_ = now - begun;
-  // The group may have formed anew while the plan was made.
+  last_plan_duration_ = now - begun;
+  // The group may have formed again while the plan was computed.
   const bool still_fits =
       switch_.phase() == SwitchPhase::kIdle && switch_.map() == map;
   if (gain < options.least_gain || !still_fits) {
--- a/src/plugins/control_node/group_task_readings.cc
+++ b/src/plugins/control_node/group_task_readings.cc
@@ -1,4 +1,4 @@
-// GroupTask: what the ranks tell.
+// GroupTask: reads the state of the ranks.
 
 #include <algorithm>
 #include <cmath>
@@ -18,18 +18,19 @@
 
 namespace {
 
-// A rank that no reader told of for this long is asked by the leader.
-constexpr Duration kSilent = Milliseconds(250);
-// Ranks that the leader asks itself a second: what a control node of 0.15 of a
-// core can ask and read beside its other work.
-constexpr double kAsksPerSecond = 200.0;
-// Of them at a time, so that they don't hold up all else.
-constexpr std::size_t kAsksAtOnce = 8;
-// For a reader's answer, beside the time that it may take for its ranks.
-constexpr Duration kRoundWay = Milliseconds(300);
-constexpr EngineCalls::Patience kReportPatience{Milliseconds(300)};
-// The map of a group that has just formed: experts in turn.
-std::shared_ptr<const placement::ExpertMap> FirstMap(
+// The leader polls a rank itself if no reader reported it for this long.
+constexpr Duration kSilenceTimeout = Milliseconds(250);
+// Number of ranks that the leader polls itself per second: what a control node
+// with 0.15 of a core can send and read beside its other work.
+constexpr double kMaxPollsPerSecond = 200.0;
+// Maximum number of them at a time, so that they don't delay other work.
+constexpr std::size_t kMaxPollsPerBatch = 8;
+// Network time of a reader's answer, in addition to the time limit for its
+// ranks.
+constexpr Duration kRoundTransit = Milliseconds(300);
+constexpr EngineCalls::CallTimeouts kReportTimeouts{Milliseconds(300)};
+// The map of a newly formed group: experts are assigned to ranks in turn.
+std::shared_ptr<const placement::ExpertMap> InitialMap(
     const traffic::EngineModel& engine,
     std::uint32_t ranks) {
   auto map = std::make_shared<placement::ExpertMap>(engine.expert_layers,
@@ -45,38 +46,38 @@
 
 }  // namespace
 
-void GroupTask::BeginRounds(TimePoint now) {
-  for (const Round& round : shares_.Due(now)) {
-    AskRound(round);
+void GroupTask::StartRounds(TimePoint now) {
+  for (const PollingRound& round : schedule_.StartDueRounds(now)) {
+    PollRanks(round);
   }
 }
 
-std::optional<groups::RoundResponse> GroupTask::AnswerOf(
-    const Round& round,
+std::optional<groups::RoundResponse> GroupTask::RequestAnswer(
+    const PollingRound& round,
     const groups::RoundRequest& question) {
   if (!round.reader.has_value()) {
-    return rounds_.Read(question);
+    return poller_.Read(question);
   }
   const EngineCalls::Answer answer =
-      calls_.AskNode(*round.reader, RankRounds::RequestFor(question),
-                     RankRounds::kRoundPatience + kRoundWay);
+      calls_.CallNode(*round.reader, RankPoller::RequestFor(question),
+                      RankPoller::kRoundTimeout + kRoundTransit);
   return answer.status == net::status::kOk
              ? groups::DecodeRoundResponse(answer.body)
              : std::nullopt;
 }
 
-void GroupTask::AskRound(const Round& round) {
+void GroupTask::PollRanks(const PollingRound& round) {
   Spawn([this, round] {
     groups::RoundRequest question;
     question.group = group_;
-    question.mark = sums_of_[round.reader].mark;
+    question.mark = last_sums_[round.reader].mark;
     question.read_work = read_work();
     question.counters = engine_.expert_layers * engine_.experts_per_layer;
     for (const RankIndex rank : round.ranks) {
       question.ranks.push_back({rank, addresses_.at(rank).ToString()});
     }
     const TimePoint asked = SteadyNow();
-    const auto answer = AnswerOf(round, question);
+    const auto answer = RequestAnswer(round, question);
     if (!answer.has_value()) {
       log_.Info("A control node does not read its ranks.",
                 {{"group", group_.value()},
@@ -85,39 +86,39 @@
                  {"ranks", round.ranks.size()},
                  {"after_ms", (SteadyNow() - asked) / Milliseconds(1)}});
       const TimePoint now = SteadyNow();
-      shares_.OnFailure(round, silence_.WasLateSince(asked, now), now);
+      schedule_.OnFailure(round, silence_.WasLateSince(asked, now), now);
       return;
     }
-    shares_.OnAnswer(round, answer->domain, SteadyNow());
-    NoteSum(round, *answer);
+    schedule_.OnAnswer(round, answer->domain, SteadyNow());
+    RecordSum(round, *answer);
     for (const groups::RankPollResult& word : answer->results) {
-      // The answer waits for the slowest rank; that a rank answers is known of
-      // the time at which it was asked, and it may be frozen since.
+      // The answer waits for the slowest rank. That a rank responded is only
+      // known for the time at which it was polled; it may have frozen since.
       const TimePoint at = asked + word.poll_delay;
-      TakeReport(word.rank, word.report, at, at);
+      ApplyReport(word.rank, word.report, at, at);
     }
-    NoteSilent(round, *answer);
-    Pump();
+    RecordSilentRanks(round, *answer);
+    Advance();
   });
 }
 
-void GroupTask::NoteSum(const Round& round,
-                        const groups::RoundResponse& answer) {
+void GroupTask::RecordSum(const PollingRound& round,
+                          const groups::RoundResponse& answer) {
   const TimePoint now = SteadyNow();
-  Sum& sum = sums_of_[round.reader];
+  Sum& sum = last_sums_[round.reader];
   sum.mark = answer.mark;
   if (answer.work.empty()) {
     return;
   }
   sum.at = now;
-  ++sums_;
+  ++sums_since_log_;
   loads_.Add(answer.work, now);
 }
 
-// Where most of its ranks are silent, the reader may be cut off or late itself;
-// the leader asks them then.
-void GroupTask::NoteSilent(const Round& round,
-                           const groups::RoundResponse& answer) {
+// If at least half of its ranks are silent, the reader itself may be
+// partitioned or late; the leader then polls them.
+void GroupTask::RecordSilentRanks(const PollingRound& round,
+                                  const groups::RoundResponse& answer) {
   std::set<RankIndex> silent(round.ranks.begin(), round.ranks.end());
   for (const groups::RankPollResult& word : answer.results) {
     silent.erase(word.rank);
@@ -130,7 +131,8 @@
   }
 }
 
-// Work of reading one token of a prompt, in that of writing one.
+// Work of processing one prompt token, relative to the work of generating one
+// token.
 double GroupTask::read_work() const {
   const double write_time = ToSeconds(engine_.step_per_request);
   const double read_rate = engine_.prompt_tokens_per_second;
@@ -139,34 +141,35 @@
              : 1.0;
 }
 
-// Those that no reader tells of: their sidecar is gone, or the reader is.
-void GroupTask::AskSilent(TimePoint now) {
-  if (now < silent_due_) {
+// Polls the ranks that no reader reports because their sidecar or the reader
+// has failed.
+void GroupTask::PollSilentRanks(TimePoint now) {
+  if (now < silent_poll_due_) {
     return;
   }
   std::vector<RankIndex> silent;
   for (const auto& [rank, endpoint] : addresses_) {
-    if (silent.size() < kAsksAtOnce &&
-        !silence_.HasResponded(rank, kSilent, now) &&
-        now - asked_at_[rank] > kSilent) {
+    if (silent.size() < kMaxPollsPerBatch &&
+        !silence_.HasResponded(rank, kSilenceTimeout, now) &&
+        now - polled_at_[rank] > kSilenceTimeout) {
       silent.push_back(rank);
     }
   }
   for (const RankIndex rank : silent) {
-    asked_at_[rank] = now;
-    AskReport(rank, addresses_.at(rank));
+    polled_at_[rank] = now;
+    RequestReport(rank, addresses_.at(rank));
   }
   constexpr double kMicrosecondsPerSecond = 1e6;
-  silent_due_ = now + Microseconds(static_cast<std::int64_t>(
-                          static_cast<double>(silent.size()) / kAsksPerSecond *
-                          kMicrosecondsPerSecond));
+  silent_poll_due_ = now + Microseconds(static_cast<std::int64_t>(
+                               static_cast<double>(silent.size()) /
+                               kMaxPollsPerSecond * kMicrosecondsPerSecond));
 }
 
-void GroupTask::AskReport(RankIndex rank, const net::Endpoint& endpoint) {
+void GroupTask::RequestReport(RankIndex rank, const net::Endpoint& endpoint) {
   Spawn([this, rank, endpoint] {
     const TimePoint asked = SteadyNow();
-    const EngineCalls::Answer answer =
-        calls_.Ask(endpoint, protocol_.report_request(), kReportPatience);
+    const EngineCalls::Answer answer = calls_.CallEngine(
+        endpoint, protocol_.report_request(), kReportTimeouts);
     const auto report = protocol_.read_report(answer.body);
     if (!report.has_value()) {
       if (!silence_.WasLateSince(asked, SteadyNow())) {
@@ -174,28 +177,29 @@
       }
       return;
     }
-    TakeReport(rank, *report, answer.as_of, SteadyNow());
-    Pump();
+    ApplyReport(rank, *report, answer.as_of, SteadyNow());
+    Advance();
   });
 }
 
-void GroupTask::TakeReport(RankIndex rank,
-                           const groups::EngineReport& report,
-                           TimePoint as_of,
-                           TimePoint heard_at) {
+void GroupTask::ApplyReport(RankIndex rank,
+                            const groups::EngineReport& report,
+                            TimePoint as_of,
+                            TimePoint responded_at) {
   paces_[rank] = report.pace;
   silence_.OnResponse(rank, SteadyNow());
   loads_at_[rank] = {report.running, report.waiting};
   newest_step_ = report.step;
-  switch_.OnReport(rank, report, as_of, heard_at);
+  switch_.OnReport(rank, report, as_of, responded_at);
 }
 
-void GroupTask::AddSlow(std::map<std::string, double>& by_address) const {
+void GroupTask::AddSlowTargets(
+    std::map<std::string, double>& by_address) const {
   const groups::BatchTimes times{engine_.slots, engine_.step,
                                  engine_.step_per_request,
                                  engine_.expert_share};
   for (const RankIndex rank : groups::FindSlowRanks(paces_, times)) {
-    // In steps of a half, so that a small change is no news.
+    // Rounded to steps of 0.5, so that a small change is not published.
     by_address[addresses_.at(rank).ToString()] =
         std::round(paces_.at(rank) * 2.0) / 2.0;
   }
@@ -204,18 +208,19 @@
   }
 }
 
-// Whoever takes a group over has to learn what the map in use holds.
+// A new leader must learn the contents of the map in use.
 void GroupTask::ReadMap() {
   const auto version = switch_.unread_version();
   if (!version.has_value() || is_reading_map_) {
     return;
   }
   if (version->value() == 0) {
-    switch_.OnMapRead(*version, FirstMap(engine_, ranks_));
+    switch_.OnMapRead(*version, InitialMap(engine_, ranks_));
     return;
   }
   is_reading_map_ = true;
-  // All ranks at once: the group may be standing still until the map is known.
+  // All ranks are read at once, because the group may be stalled until the map
+  // is known.
   auto reading = std::make_shared<MapReading>();
   reading->map = std::make_shared<placement::ExpertMap>(
       engine_.expert_layers, engine_.experts_per_layer);
@@ -224,16 +229,18 @@
   for (const auto& [rank, endpoint] : addresses_) {
     Spawn([this, reading, rank = rank, endpoint = endpoint] {
       const auto read = protocol_.read_experts(
-          calls_.Ask(endpoint, protocol_.experts_request(), kReportPatience)
+          calls_
+              .CallEngine(endpoint, protocol_.experts_request(),
+                          kReportTimeouts)
               .body);
       if (!read.has_value() || read->version != reading->version ||
           read->experts.size() != engine_.expert_layers) {
-        reading->is_whole = false;
+        reading->is_complete = false;
       } else {
         AddExperts(*reading->map, rank, read->experts);
       }
       if (--reading->missing == 0) {
-        EndReading(*reading);
+        FinishMapReading(*reading);
       }
     });
   }
@@ -250,13 +257,13 @@
   }
 }
 
-void GroupTask::EndReading(const MapReading& reading) {
-  if (reading.is_whole && reading.map->Orphans().empty()) {
+void GroupTask::FinishMapReading(const MapReading& reading) {
+  if (reading.is_complete && reading.map->Orphans().empty()) {
     switch_.OnMapRead(reading.version, reading.map);
-    Pump();
+    Advance();
   }
-  // A rank that does not answer is asked again after a while.
-  loop_.SleepFor(kSilent);
+  // Ranks that did not answer are read again after a delay.
+  loop_.SleepFor(kSilenceTimeout);
   is_reading_map_ = false;
 }
 
--- a/src/plugins/control_node/limit_keeper.cc
+++ b/src/plugins/control_node/limit_manager.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/limit_keeper.h"
+#include "plugins/control_node/limit_manager.h"
 
 #include <utility>
 
@@ -9,36 +9,37 @@
 
 namespace {
 
-constexpr std::uint32_t kMostLinesASecond = 20;
-// All gateways are told at once, which takes a small node a while.
-constexpr Duration kBetweenNews = Milliseconds(250);
+constexpr std::uint32_t kMaxLogLinesPerSecond = 20;
+// Each change is sent to all gateways at once, which takes a small node some
+// time.
+constexpr Duration kMinUpdateInterval = Milliseconds(250);
 
 }  // namespace
 
-LimitKeeper::LimitKeeper(net::FiberSignal& changed)
+LimitManager::LimitManager(net::FiberSignal& changed)
     : changed_(changed),
       log_("limits"),
-      lines_(kMostLinesASecond),
-      book_(declared_limits::LimitRegistryOptions{}),
+      log_budget_(kMaxLogLinesPerSecond),
+      registry_(declared_limits::LimitRegistryOptions{}),
       granter_(declared_limits::LimitGranterOptions{}) {}
 
-void LimitKeeper::Register(links::LinkServer& server) {
+void LimitManager::Register(links::LinkServer& server) {
   server.Register("limits.grant", [this](const boost::json::value& params) {
     return OnGrant(params);
   });
 }
 
-std::optional<boost::json::value> LimitKeeper::OnGrant(
+std::optional<boost::json::value> LimitManager::OnGrant(
     const boost::json::value& params) {
   const auto request = declared_limits::GrantRequestFromJson(params);
   if (!request.has_value()) {
-    log_.Warn("Can't read a gateway's question for grants.", {});
+    log_.Warn("Failed to parse a gateway's grant request.", {});
     return std::nullopt;
   }
   const TimePoint now = net::SteadyNow();
   const declared_limits::GrantAnswer answer =
-      granter_.Ask(*request, book_, now);
-  if (answer.grants.empty() && lines_.Take(now)) {
+      granter_.Ask(*request, registry_, now);
+  if (answer.grants.empty() && log_budget_.Take(now)) {
     log_.Info("No target may be sent more.",
               {{"targets", request->targets.size()},
                {"first_choice", request->is_first_choice},
@@ -47,17 +48,17 @@
   return declared_limits::ToJson(answer);
 }
 
-void LimitKeeper::Note(
+void LimitManager::Note(
     const std::string& gateway,
     const std::vector<declared_limits::LimitStatement>& statements,
     TimePoint now) {
   bool is_changed = false;
   for (const declared_limits::LimitStatement& statement : statements) {
-    if (!book_.Note(statement, now)) {
+    if (!registry_.Note(statement, now)) {
       continue;
     }
     is_changed = true;
-    if (lines_.Take(now)) {
+    if (log_budget_.Take(now)) {
       log_.Info("A target's limit changed.",
                 {{"target", statement.run.target.value()},
                  {"per_second", statement.per_second.has_value()
@@ -72,24 +73,25 @@
   }
 }
 
-void LimitKeeper::SetGateways(std::vector<std::string> gateways,
-                              TimePoint now) {
-  book_.SetGateways(std::move(gateways));
+void LimitManager::SetGateways(std::vector<std::string> gateways,
+                               TimePoint now) {
+  registry_.SetGateways(std::move(gateways));
   Publish(now);
 }
 
-void LimitKeeper::Tick(TimePoint now) {
-  book_.Tick(now);
+void LimitManager::Tick(TimePoint now) {
+  registry_.Tick(now);
   granter_.Tick(now);
   Publish(now);
 }
 
-void LimitKeeper::Publish(TimePoint now) {
-  if (book_.revision() == told_revision_ || now - told_at_ < kBetweenNews) {
+void LimitManager::Publish(TimePoint now) {
+  if (registry_.revision() == published_revision_ ||
+      now - published_at_ < kMinUpdateInterval) {
     return;
   }
-  told_revision_ = book_.revision();
-  told_at_ = now;
+  published_revision_ = registry_.revision();
+  published_at_ = now;
   changed_.NotifyAll();
 }
 
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_manager.h
@@ -1,7 +1,7 @@
-// A control node's part in keeping to the limits that targets declare.
+// Enforcement of the limits that targets declare, on a control node.
 
-#ifndef PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
-#define PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
+#ifndef PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
+#define PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
 
 #include <boost/json/value.hpp>
 #include <cstdint>
@@ -18,27 +18,27 @@
 
 namespace bilberryspool::control_node {
 
-// Every control node hears of the limits from all gateways that ask it and
-// divides them for itself. Belongs to the control loop.
-class LimitKeeper {
+// Each control node receives the declared limits from all gateways that poll
+// it, and divides them independently of the others. Runs in the control loop.
+class LimitManager {
  public:
-  // `changed` is notified where gateways have to be told.
-  explicit LimitKeeper(net::FiberSignal& changed);
+  // `changed` is notified when gateways must be sent an update.
+  explicit LimitManager(net::FiberSignal& changed);
 
   void Register(links::LinkServer& server);
 
-  // What `gateway` heard from targets.
+  // Records the limits that `gateway` received from targets.
   void Note(const std::string& gateway,
             const std::vector<declared_limits::LimitStatement>& statements,
             TimePoint now);
   void SetGateways(std::vector<std::string> gateways, TimePoint now);
-  // To be called a few times a second.
+  // Must be called a few times a second.
   void Tick(TimePoint now);
 
-  const declared_limits::LimitRegistry& book() const { return book_; }
+  const declared_limits::LimitRegistry& registry() const { return registry_; }
   const declared_limits::LimitGranter& granter() const { return granter_; }
-  // Changes a few times a second at most, some time after the book does.
-  std::uint64_t told_revision() const { return told_revision_; }
+  // Changes at most a few times a second, with a delay after the registry.
+  std::uint64_t published_revision() const { return published_revision_; }
 
  private:
   void Publish(TimePoint now);
@@ -46,13 +46,13 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  telemetry::LineBudget lines_;
-  declared_limits::LimitRegistry book_;
+  telemetry::LineBudget log_budget_;
+  declared_limits::LimitRegistry registry_;
   declared_limits::LimitGranter granter_;
-  std::uint64_t told_revision_ = 0;
-  TimePoint told_at_;
+  std::uint64_t published_revision_ = 0;
+  TimePoint published_at_;
 };
 
 }  // namespace bilberryspool::control_node
 
-#endif  // PLUGINS_CONTROL_NODE_LIMIT_KEEPER_H_
+#endif  // PLUGINS_CONTROL_NODE_LIMIT_MANAGER_H_
--- a/src/plugins/control_node/order_helpers.h
+++ b/src/plugins/control_node/order_helpers.h
@@ -1,15 +1,15 @@
-// Which control node passes the next order about a hold on.
+// Selects the control node that relays the next order about a hold.
 //
-// While a step is held the whole group depends on whoever can release it. A VM
-// beside an engine that freezes takes its engine along, which can't be reached
-// until it wakes: where that VM had just passed the hold on, the group stood
-// still for the whole freeze of 4 s. The loss of the node that leads costs an
-// election. The loss of another control node costs nothing, so the two orders
-// about a hold go by way of one of those: in turn, so that the release does not
-// wait for the one that has just passed the hold on, and past those that
-// failed.
+// While a step is held, the whole group depends on the node that can release
+// it. If the VM beside an engine freezes, its engine freezes too and can't be
+// reached until the VM is awake: when that VM had just relayed the hold, the
+// group was stalled for the whole freeze of 4 s. Losing the leader costs an
+// election; losing any other control node costs nothing. Both orders about a
+// hold therefore go through one of the other nodes: in turn, so that the
+// release does not depend on the node that has just relayed the hold, and
+// skipping nodes that failed.
 //
-// Pure.
+// Pure: no I/O and no clock.
 
 #ifndef PLUGINS_CONTROL_NODE_ORDER_HELPERS_H_
 #define PLUGINS_CONTROL_NODE_ORDER_HELPERS_H_
@@ -24,47 +24,49 @@
 
 namespace bilberryspool::control_node {
 
-// What the status that a helper answered says; 0: it did not answer.
-enum class Passing {
+// Meaning of the status that a helper returned; 0: it did not respond.
+enum class RelayResult {
   kAnswered,      // the engine's own answer
-  kEngineSilent,  // the helper is well, its engine did not answer it
-  kHelperFailed,  // out of reach, or it does not know the engine
+  kEngineSilent,  // the helper responded, the engine did not
+  kHelperFailed,  // unreachable, or it does not know the engine
 };
 
-inline Passing JudgePassing(int status) {
+inline RelayResult ClassifyRelayStatus(int status) {
   if (status == 0 || status == net::status::kNotFound) {
-    return Passing::kHelperFailed;
+    return RelayResult::kHelperFailed;
   }
-  return status < net::status::kServerError ? Passing::kAnswered
-                                            : Passing::kEngineSilent;
+  return status < net::status::kServerError ? RelayResult::kAnswered
+                                            : RelayResult::kEngineSilent;
 }
 
 class OrderHelpers {
  public:
-  // The other control nodes that answer; one that failed may be among them
-  // again.
+  // Sets the other control nodes that respond; a node that failed may be among
+  // them again.
   void Set(std::vector<net::Endpoint> nodes) { nodes_ = std::move(nodes); }
 
-  // Nothing where there is none: the order then goes the usual way.
+  // Returns nothing if there is no other node; the order then takes the usual
+  // path.
   std::optional<net::Endpoint> Next() {
     if (nodes_.empty()) {
       return std::nullopt;
     }
-    return nodes_[turn_++ % nodes_.size()];
+    return nodes_[next_index_++ % nodes_.size()];
   }
 
-  // What became of an order by way of `node`. An engine that leaves orders
-  // unanswered says nothing against whoever passed them on: were that node left
-  // out too, two lost orders would lead back to the VM beside the engine.
-  void OnPassed(const net::Endpoint& node, Passing passing) {
-    if (passing == Passing::kHelperFailed) {
+  // Handles the result of an order relayed by `node`. Only a failure of the
+  // helper removes it: an engine that does not answer says nothing about the
+  // helper. If helpers were removed for that as well, two lost orders would
+  // lead back to the VM beside the engine.
+  void OnRelayed(const net::Endpoint& node, RelayResult result) {
+    if (result == RelayResult::kHelperFailed) {
       std::erase(nodes_, node);
     }
   }
 
  private:
   std::vector<net::Endpoint> nodes_;
-  std::size_t turn_ = 0;
+  std::size_t next_index_ = 0;
 };
 
 }  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/order_spreader.cc
+++ b/src/plugins/control_node/order_multicaster.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/order_spreader.h"
+#include "plugins/control_node/order_multicaster.h"
 
 #include <cstddef>
 #include <memory>
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr char kSpreadTarget[] = "/wide-order";
-// To a sidecar and back, and what waits here to be sent before.
-constexpr Duration kWay = Milliseconds(40);
+constexpr char kMulticastTarget[] = "/wide-order";
+// Network time to a sidecar and back, including queueing in this process.
+constexpr Duration kTransit = Milliseconds(40);
 constexpr Duration kTimePerRank = Milliseconds(1);
 
-// What all ranks get.
+// Returns the request that all ranks get.
 net::HttpRequest RequestToEngines(const groups::MulticastOrder& order) {
   net::HttpRequest request;
   request.method = order.method;
@@ -40,31 +40,31 @@
 
 }  // namespace
 
-bool OrderSpreader::IsAsked(const net::HttpRequest& request) {
-  return request.target == kSpreadTarget;
+bool OrderMulticaster::Handles(const net::HttpRequest& request) {
+  return request.target == kMulticastTarget;
 }
 
-net::HttpRequest OrderSpreader::RequestFor(
+net::HttpRequest OrderMulticaster::RequestFor(
     const groups::MulticastOrder& order) {
   net::HttpRequest request;
   request.method = "POST";
-  request.target = kSpreadTarget;
+  request.target = kMulticastTarget;
   request.headers.Add("Content-Type", "application/octet-stream");
   request.body = groups::Encode(order);
   return request;
 }
 
-Duration OrderSpreader::PatienceFor(const groups::MulticastOrder& order) {
-  return order.timeout + kWay +
+Duration OrderMulticaster::TimeoutFor(const groups::MulticastOrder& order) {
+  return order.timeout + kTransit +
          kTimePerRank * static_cast<Duration::rep>(order.ranks.size());
 }
 
-groups::MulticastResult OrderSpreader::Spread(
+groups::MulticastResult OrderMulticaster::Multicast(
     const groups::MulticastOrder& order) {
   const auto request =
       std::make_shared<const net::HttpRequest>(RequestToEngines(order));
-  const EngineCalls::Patience timeout{order.timeout,
-                                      PatienceFor(order) - order.timeout};
+  const EngineCalls::CallTimeouts timeout{order.timeout,
+                                          TimeoutFor(order) - order.timeout};
   auto replies = std::make_shared<Replies>();
   replies->missing = order.ranks.size();
   replies->answer.statuses.resize(order.ranks.size());
@@ -73,7 +73,7 @@
                  engine = net::ParseEndpoint(order.ranks[i].engine)] {
       if (engine.has_value()) {
         const EngineCalls::Answer answer =
-            calls_.AskSidecar(*engine, *request, timeout);
+            calls_.CallSidecar(*engine, *request, timeout);
         replies->answer.statuses[i] = static_cast<std::uint32_t>(answer.status);
       }
       --replies->missing;
@@ -86,7 +86,7 @@
   return replies->answer;
 }
 
-void OrderSpreader::Answer(net::HttpExchange& exchange) {
+void OrderMulticaster::Answer(net::HttpExchange& exchange) {
   const auto order = groups::DecodeMulticastOrder(exchange.request().body);
   net::HttpResponseHead head;
   if (!order.has_value()) {
@@ -94,7 +94,7 @@
     exchange.Respond(std::move(head), "not an order\n");
     return;
   }
-  exchange.Respond(std::move(head), groups::Encode(Spread(*order)));
+  exchange.Respond(std::move(head), groups::Encode(Multicast(*order)));
 }
 
 }  // namespace bilberryspool::control_node
--- /dev/null
+++ b/src/plugins/control_node/polling_schedule.cc
@@ -0,0 +1,191 @@
+#include "plugins/control_node/polling_schedule.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <iterator>
+#include <set>
+#include <utility>
+
+namespace bilberryspool::control_node {
+
+namespace {
+
+constexpr Duration kMinInterval = Milliseconds(60);
+// Time that polling one rank takes on a node that has 0.15 of a core for all
+// its work, and on the leader, which has more other work.
+constexpr Duration kTimePerRank = Microseconds(2500);
+constexpr Duration kLeaderTimePerRank = Microseconds(4000);
+// Number of ranks that the leader polls at a time. Polling all ranks at once
+// would delay its other work so much that it would consider the nodes that
+// answer it lost.
+constexpr std::size_t kLeaderBatchSize = 24;
+constexpr std::uint32_t kMaxFailures = 3;
+// Minimum time between the starts of two rounds, as a multiple of the duration
+// of the last one.
+constexpr double kIntervalFactor = 1.5;
+// How long a node that did not respond is not used.
+constexpr Duration kCooldown = Seconds(1);
+
+}  // namespace
+
+void PollingSchedule::SetRank(RankIndex rank, const FailureDomain& domain) {
+  ranks_[rank] = domain;
+}
+
+void PollingSchedule::SetReaders(const std::vector<net::Endpoint>& readers) {
+  std::erase_if(readers_, [&](const auto& item) {
+    const auto& [endpoint, reader] = item;
+    return endpoint.has_value() && !reader.is_in_flight &&
+           std::find(readers.begin(), readers.end(), *endpoint) ==
+               readers.end();
+  });
+  for (const net::Endpoint& endpoint : readers) {
+    readers_[endpoint];
+  }
+}
+
+// Assigns each rank to a reader in its failure domain, or else to the reader
+// with the fewest ranks.
+void PollingSchedule::AssignRanks(TimePoint now) {
+  std::vector<Reader*> usable;
+  for (auto& [endpoint, reader] : readers_) {
+    reader.ranks.clear();
+    if (endpoint.has_value() && now >= reader.cooldown_until) {
+      usable.push_back(&reader);
+    }
+  }
+  if (usable.empty()) {
+    usable.push_back(&readers_.at(std::nullopt));
+  }
+  std::vector<RankIndex> unassigned;
+  for (const auto& item : ranks_) {
+    const FailureDomain& domain = item.second;
+    const auto same_domain = std::find_if(
+        usable.begin(), usable.end(),
+        [&](const Reader* reader) { return reader->domain == domain; });
+    if (same_domain == usable.end()) {
+      unassigned.push_back(item.first);
+      continue;
+    }
+    (*same_domain)->ranks.push_back(item.first);
+  }
+  for (const RankIndex rank : unassigned) {
+    const auto least_loaded =
+        std::min_element(usable.begin(), usable.end(),
+                         [](const Reader* one, const Reader* other) {
+                           return one->ranks.size() < other->ranks.size();
+                         });
+    (*least_loaded)->ranks.push_back(rank);
+  }
+}
+
+std::vector<PollingRound> PollingSchedule::StartDueRounds(TimePoint now) {
+  AssignRanks(now);
+  std::vector<PollingRound> rounds;
+  for (auto& [endpoint, reader] : readers_) {
+    if (reader.is_in_flight || reader.ranks.empty() || now < reader.due) {
+      continue;
+    }
+    const Duration each =
+        endpoint.has_value() ? kTimePerRank : kLeaderTimePerRank;
+    PollingRound round{endpoint, endpoint.has_value()
+                                     ? reader.ranks
+                                     : NextLeaderBatch(reader.ranks)};
+    const auto count = static_cast<Duration::rep>(round.ranks.size());
+    reader.due = now + std::max(kMinInterval, each * count);
+    reader.asked_at = now;
+    reader.is_in_flight = true;
+    reader.is_expedited = false;
+    rounds.push_back(std::move(round));
+  }
+  return rounds;
+}
+
+// Returns the next of the leader's ranks, in rotation.
+std::vector<RankIndex> PollingSchedule::NextLeaderBatch(
+    const std::vector<RankIndex>& ranks) {
+  std::vector<RankIndex> batch;
+  const std::size_t count = std::min(kLeaderBatchSize, ranks.size());
+  for (std::size_t i = 0; i < count; ++i) {
+    batch.push_back(ranks[next_batch_start_++ % ranks.size()]);
+  }
+  return batch;
+}
+
+std::vector<PollingRound> PollingSchedule::SplitByReader(
+    const std::vector<RankIndex>& ranks,
+    TimePoint now) {
+  AssignRanks(now);
+  const std::set<RankIndex> wanted(ranks.begin(), ranks.end());
+  std::vector<PollingRound> parts;
+  for (const auto& [endpoint, reader] : readers_) {
+    PollingRound part{endpoint, {}};
+    std::copy_if(reader.ranks.begin(), reader.ranks.end(),
+                 std::back_inserter(part.ranks),
+                 [&](RankIndex rank) { return wanted.contains(rank); });
+    if (!part.ranks.empty()) {
+      parts.push_back(std::move(part));
+    }
+  }
+  return parts;
+}
+
+void PollingSchedule::FinishRound(const PollingRound& round, TimePoint now) {
+  const auto found = readers_.find(round.reader);
+  if (found == readers_.end()) {
+    return;
+  }
+  Reader& reader = found->second;
+  reader.is_in_flight = false;
+  reader.due = std::max(reader.due, now);
+}
+
+void PollingSchedule::OnAnswer(const PollingRound& round,
+                               const FailureDomain& domain,
+                               TimePoint now) {
+  FinishRound(round, now);
+  const auto found = readers_.find(round.reader);
+  if (found != readers_.end()) {
+    Reader& reader = found->second;
+    reader.domain = domain;
+    reader.failures = 0;
+    const Duration took = now - reader.asked_at;
+    const Duration min_interval(static_cast<Duration::rep>(
+        kIntervalFactor * static_cast<double>(took.count())));
+    reader.due = reader.is_expedited
+                     ? now
+                     : std::max(reader.due, reader.asked_at + min_interval);
+  }
+}
+
+void PollingSchedule::OnFailure(const PollingRound& round,
+                                bool was_leader_late,
+                                TimePoint now) {
+  FinishRound(round, now);
+  const auto found = readers_.find(round.reader);
+  if (found == readers_.end() || !round.reader.has_value()) {
+    return;
+  }
+  const bool is_lost = ++found->second.failures >= kMaxFailures;
+  if (is_lost || !was_leader_late) {
+    StartCooldown(*round.reader, now);
+  }
+}
+
+void PollingSchedule::StartCooldown(const net::Endpoint& reader,
+                                    TimePoint now) {
+  const auto found = readers_.find(reader);
+  if (found != readers_.end()) {
+    found->second.cooldown_until = now + kCooldown;
+    found->second.failures = 0;
+  }
+}
+
+void PollingSchedule::Expedite(TimePoint now) {
+  for (auto& [endpoint, reader] : readers_) {
+    reader.due = std::min(reader.due, now);
+    reader.is_expedited = reader.is_in_flight;
+  }
+}
+
+}  // namespace bilberryspool::control_node
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -1,4 +1,4 @@
-#include "plugins/control_node/rank_rounds.h"
+#include "plugins/control_node/rank_poller.h"
 
 #include <cstddef>
 #include <optional>
@@ -20,10 +20,11 @@
 constexpr char kRoundTarget[] = "/rank-round";
 // An engine's report and counts are ready within a few milliseconds; the
 // sidecar has 0.15 of a core to read them.
-constexpr EngineCalls::Patience kReadingPatience{Milliseconds(60),
-                                                 Milliseconds(60)};
-// A group that was not asked for this long has another reader, or is gone.
-constexpr Duration kForgotten = Seconds(10);
+constexpr EngineCalls::CallTimeouts kReadingTimeouts{Milliseconds(60),
+                                                     Milliseconds(60)};
+// A group that was not polled for this long has another reader, or no longer
+// exists.
+constexpr Duration kGroupRetention = Seconds(10);
 
 net::HttpRequest ReadingRequest(placement::ReadingMark mark) {
   net::HttpRequest request;
@@ -34,23 +35,23 @@
 
 }  // namespace
 
-struct RankRounds::Round {
+struct RankPoller::PollingRound {
   TimePoint begun;
   std::vector<groups::RankPollResult> results;
   std::size_t missing = 0;
   net::FiberSignal changed;
 };
 
-RankRounds::RankRounds(net::NetworkLoop& loop,
+RankPoller::RankPoller(net::NetworkLoop& loop,
                        EngineCalls& calls,
                        FailureDomain domain)
     : loop_(loop), calls_(calls), domain_(std::move(domain)) {}
 
-bool RankRounds::IsAsked(const net::HttpRequest& request) {
+bool RankPoller::Handles(const net::HttpRequest& request) {
   return request.target == kRoundTarget;
 }
 
-net::HttpRequest RankRounds::RequestFor(const groups::RoundRequest& question) {
+net::HttpRequest RankPoller::RequestFor(const groups::RoundRequest& question) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = kRoundTarget;
@@ -59,10 +60,10 @@
   return request;
 }
 
-RankRounds::Group& RankRounds::GroupOf(const groups::RoundRequest& question,
+RankPoller::Group& RankPoller::GroupOf(const groups::RoundRequest& question,
                                        TimePoint now) {
   auto found = groups_.find(question.group);
-  // Its engines may have been replaced by ones with other experts.
+  // The engines may have been replaced by ones with other experts.
   if (found != groups_.end() && found->second.counters != question.counters) {
     groups_.erase(found);
     found = groups_.end();
@@ -70,7 +71,8 @@
   if (found == groups_.end()) {
     placement::PickWorkOptions work;
     work.read_work = question.read_work;
-    // Marks of before a restart of this process must name no sum of now.
+    // A mark from before a restart of this process must not match a current
+    // sum.
     const placement::ReadingMark first((std::uint64_t{random_()} << 32U) + 1U);
     found =
         groups_
@@ -85,22 +87,22 @@
   return found->second;
 }
 
-void RankRounds::Forget(TimePoint now) {
+void RankPoller::RemoveUnusedGroups(TimePoint now) {
   std::erase_if(groups_, [now](const auto& item) {
-    return now - item.second.asked_at > kForgotten;
+    return now - item.second.asked_at > kGroupRetention;
   });
 }
 
-bool RankRounds::BeginReading(const GroupId& group, RankIndex rank) {
+bool RankPoller::BeginReading(const GroupId& group, RankIndex rank) {
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return false;
   }
-  Mark& mark = found->second.marks[rank];
-  return !std::exchange(mark.is_asked, true);
+  RankReadingState& state = found->second.rank_states[rank];
+  return !std::exchange(state.is_in_flight, true);
 }
 
-std::optional<groups::RankPollResult> RankRounds::ReadRank(
+std::optional<groups::RankPollResult> RankPoller::ReadRank(
     const GroupId& group,
     const groups::RankAddress& rank,
     TimePoint begun) {
@@ -108,21 +110,22 @@
   if (!endpoint.has_value() || !BeginReading(group, rank.rank)) {
     return std::nullopt;
   }
-  const EngineCalls::Answer answer = calls_.AskSidecar(
-      *endpoint, ReadingRequest(groups_.at(group).marks.at(rank.rank).last),
-      kReadingPatience);
-  // It may have been forgotten meanwhile.
+  const EngineCalls::Answer answer = calls_.CallSidecar(
+      *endpoint,
+      ReadingRequest(groups_.at(group).rank_states.at(rank.rank).last_mark),
+      kReadingTimeouts);
+  // The group may have been removed during the call.
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return std::nullopt;
   }
-  Mark& mark = found->second.marks[rank.rank];
-  mark.is_asked = false;
+  RankReadingState& state = found->second.rank_states[rank.rank];
+  state.is_in_flight = false;
   const auto reading = groups::DecodeReading(answer.body);
   if (!reading.has_value()) {
     return std::nullopt;
   }
-  mark.last = reading->mark;
+  state.last_mark = reading->mark;
   if (reading->growth.has_value()) {
     found->second.sums.Add(*reading->growth);
   }
@@ -130,11 +133,11 @@
                                 reading->report};
 }
 
-groups::RoundResponse RankRounds::Read(const groups::RoundRequest& question) {
+groups::RoundResponse RankPoller::Read(const groups::RoundRequest& question) {
   const TimePoint begun = SteadyNow();
-  Forget(begun);
+  RemoveUnusedGroups(begun);
   GroupOf(question, begun);
-  auto round = std::make_shared<Round>();
+  auto round = std::make_shared<PollingRound>();
   round->begun = begun;
   round->missing = question.ranks.size();
   for (const groups::RankAddress& rank : question.ranks) {
@@ -147,19 +150,19 @@
     });
   }
   while (round->missing > 0 &&
-         round->changed.WaitUntil(begun + kRoundPatience)) {
+         round->changed.WaitUntil(begun + kRoundTimeout)) {
   }
   Group& group = GroupOf(question, SteadyNow());
   groups::RoundResponse answer;
   answer.domain = domain_;
-  // A late one still adds to `round`, which nobody reads again.
+  // A late answer is still added to `round`, which is not read again.
   answer.results = std::move(round->results);
   answer.work = group.sums.Take(question.mark);
   answer.mark = group.sums.mark();
   return answer;
 }
 
-void RankRounds::Answer(net::HttpExchange& exchange) {
+void RankPoller::Answer(net::HttpExchange& exchange) {
   const auto question = groups::DecodeRoundRequest(exchange.request().body);
   net::HttpResponseHead head;
   if (!question.has_value()) {
--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-// How often membership, disk and failed folders are looked after.
-constexpr Duration kTendInterval = Milliseconds(200);
-constexpr Duration kChangePatience = Seconds(2);
-// A leader whose disk has not answered for this long hands over: it can't
-// vouch for what it proposes, and every change would wait for its disk.
-constexpr Duration kStalledDisk = Milliseconds(700);
+// Interval of the checks of membership, disk and failed data folders.
+constexpr Duration kMaintenanceInterval = Milliseconds(200);
+constexpr Duration kChangeTimeout = Seconds(2);
+// A leader whose disk has not responded for this long hands over: it can't
+// guarantee what it proposes, and every change would wait for its disk.
+constexpr Duration kDiskStallTimeout = Milliseconds(700);
 // The log is kept short: each entry holds a whole configuration, which may be
 // hundreds of kilobytes.
-constexpr control::SnapshotPolicy kSnapshots{32, 2ULL * 1024 * 1024};
+constexpr control::SnapshotPolicy kSnapshotPolicy{32, 2ULL * 1024 * 1024};
 constexpr std::size_t kRetainedEntries = 4;
 constexpr Duration kElectionTimeoutMin = Milliseconds(500);
 constexpr Duration kElectionTimeoutMax = Milliseconds(900);
@@ -49,7 +49,7 @@
       self_(NameOf(settings.peers_advertise)) {}
 
 void ReplicaHost::Register(links::LinkServer& server) {
-  // The driver may be replaced, so the call is looked up each time.
+  // The driver may be replaced, so it is looked up for each call.
   server.Register("consensus.message",
                   [this](const boost::json::value& params)
                       -> std::optional<boost::json::value> {
@@ -63,7 +63,7 @@
 std::string ReplicaHost::Start() {
   std::string error = Open();
   if (error.empty()) {
-    loop_.Spawn([this] { Tend(); });
+    loop_.Spawn([this] { RunMaintenance(); });
   }
   return error;
 }
@@ -105,7 +105,7 @@
                    {"entries", found.entries.size()}});
         driver_ = std::make_unique<control::ReplicaDriver>(
             loop_, client_, std::move(folder), MakeOptions(),
-            std::random_device()(), MakeHooks(), kSnapshots);
+            std::random_device()(), MakeHooks(), kSnapshotPolicy);
         return {};
       },
       [&](const storage::StorageError& failure) {
@@ -139,55 +139,56 @@
   return hooks;
 }
 
-void ReplicaHost::Tend() {
+void ReplicaHost::RunMaintenance() {
   while (!is_stopping_) {
-    loop_.SleepFor(kTendInterval);
+    loop_.SleepFor(kMaintenanceInterval);
     if (is_stopping_) {
       return;
     }
     if (driver_ == nullptr || driver_->has_failed()) {
-      // A full disk may have room again, so the folder is read anew: what it
-      // promised is in it, and nothing was promised since.
+      // A full disk may have free space again, so the data folder is read
+      // again: everything that the replica promised is in it, and nothing was
+      // promised since.
       if (driver_ != nullptr) {
         driver_->CloseFolder();
-        failed_.push_back(std::move(driver_));
+        failed_drivers_.push_back(std::move(driver_));
       }
       const std::string error = Open();
       if (!error.empty()) {
-        log_.Warn("Can't open the data folder again.", {{"error", error}});
+        log_.Warn("Failed to reopen the data folder.", {{"error", error}});
       }
       continue;
     }
-    LeaveStalledDisk();
-    KeepMembers();
+    HandOverIfDiskStalls();
+    MaintainMembership();
   }
 }
 
-void ReplicaHost::LeaveStalledDisk() {
+void ReplicaHost::HandOverIfDiskStalls() {
   const TimePoint now = SteadyNow();
-  if (driver_->is_leader(now) && driver_->disk_lag(now) > kStalledDisk) {
+  if (driver_->is_leader(now) && driver_->disk_lag(now) > kDiskStallTimeout) {
     log_.Warn("Handing over: the disk does not answer.",
               {{"waited_ms", driver_->disk_lag(now).count() / 1000}});
     driver_->HandOver();
   }
 }
 
-void ReplicaHost::KeepMembers() {
+void ReplicaHost::MaintainMembership() {
   const TimePoint now = SteadyNow();
   if (!driver_->is_leader(now)) {
-    keeper_.reset();
+    member_keeper_.reset();
     return;
   }
   const auto picture = consensus::MembershipStatusOf(driver_->replica());
-  if (is_changing_ || !picture.has_value()) {
+  if (is_membership_changing_ || !picture.has_value()) {
     return;
   }
-  if (!keeper_.has_value()) {
+  if (!member_keeper_.has_value()) {
     consensus::MemberManagerOptions options;
     options.voters = 2 * settings_.tolerated_losses + 1;
-    keeper_.emplace(options);
+    member_keeper_.emplace(options);
   }
-  const auto change = keeper_->Next(*picture, now);
+  const auto change = member_keeper_->Next(*picture, now);
   if (!change.has_value()) {
     return;
   }
@@ -210,10 +211,10 @@
                                     {{"member", remove.member.node.value()}});
                         }},
              *change);
-  is_changing_ = true;
+  is_membership_changing_ = true;
   loop_.Spawn([this, change = *change] {
-    driver_->Change(change, kChangePatience);
-    is_changing_ = false;
+    driver_->Change(change, kChangeTimeout);
+    is_membership_changing_ = false;
   });
 }
 
@@ -258,7 +259,8 @@
   return members;
 }
 
-// A node with a new folder knows the seeds alone, and none of them may lead.
+// A node with a new data folder knows only the seeds, and none of them may be
+// the leader.
 void ReplicaHost::LearnMembers(const std::vector<std::string>& members) {
   if (driver_ == nullptr || !driver_->replica().is_blank()) {
     return;
--- a/tests/auto/control_node/order_helpers_test.cc
+++ b/tests/auto/control_node/order_helpers_test.cc
@@ -1,4 +1,4 @@
-// Who passes the orders about a held step on.
+// Tests which node relays the orders about a held step.
 
 #include "plugins/control_node/order_helpers.h"
 
@@ -7,15 +7,15 @@
 namespace bilberryspool::control_node {
 namespace {
 
-const net::Endpoint kOne{"10.0.0.1", 7000};
-const net::Endpoint kTwo{"10.0.0.2", 7000};
+const net::Endpoint kFirstNode{"10.0.0.1", 7000};
+const net::Endpoint kSecondNode{"10.0.0.2", 7000};
 
-// Symptom: a group stands still for 4 s. Sequence: a VM passes the hold on and
-// freezes; the release goes the same way and is not answered. Cause: one VM
-// stood for both.
-TEST_CASE("the release does not go by the node that passed the hold on") {
+// Guards against a group being stalled for 4 s. A VM relays the hold and
+// freezes; the release takes the same path and is not answered, because one VM
+// was used for both orders.
+TEST_CASE("the release is not relayed by the node that relayed the hold") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
+  helpers.Set({kFirstNode, kSecondNode});
   for (int change = 0; change < 5; ++change) {
     const auto hold = helpers.Next();
     const auto release = helpers.Next();
@@ -25,51 +25,51 @@
   }
 }
 
-TEST_CASE("a node that failed is passed over until it is told of again") {
+TEST_CASE("a failed node is skipped until it is set again") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
-  helpers.OnPassed(kOne, Passing::kHelperFailed);
+  helpers.Set({kFirstNode, kSecondNode});
+  helpers.OnRelayed(kFirstNode, RelayResult::kHelperFailed);
   for (int i = 0; i < 3; ++i) {
-    CHECK(helpers.Next() == kTwo);
+    CHECK(helpers.Next() == kSecondNode);
   }
-  helpers.OnPassed(kTwo, Passing::kHelperFailed);
+  helpers.OnRelayed(kSecondNode, RelayResult::kHelperFailed);
   CHECK_FALSE(helpers.Next().has_value());
-  helpers.Set({kOne});
-  CHECK(helpers.Next() == kOne);
+  helpers.Set({kFirstNode});
+  CHECK(helpers.Next() == kFirstNode);
 }
 
-// Symptom: a freeze stops the group for its length although others could pass
-// the hold on. Sequence: two orders are lost at an engine; both helpers are
-// left out for it; the next hold goes by the VM beside the engine, which
-// freezes. Cause: the engine's silence counted against the node that passed the
-// order on.
-TEST_CASE("an engine's silence says nothing against its helper") {
+// Guards against a freeze stalling the group for its whole length although
+// other nodes could relay the hold. Two orders get no answer from an engine,
+// both helpers are excluded for it, and the next hold goes through the VM
+// beside the engine, which freezes. An engine's silence must not count against
+// the node that relayed the order.
+TEST_CASE("an engine that does not answer does not exclude the helper") {
   OrderHelpers helpers;
-  helpers.Set({kOne, kTwo});
+  helpers.Set({kFirstNode, kSecondNode});
   for (int i = 0; i < 6; ++i) {
     const auto helper = helpers.Next();
     REQUIRE(helper.has_value());
-    helpers.OnPassed(*helper, JudgePassing(net::status::kBadGateway));
+    helpers.OnRelayed(*helper, ClassifyRelayStatus(net::status::kBadGateway));
   }
   CHECK(helpers.Next().has_value());
 }
 
-TEST_CASE("what a helper's status says") {
+TEST_CASE("a helper's status is classified") {
   struct Row {
     int status;
-    Passing passing;
+    RelayResult result;
   };
   const Row rows[] = {
-      {0, Passing::kHelperFailed}, {200, Passing::kAnswered},
-      {202, Passing::kAnswered},   {404, Passing::kHelperFailed},
-      {409, Passing::kAnswered},   {502, Passing::kEngineSilent}};
+      {0, RelayResult::kHelperFailed}, {200, RelayResult::kAnswered},
+      {202, RelayResult::kAnswered},   {404, RelayResult::kHelperFailed},
+      {409, RelayResult::kAnswered},   {502, RelayResult::kEngineSilent}};
   for (const Row& row : rows) {
     CAPTURE(row.status);
-    CHECK(JudgePassing(row.status) == row.passing);
+    CHECK(ClassifyRelayStatus(row.status) == row.result);
   }
 }
 
-TEST_CASE("where there is no other node there is no helper") {
+TEST_CASE("there is no helper without other nodes") {
   OrderHelpers helpers;
   CHECK_FALSE(helpers.Next().has_value());
 }
--- a/tests/auto/control_node/rank_rounds_test.cc
+++ b/tests/auto/control_node/rank_poller_test.cc
@@ -1,6 +1,7 @@
-// Ranks read, and ordered, through their sidecars, over real connections.
+// Polls ranks and sends them orders through their sidecars, over real
+// connections.
 
-#include "plugins/control_node/rank_rounds.h"
+#include "plugins/control_node/rank_poller.h"
 
 #include <doctest/doctest.h>
 
@@ -16,7 +17,7 @@
 #include "libs/links/link_client.h"
 #include "libs/links/link_server.h"
 #include "libs/net/http_status.h"
-#include "plugins/control_node/order_spreader.h"
+#include "plugins/control_node/order_multicaster.h"
 #include "plugins/sidecar/engine_reader.h"
 #include "plugins/sidecar/engine_relay.h"
 
@@ -26,10 +27,10 @@
 const GroupId kGroup("g");
 const FailureDomain kDomain("sahab");
 constexpr std::uint32_t kRanks = 3;
-constexpr int kMostTries = 50;
+constexpr int kMaxTries = 50;
 constexpr std::uint32_t kAccepted = net::status::kAccepted;
 
-// Engines that tell their step and one counter as plain numbers.
+// Engines that report their step and one counter as plain numbers.
 sidecar::EngineProtocol PlainProtocol() {
   sidecar::EngineProtocol protocol;
   const auto get = [](std::string target) {
@@ -53,22 +54,23 @@
   return protocol;
 }
 
-// Of all three VMs, which differ by their loopback addresses.
+// One engine with its sidecar. The VMs are distinguished by their loopback
+// addresses.
 struct Engine {
   std::unique_ptr<net::HttpServer> server;
   std::unique_ptr<sidecar::EngineReader> reader;
   std::unique_ptr<sidecar::EngineRelay> relay;
-  std::unique_ptr<links::LinkServer> front;
+  std::unique_ptr<links::LinkServer> sidecar_server;
   net::Endpoint at;
   int step = 0;
   bool is_silent = false;
-  std::string ordered;
-  int working = 0;
+  std::string last_order;
+  int active_calls = 0;
 };
 
-class World {
+class RankFixture {
  public:
-  explicit World(net::NetworkLoop& loop)
+  explicit RankFixture(net::NetworkLoop& loop)
       : loop_(loop),
         authenticator_(std::make_shared<net::LinkAuthenticator>(
             "test",
@@ -80,28 +82,29 @@
       Start(i, *engines_.back());
     }
     calls_ = std::make_unique<EngineCalls>(loop_, links_, sidecar_port_);
-    rounds_ = std::make_unique<RankRounds>(loop_, *calls_, kDomain);
-    spreader_ = std::make_unique<OrderSpreader>(loop_, *calls_);
+    poller_ = std::make_unique<RankPoller>(loop_, *calls_, kDomain);
+    multicaster_ = std::make_unique<OrderMulticaster>(loop_, *calls_);
   }
 
   groups::RoundResponse Read(placement::ReadingMark mark,
                              std::uint32_t counters = 1) {
     groups::RoundRequest question{kGroup, mark, 1.0, counters, Addresses()};
-    return rounds_->Read(question);
+    return poller_->Read(question);
   }
-  groups::MulticastResult Spread(const std::string& body) {
-    return spreader_->Spread({Addresses(), Milliseconds(50), "POST", "/order",
-                              "text/plain", packing::Pack(body)});
+  groups::MulticastResult Multicast(const std::string& body) {
+    return multicaster_->Multicast({Addresses(), Milliseconds(50), "POST",
+                                    "/order", "text/plain",
+                                    packing::Pack(body)});
   }
   Engine& engine(std::size_t index) { return *engines_[index]; }
 
   void Stop() {
     for (const auto& engine : engines_) {
       engine->is_silent = false;
-      while (engine->working > 0) {
+      while (engine->active_calls > 0) {
         loop_.SleepFor(Milliseconds(10));
       }
-      engine->front->Drain();
+      engine->sidecar_server->Drain();
       engine->server->Drain();
     }
   }
@@ -127,35 +130,35 @@
     engine.reader = std::make_unique<sidecar::EngineReader>(loop_, engine.at,
                                                             PlainProtocol());
     engine.relay = std::make_unique<sidecar::EngineRelay>(loop_);
-    // All sidecars share one port; the first one picks it.
+    // All sidecars share one port, which the first one chooses.
     options.listen.port = sidecar_port_;
-    engine.front = std::make_unique<links::LinkServer>(
+    engine.sidecar_server = std::make_unique<links::LinkServer>(
         loop_, options, authenticator_,
         [&engine](net::HttpExchange& exchange) {
-          if (sidecar::EngineReader::IsAsked(exchange.request())) {
+          if (sidecar::EngineReader::Handles(exchange.request())) {
             engine.reader->Answer(exchange);
           } else {
             engine.relay->Relay(exchange, engine.at);
           }
         },
         [](const std::string&, net::LinkRefusal) {});
-    REQUIRE(engine.front->Start().empty());
-    sidecar_port_ = engine.front->port();
+    REQUIRE(engine.sidecar_server->Start().empty());
+    sidecar_port_ = engine.sidecar_server->port();
   }
 
   void Serve(Engine& engine, net::HttpExchange& exchange) {
-    ++engine.working;
+    ++engine.active_calls;
     while (engine.is_silent) {
       loop_.SleepFor(Milliseconds(10));
     }
     if (exchange.request().method == "POST") {
-      engine.ordered = exchange.request().body;
+      engine.last_order = exchange.request().body;
     }
     net::HttpResponseHead head;
     head.status = exchange.request().method == "POST" ? net::status::kAccepted
                                                       : net::status::kOk;
     exchange.Respond(std::move(head), std::to_string(engine.step));
-    --engine.working;
+    --engine.active_calls;
   }
 
   net::NetworkLoop& loop_;
@@ -164,66 +167,66 @@
   std::uint16_t sidecar_port_ = 0;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::unique_ptr<EngineCalls> calls_;
-  std::unique_ptr<RankRounds> rounds_;
-  std::unique_ptr<OrderSpreader> spreader_;
+  std::unique_ptr<RankPoller> poller_;
+  std::unique_ptr<OrderMulticaster> multicaster_;
 };
 
-void WithWorld(const std::function<void(World&)>& body) {
+void WithFixture(const std::function<void(RankFixture&)>& body) {
   net::NetworkLoop loop;
   std::thread thread([&] {
     loop.Run([&] {
-      World world(loop);
-      body(world);
-      world.Stop();
+      RankFixture fixture(loop);
+      body(fixture);
+      fixture.Stop();
     });
   });
   thread.join();
 }
 
-// A rank that answers late on a busy machine is in the next round.
-TEST_CASE("rounds tell of all ranks and add up what they were asked for") {
-  WithWorld([](World& world) {
+// A rank that answers late on a busy machine is part of the next round.
+TEST_CASE("rounds report all ranks and sum up their work") {
+  WithFixture([](RankFixture& fixture) {
     placement::ReadingMark mark;
-    std::set<RankIndex> heard;
-    for (int i = 0; i < kMostTries && heard.size() < kRanks; ++i) {
-      const groups::RoundResponse answer = world.Read(mark);
+    std::set<RankIndex> polled_ranks;
+    for (int i = 0; i < kMaxTries && polled_ranks.size() < kRanks; ++i) {
+      const groups::RoundResponse answer = fixture.Read(mark);
       mark = answer.mark;
       CHECK(answer.domain == kDomain);
       for (const groups::RankPollResult& word : answer.results) {
-        heard.insert(word.rank);
+        polled_ranks.insert(word.rank);
         CHECK(word.poll_delay >= Duration::zero());
       }
-      // First readings only set the marks.
+      // The first readings only set the marks.
       CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) ==
             0.0);
     }
-    REQUIRE(heard.size() == kRanks);
+    REQUIRE(polled_ranks.size() == kRanks);
     for (std::size_t i = 0; i < kRanks; ++i) {
-      world.engine(i).step = static_cast<int>(i + 1);
+      fixture.engine(i).step = static_cast<int>(i + 1);
     }
     double work = 0.0;
-    for (int i = 0; i < kMostTries && work < 60.0; ++i) {
-      const groups::RoundResponse answer = world.Read(mark);
+    for (int i = 0; i < kMaxTries && work < 60.0; ++i) {
+      const groups::RoundResponse answer = fixture.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
     CHECK(work == doctest::Approx(60.0));
-    // Nothing new, and nothing twice.
-    const groups::RoundResponse answer = world.Read(mark);
+    // There is no new work, and none is counted twice.
+    const groups::RoundResponse answer = fixture.Read(mark);
     CHECK(std::accumulate(answer.work.begin(), answer.work.end(), 0.0) == 0.0);
   });
 }
 
-// Symptom: a group keeps its first map for good. Sequence: its engines are
-// replaced by ones with other experts under the same name. Cause: the reader
-// went on with sums of the former size, and left out all growth.
-TEST_CASE("a group whose engines have other experts begins anew") {
-  WithWorld([](World& world) {
-    placement::ReadingMark mark = world.Read({}, 7).mark;
+// Guards against a group keeping its first map forever. Its engines are
+// replaced under the same name by ones with other experts, and the reader
+// continues with sums of the former size, which drops all growth.
+TEST_CASE("a group starts over when its engines have other experts") {
+  WithFixture([](RankFixture& fixture) {
+    placement::ReadingMark mark = fixture.Read({}, 7).mark;
     double work = 0.0;
-    for (int i = 0; i < kMostTries && work == 0.0; ++i) {
-      ++world.engine(0).step;
-      const groups::RoundResponse answer = world.Read(mark);
+    for (int i = 0; i < kMaxTries && work == 0.0; ++i) {
+      ++fixture.engine(0).step;
+      const groups::RoundResponse answer = fixture.Read(mark);
       mark = answer.mark;
       work = std::accumulate(answer.work.begin(), answer.work.end(), work);
     }
@@ -231,31 +234,32 @@
   });
 }
 
-// Symptom: one frozen VM and the leader hears of none of that domain's ranks.
-// Cause: the answer waited for all of them.
-TEST_CASE("a silent rank holds a round up for its patience alone") {
-  WithWorld([](World& world) {
-    world.engine(1).is_silent = true;
-    // Returns at all, though that rank says nothing as long as it lasts.
-    const groups::RoundResponse answer = world.Read({});
-    CHECK(world.engine(1).is_silent);
+// Guards against the leader getting no reports from a whole failure domain
+// because one of its VMs is frozen: the answer must not wait for all ranks.
+TEST_CASE("a silent rank delays a round only until its timeout") {
+  WithFixture([](RankFixture& fixture) {
+    fixture.engine(1).is_silent = true;
+    // Returns although that rank never answers meanwhile.
+    const groups::RoundResponse answer = fixture.Read({});
+    CHECK(fixture.engine(1).is_silent);
     for (const groups::RankPollResult& word : answer.results) {
       CHECK(word.rank != RankIndex(1));
     }
   });
 }
 
-// What is left unanswered on a busy machine is ordered again, as its giver
+// An order that is not answered on a busy machine is repeated, as its sender
 // does.
-TEST_CASE("an order reaches every rank whole, and each answer comes back") {
-  WithWorld([](World& world) {
+TEST_CASE(
+    "an order reaches every rank completely, and each answer is returned") {
+  WithFixture([](RankFixture& fixture) {
     const std::string map(20'000, 'm');
-    world.engine(2).is_silent = true;
+    fixture.engine(2).is_silent = true;
     std::vector<std::uint32_t> statuses(kRanks);
-    for (int i = 0; i < kMostTries &&
+    for (int i = 0; i < kMaxTries &&
                     (statuses[0] != kAccepted || statuses[1] != kAccepted);
          ++i) {
-      const groups::MulticastResult answer = world.Spread(map);
+      const groups::MulticastResult answer = fixture.Multicast(map);
       REQUIRE(answer.statuses.size() == kRanks);
       CHECK(answer.statuses[2] == 0);
       statuses[0] = std::max(statuses[0], answer.statuses[0]);
@@ -263,8 +267,8 @@
     }
     CHECK(statuses[0] == kAccepted);
     CHECK(statuses[1] == kAccepted);
-    CHECK(world.engine(0).ordered == map);
-    CHECK(world.engine(1).ordered == map);
+    CHECK(fixture.engine(0).last_order == map);
+    CHECK(fixture.engine(1).last_order == map);
   });
 }
 
--- a/tests/auto/sidecar/engine_relay_test.cc
+++ b/tests/auto/sidecar/engine_relay_test.cc
@@ -1,4 +1,4 @@
-// Calls passed on to engines, over real connections.
+// Tests relaying calls to engines over real connections.
 
 #include "plugins/sidecar/engine_relay.h"
 
@@ -23,19 +23,19 @@
   return options;
 }
 
-// An engine, a relay in front of it, and an asker, in one loop.
-struct World {
+// An engine, a relay in front of it, and a requester, in one loop.
+struct RelayFixture {
   net::NetworkLoop& loop;
   net::Endpoint relay;
-  net::HttpRequest seen;   // by the engine
-  std::string relay_said;  // why the engine did not answer
-  bool is_silent = false;  // the engine takes calls and answers none
+  net::HttpRequest seen;    // by the engine
+  std::string relay_error;  // why the engine did not answer
+  bool is_silent = false;   // the engine accepts calls without answering
   int engine_status = 202;
-  int working = 0;  // calls in the engine
+  int active_calls = 0;  // calls in the engine
 
-  // The engine.
+  // Serves requests as the engine.
   void Serve(net::HttpExchange& exchange) {
-    ++working;
+    ++active_calls;
     seen = exchange.request();
     if (is_silent) {
       loop.SleepFor(Milliseconds(300));
@@ -43,10 +43,10 @@
     net::HttpResponseHead head;
     head.status = engine_status;
     exchange.Respond(std::move(head), "said");
-    --working;
+    --active_calls;
   }
 
-  net::HttpResponse Ask(const net::HttpRequest& request) {
+  net::HttpResponse Call(const net::HttpRequest& request) {
     net::HttpClient client(loop, {});
     auto result = client.Send(relay, request, Seconds(5));
     REQUIRE(std::holds_alternative<net::HttpResponse>(result));
@@ -54,29 +54,29 @@
   }
 };
 
-void WithWorld(const std::function<void(World&)>& body) {
+void WithFixture(const std::function<void(RelayFixture&)>& body) {
   net::NetworkLoop loop;
   std::thread thread([&] {
     loop.Run([&] {
-      World world{loop};
+      RelayFixture fixture{loop};
       net::HttpServer engine(
           loop, LoopbackOptions(),
-          [&world](net::HttpExchange& exchange) { world.Serve(exchange); });
+          [&fixture](net::HttpExchange& exchange) { fixture.Serve(exchange); });
       REQUIRE(engine.Start().empty());
       const net::Endpoint at{"127.0.0.1", engine.port()};
       EngineRelay relay(loop);
-      net::HttpServer front(loop, LoopbackOptions(),
-                            [&](net::HttpExchange& exchange) {
-                              world.relay_said = relay.Relay(exchange, at);
-                            });
-      REQUIRE(front.Start().empty());
-      world.relay = {"127.0.0.1", front.port()};
-      body(world);
-      // A drain does not wait for calls that their askers gave up.
-      while (world.working > 0) {
+      net::HttpServer relay_server(
+          loop, LoopbackOptions(), [&](net::HttpExchange& exchange) {
+            fixture.relay_error = relay.Relay(exchange, at);
+          });
+      REQUIRE(relay_server.Start().empty());
+      fixture.relay = {"127.0.0.1", relay_server.port()};
+      body(fixture);
+      // Drain() does not wait for calls that their requesters gave up.
+      while (fixture.active_calls > 0) {
         loop.SleepFor(Milliseconds(10));
       }
-      front.Drain();
+      relay_server.Drain();
       engine.Drain();
     });
   });
@@ -88,42 +88,42 @@
   request.method = "POST";
   request.target = "/order";
   request.headers.Add("Content-Type", "application/json");
-  request.headers.Add(kPatienceField, "50");
+  request.headers.Add(kTimeoutField, "50");
   request.headers.Add(kEngineField, "10.0.0.1:80");
   request.body = R"({"op":"hold","step":7})";
   return request;
 }
 
-TEST_CASE("an engine gets the order and the asker its own answer") {
-  WithWorld([](World& world) {
+TEST_CASE("the engine gets the order and the requester the engine's answer") {
+  WithFixture([](RelayFixture& fixture) {
     for (const int status : {200, 202, 409}) {
       CAPTURE(status);
-      world.engine_status = status;
-      const net::HttpResponse answer = world.Ask(Order());
+      fixture.engine_status = status;
+      const net::HttpResponse answer = fixture.Call(Order());
       CHECK(answer.head.status == status);
       CHECK(answer.body == "said");
-      CHECK(world.relay_said.empty());
-      CHECK(world.seen.method == "POST");
-      CHECK(world.seen.target == "/order");
-      CHECK(world.seen.body == Order().body);
-      CHECK_FALSE(world.seen.headers.Find(kPatienceField).has_value());
-      CHECK_FALSE(world.seen.headers.Find(kEngineField).has_value());
+      CHECK(fixture.relay_error.empty());
+      CHECK(fixture.seen.method == "POST");
+      CHECK(fixture.seen.target == "/order");
+      CHECK(fixture.seen.body == Order().body);
+      CHECK_FALSE(fixture.seen.headers.Find(kTimeoutField).has_value());
+      CHECK_FALSE(fixture.seen.headers.Find(kEngineField).has_value());
     }
   });
 }
 
-// Symptom: one lost order makes a control node take whoever passed it on for
-// lost. Cause: the asker's own time ran out before the relay said that it is
-// well and its engine silent.
-TEST_CASE("a silent engine is told of within the asker's patience") {
-  WithWorld([](World& world) {
-    world.is_silent = true;
-    const net::HttpResponse answer = world.Ask(Order());
+// Guards against a control node considering the relaying node failed because of
+// one unanswered order. The requester's own timeout expired before the relay
+// reported that it works and its engine does not answer.
+TEST_CASE("a silent engine is reported within the requester's timeout") {
+  WithFixture([](RelayFixture& fixture) {
+    fixture.is_silent = true;
+    const net::HttpResponse answer = fixture.Call(Order());
     CHECK(answer.head.status == net::status::kBadGateway);
-    CHECK_FALSE(world.relay_said.empty());
-    // The next call does not go over the connection that is still awaited.
-    world.is_silent = false;
-    CHECK(world.Ask(Order()).head.status == 202);
+    CHECK_FALSE(fixture.relay_error.empty());
+    // The next call does not reuse the connection that is still waiting.
+    fixture.is_silent = false;
+    CHECK(fixture.Call(Order()).head.status == 202);
   });
 }
 
