--- a/src/libs/groups/rank_round.h
+++ b/src/libs/groups/rank_round.h
@@ -38,7 +38,7 @@
   GroupId group;
   // Of the last answer that the asker got from this node.
   placement::ReadingMark mark;
-  // See placement::PickWorkOptions.
+  // See placement::PickWeightOptions.
   double read_work = 1.0;
   // How many experts all layers have together.
   std::uint32_t counters = 0;
--- a/src/libs/placement/bounded_plan.cc
+++ b/src/libs/placement/bounded_plan.cc
@@ -28,26 +28,26 @@
             const BoundedPlanOptions& options,
             LayerIndex layer)
       : options_(options),
-        total_(TotalOf(loads, layer)),
+        total_load_(TotalOf(loads, layer)),
         added_(options.ranks, 0),
-        ranks_(options.ranks, {1.0, options.places, true}),
-        speed_(SetSpeeds()),
+        ranks_(options.ranks, {1.0, options.slots_per_layer, true}),
+        total_speed_(SetSpeeds()),
         search_(map, loads, ranks_, no_rules_, layer),
         imbalance_(Imbalance()) {}
 
   double imbalance() const { return imbalance_; }
   bool may_improve() const {
-    return !is_stuck_ && imbalance_ > options_.good_enough;
+    return !is_stuck_ && imbalance_ > options_.target_imbalance;
   }
 
   // The ranks that take in an expert by the best next move, each once for each
   // expert; empty where there is no such move.
   std::vector<RankIndex> Improve() {
-    std::vector<RankIndex> takers;
+    std::vector<RankIndex> receivers;
     const auto move = search_.Improve();
     if (!move.has_value()) {
       is_stuck_ = true;
-      return takers;
+      return receivers;
     }
     imbalance_ = Imbalance();
     for (const CopyChange& change : move->changes) {
@@ -55,16 +55,16 @@
       if (!change.adds) {
         continue;
       }
-      takers.push_back(change.rank);
+      receivers.push_back(change.rank);
       if (++added_[change.rank.value()] >= options_.new_experts) {
-        Close(change.rank);
+        StopAdding(change.rank);
       }
     }
-    return takers;
+    return receivers;
   }
 
   // The rank takes in no more.
-  void Close(RankIndex rank) { ranks_[rank.value()].usable = false; }
+  void StopAdding(RankIndex rank) { ranks_[rank.value()].usable = false; }
 
   const std::vector<CopyChange>& changes() const { return changes_; }
 
@@ -82,14 +82,16 @@
   }
 
   double Imbalance() const {
-    return total_ <= 0.0 ? 1.0 : search_.layer_time() * speed_ / total_;
+    return total_load_ <= 0.0
+               ? 1.0
+               : search_.layer_time() * total_speed_ / total_load_;
   }
 
   const BoundedPlanOptions& options_;
-  double total_;
+  double total_load_;
   std::vector<std::uint32_t> added_;
   std::vector<RankCapacity> ranks_;
-  double speed_;
+  double total_speed_;
   OperatorRules no_rules_;
   LayerSearch search_;
   double imbalance_;
@@ -131,16 +133,18 @@
 
 // The time that the group loses from the moment at which a change without
 // copies would be over, in steps of an even map.
-double LossOf(const BoundedPlan& plan, const ChangeTimes& times) {
-  const double copies = ToSeconds(times.copy) * plan.most_fetches;
-  const double use = std::max(ToSeconds(times.horizon) - copies, 0.0);
-  return copies * (1.0 + times.slowdown) * plan.imbalance_before +
-         use * plan.imbalance_after;
+double TimeLossOf(const BoundedPlan& plan, const ChangeCosts& costs) {
+  const double copy_seconds =
+      ToSeconds(costs.copy_time) * plan.max_rank_fetches;
+  const double remaining_seconds =
+      std::max(ToSeconds(costs.horizon) - copy_seconds, 0.0);
+  return copy_seconds * (1.0 + costs.copy_slowdown) * plan.imbalance_before +
+         remaining_seconds * plan.imbalance_after;
 }
 
-void Pause(const BoundedPlanOptions& options) {
-  if (options.pause) {
-    options.pause();
+void MaybeYield(const BoundedPlanOptions& options) {
+  if (options.yield_callback) {
+    options.yield_callback();
   }
 }
 
@@ -155,20 +159,20 @@
   for (std::uint32_t i = 0; i < map.layers(); ++i) {
     layers.push_back(
         std::make_unique<LayerPlan>(map, loads, options, LayerIndex(i)));
-    Pause(options);
+    MaybeYield(options);
   }
   plan.imbalance_before = MeanImbalance(layers);
   std::vector<std::uint32_t> added(options.ranks, 0);
   while (LayerPlan* worst = WorstOf(layers)) {
-    Pause(options);
+    MaybeYield(options);
     for (const RankIndex rank : worst->Improve()) {
       const std::uint32_t count = ++added[rank.value()];
-      plan.most_fetches = std::max(plan.most_fetches, count);
-      if (count < options.new_experts_in_all) {
+      plan.max_rank_fetches = std::max(plan.max_rank_fetches, count);
+      if (count < options.new_experts_all_layers) {
         continue;
       }
       for (const auto& layer : layers) {
-        layer->Close(rank);
+        layer->StopAdding(rank);
       }
     }
   }
@@ -179,25 +183,27 @@
   return plan;
 }
 
-BoundedPlan PlanSoonest(const ExpertMap& map,
-                        const ExpertLoads& loads,
-                        BoundedPlanOptions options,
-                        const ChangeTimes& times) {
+BoundedPlan PlanMinTimeLoss(const ExpertMap& map,
+                            const ExpertLoads& loads,
+                            BoundedPlanOptions options,
+                            const ChangeCosts& costs) {
   const auto first = std::max<std::uint32_t>(
-      1, times.copy <= Duration::zero()
-             ? options.new_experts_in_all
-             : static_cast<std::uint32_t>(times.least_copies / times.copy));
+      1,
+      costs.copy_time <= Duration::zero()
+          ? options.new_experts_all_layers
+          : static_cast<std::uint32_t>(costs.min_copy_time / costs.copy_time));
   // What is so near to the aim gains little by more copies.
-  const double near_enough = options.good_enough * times.near_enough;
+  const double near_target = options.target_imbalance * costs.near_target;
   std::optional<BoundedPlan> best;
   for (std::uint32_t size = first;; size += first) {
-    options.new_experts_in_all = size;
+    options.new_experts_all_layers = size;
     BoundedPlan plan = PlanBounded(map, loads, options);
-    const bool is_last = plan.most_fetches < size ||
-                         plan.imbalance_after < near_enough ||
-                         times.copy * (size + first) > times.longest_copies ||
-                         times.copy <= Duration::zero();
-    if (!best.has_value() || LossOf(plan, times) < LossOf(*best, times)) {
+    const bool is_last =
+        plan.max_rank_fetches < size || plan.imbalance_after < near_target ||
+        costs.copy_time * (size + first) > costs.max_copy_time ||
+        costs.copy_time <= Duration::zero();
+    if (!best.has_value() ||
+        TimeLossOf(plan, costs) < TimeLossOf(*best, costs)) {
       best = std::move(plan);
     }
     if (is_last) {
--- a/src/libs/placement/counter_follower.cc
+++ b/src/libs/placement/counter_follower.cc
@@ -24,22 +24,23 @@
 
 CounterGrowth GrowthBetween(const CounterReading& last,
                             const CounterReading& reading) {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
+  constexpr std::uint64_t kMaxPicks = std::numeric_limits<std::uint32_t>::max();
   CounterGrowth growth;
   growth.steps = reading.step - last.step;
   growth.requests = reading.requests;
   growth.picks.reserve(reading.counters.size());
   for (std::size_t i = 0; i < reading.counters.size(); ++i) {
     const std::uint64_t picks = reading.counters[i] - last.counters[i];
-    growth.picks.push_back(static_cast<std::uint32_t>(std::min(picks, kMost)));
+    growth.picks.push_back(
+        static_cast<std::uint32_t>(std::min(picks, kMaxPicks)));
   }
   return growth;
 }
 
 }  // namespace
 
-std::optional<CounterGrowth> CounterFollower::Take(CounterReading reading,
-                                                   ReadingMark since) {
+std::optional<CounterGrowth> CounterTracker::Take(CounterReading reading,
+                                                  ReadingMark since) {
   std::optional<CounterGrowth> growth;
   if (last_.has_value() && since == mark_ && IsLater(reading, *last_)) {
     growth = GrowthBetween(*last_, reading);
--- a/src/libs/placement/counter_follower.h
+++ b/src/libs/placement/counter_follower.h
@@ -39,11 +39,11 @@
   std::vector<std::uint32_t> picks;
 };
 
-class CounterFollower {
+class CounterTracker {
  public:
   // `first` is drawn at the start of the process, so that marks given before a
   // restart name no reading.
-  explicit CounterFollower(ReadingMark first) : mark_(first) {}
+  explicit CounterTracker(ReadingMark first) : mark_(first) {}
 
   // Takes a new reading and gives it the next mark. Returns the growth since
   // the reading that `since` names; nothing where that is not the last one, or
--- a/src/libs/placement/expert_map.cc
+++ b/src/libs/placement/expert_map.cc
@@ -22,9 +22,9 @@
     return map;
   }
   std::vector<std::uint32_t> used(ranks);
-  const std::uint32_t places = std::max(experts, ranks * slots);
-  for (std::uint32_t place = 0; place < places; ++place) {
-    const ExpertKey key{LayerIndex(0), ExpertIndex(place % experts)};
+  const std::uint32_t total_slots = std::max(experts, ranks * slots);
+  for (std::uint32_t position = 0; position < total_slots; ++position) {
+    const ExpertKey key{LayerIndex(0), ExpertIndex(position % experts)};
     std::optional<std::uint32_t> emptiest;
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
       const bool emptier = !emptiest || used[rank] < used[*emptiest];
@@ -32,7 +32,7 @@
         emptiest = rank;
       }
     }
-    const bool first_copy = place < experts;
+    const bool first_copy = position < experts;
     if (emptiest && (first_copy || used[*emptiest] < slots)) {
       map.Add(key, RankIndex(*emptiest));
       ++used[*emptiest];
@@ -67,17 +67,17 @@
 
 void ExpertMap::Add(ExpertKey key, RankIndex rank) {
   std::vector<RankIndex>& ranks = holders_[PositionOf(key)];
-  const auto place = std::lower_bound(ranks.begin(), ranks.end(), rank);
-  if (place == ranks.end() || *place != rank) {
-    ranks.insert(place, rank);
+  const auto position = std::lower_bound(ranks.begin(), ranks.end(), rank);
+  if (position == ranks.end() || *position != rank) {
+    ranks.insert(position, rank);
   }
 }
 
 void ExpertMap::Remove(ExpertKey key, RankIndex rank) {
   std::vector<RankIndex>& ranks = holders_[PositionOf(key)];
-  const auto place = std::lower_bound(ranks.begin(), ranks.end(), rank);
-  if (place != ranks.end() && *place == rank) {
-    ranks.erase(place);
+  const auto position = std::lower_bound(ranks.begin(), ranks.end(), rank);
+  if (position != ranks.end() && *position == rank) {
+    ranks.erase(position);
   }
 }
 
--- a/src/libs/placement/layer_packer.cc
+++ b/src/libs/placement/layer_packer.cc
@@ -26,7 +26,7 @@
 
   std::optional<PackedLayer> Pack(double tolerance) {
     CountCopies();
-    slack_ = tolerance * EvenShare();
+    tolerance_time_ = tolerance * EvenShare();
     PlacePinned();
     std::vector<std::uint32_t> order(copies_.size());
     std::iota(order.begin(), order.end(), 0);
@@ -75,13 +75,13 @@
   }
 
   void CountCopies() {
-    std::uint32_t places = 0;
+    std::uint32_t total_slots = 0;
     std::uint32_t usable = 0;
     for (const RankCapacity& rank : ranks_) {
-      places += rank.usable ? rank.slots : 0;
+      total_slots += rank.usable ? rank.slots : 0;
       usable += rank.usable ? 1 : 0;
     }
-    copies_ = CopyCounts(loads_, layer_, places, usable);
+    copies_ = CopyCounts(loads_, layer_, total_slots, usable);
   }
 
   double EvenShare() const {
@@ -102,7 +102,7 @@
                         key.expert.value() < map_.experts() &&
                         rank.value() < ranks_.size();
       if (here && MayPlace(key, rank.value())) {
-        Put(key, rank.value(), ShareOf(key.expert.value()));
+        PlaceCopy(key, rank.value(), ShareOf(key.expert.value()));
       }
     }
   }
@@ -114,7 +114,7 @@
       if (!rank) {
         return !packed_[expert].empty();
       }
-      Put(key, *rank, ShareOf(expert));
+      PlaceCopy(key, *rank, ShareOf(expert));
     }
     return true;
   }
@@ -134,7 +134,8 @@
         continue;
       }
       const RankIndex index(static_cast<std::uint32_t>(rank));
-      const double time = times_[rank] - (map_.Holds(index, key) ? slack_ : 0);
+      const double time =
+          times_[rank] - (map_.Holds(index, key) ? tolerance_time_ : 0);
       if (!best || time < best_time) {
         best = rank;
         best_time = time;
@@ -143,7 +144,7 @@
     return best;
   }
 
-  void Put(ExpertKey key, std::size_t rank, double share) {
+  void PlaceCopy(ExpertKey key, std::size_t rank, double share) {
     packed_[key.expert.value()].emplace_back(static_cast<std::uint32_t>(rank));
     times_[rank] += share / ranks_[rank].speed;
     ++used_[rank];
@@ -158,15 +159,15 @@
   std::vector<double> times_;
   std::vector<std::uint32_t> used_;
   std::vector<std::uint32_t> copies_;
-  double slack_ = 0;
+  double tolerance_time_ = 0;
 };
 
 }  // namespace
 
 std::vector<std::uint32_t> CopyCounts(const ExpertLoads& loads,
                                       LayerIndex layer,
-                                      std::uint32_t places,
-                                      std::uint32_t most_copies) {
+                                      std::uint32_t total_slots,
+                                      std::uint32_t max_copies) {
   std::vector<std::uint32_t> copies(loads.experts(), 1);
   using Entry = std::pair<double, std::uint32_t>;
   std::priority_queue<Entry> largest;
@@ -174,10 +175,10 @@
     largest.emplace(loads[{layer, ExpertIndex(i)}], i);
   }
   std::uint32_t used = loads.experts();
-  while (used < places && !largest.empty()) {
+  while (used < total_slots && !largest.empty()) {
     const std::uint32_t expert = largest.top().second;
     largest.pop();
-    if (copies[expert] >= most_copies) {
+    if (copies[expert] >= max_copies) {
       continue;
     }
     ++copies[expert];
--- a/src/libs/placement/layer_packer.h
+++ b/src/libs/placement/layer_packer.h
@@ -32,8 +32,8 @@
 // How many copies of each expert of the layer fill the places best.
 std::vector<std::uint32_t> CopyCounts(const ExpertLoads& loads,
                                       LayerIndex layer,
-                                      std::uint32_t places,
-                                      std::uint32_t most_copies);
+                                      std::uint32_t total_slots,
+                                      std::uint32_t max_copies);
 
 // What has to come and go in the layer to get from the map to the packing.
 std::vector<CopyChange> ChangesTo(const PackedLayer& packed,
--- a/src/libs/placement/layer_search.cc
+++ b/src/libs/placement/layer_search.cc
@@ -7,13 +7,13 @@
 
 // Ranks that are looked at as new homes. More changed little in
 // placement_bench and made a decision slower.
-constexpr std::size_t kCoolestRanks = 6;
+constexpr std::size_t kMaxDestinations = 6;
 // A move must lower the penalty by this share, or it chases noise.
-constexpr double kLeastGain = 0.002;
+constexpr double kMinGain = 0.002;
 
 // Stands in for the maximum: it falls also when one of two equally slow ranks
 // gets faster, so the search does not stop at ties.
-double Weight(double time) {
+double SixteenthPower(double time) {
   const double square = time * time;
   const double fourth = square * square;
   const double eighth = fourth * fourth;
@@ -60,7 +60,7 @@
     total += loads[KeyOf(ExpertIndex(i))];
   }
   if (total > 0 && speed > 0) {
-    ideal_ = total / speed;
+    ideal_time_ = total / speed;
   }
   for (std::uint32_t i = 0; i < map.experts(); ++i) {
     const ExpertIndex expert(i);
@@ -72,7 +72,7 @@
       copies_[i].push_back(rank);
       held_[rank.value()].push_back(expert);
     }
-    Shift(expert, 1);
+    AddWork(expert, 1);
   }
 }
 
@@ -85,11 +85,11 @@
   return std::binary_search(held.begin(), held.end(), expert);
 }
 
-bool LayerSearch::MayLeave(ExpertIndex expert, RankIndex rank) const {
+bool LayerSearch::CanRemove(ExpertIndex expert, RankIndex rank) const {
   return !rules_.pinned.contains({KeyOf(expert), rank});
 }
 
-bool LayerSearch::MayEnter(ExpertIndex expert, RankIndex rank) const {
+bool LayerSearch::CanAdd(ExpertIndex expert, RankIndex rank) const {
   return ranks_[rank.value()].usable && !Holds(rank, expert) &&
          !rules_.forbidden.contains({KeyOf(expert), rank});
 }
@@ -99,7 +99,7 @@
 }
 
 // Adds the expert's share to the times of its ranks, or takes it away.
-void LayerSearch::Shift(ExpertIndex expert, double sign) {
+void LayerSearch::AddWork(ExpertIndex expert, double sign) {
   const std::vector<RankIndex>& copies = copies_[expert.value()];
   if (copies.empty()) {
     return;
@@ -118,7 +118,7 @@
 
 void LayerSearch::Apply(const CopyChange& change) {
   const ExpertIndex expert = change.key.expert;
-  Shift(expert, -1);
+  AddWork(expert, -1);
   if (change.adds) {
     InsertSorted(copies_[expert.value()], change.rank);
     InsertSorted(held_[change.rank.value()], expert);
@@ -126,11 +126,11 @@
     EraseSorted(copies_[expert.value()], change.rank);
     EraseSorted(held_[change.rank.value()], expert);
   }
-  Shift(expert, 1);
+  AddWork(expert, 1);
 }
 
 double LayerSearch::PenaltyOf(double time) const {
-  return Weight(time / ideal_);
+  return SixteenthPower(time / ideal_time_);
 }
 
 RankIndex LayerSearch::SlowestRank() const {
@@ -138,14 +138,14 @@
   return RankIndex(static_cast<std::uint32_t>(slowest - times_.begin()));
 }
 
-std::vector<RankIndex> LayerSearch::CoolestRanks(RankIndex except) const {
+std::vector<RankIndex> LayerSearch::LeastLoadedRanks(RankIndex except) const {
   std::vector<RankIndex> ranks;
   for (std::uint32_t i = 0; i < times_.size(); ++i) {
     if (RankIndex(i) != except && ranks_[i].usable) {
       ranks.emplace_back(i);
     }
   }
-  const std::size_t kept = std::min(kCoolestRanks, ranks.size());
+  const std::size_t kept = std::min(kMaxDestinations, ranks.size());
   std::partial_sort(ranks.begin(),
                     ranks.begin() + static_cast<std::ptrdiff_t>(kept),
                     ranks.end(), [&](RankIndex one, RankIndex other) {
@@ -163,9 +163,9 @@
   const RankIndex slowest = SlowestRank();
   const std::vector<ExpertIndex> held = held_[slowest.value()];
   std::optional<Candidate> best;
-  for (const RankIndex target : CoolestRanks(slowest)) {
+  for (const RankIndex destination : LeastLoadedRanks(slowest)) {
     for (const ExpertIndex expert : held) {
-      ConsiderTarget(expert, slowest, target, best);
+      ConsiderDestination(expert, slowest, destination, best);
     }
   }
   if (!best) {
@@ -174,38 +174,38 @@
   return Commit(std::move(best->changes));
 }
 
-void LayerSearch::ConsiderTarget(ExpertIndex expert,
-                                 RankIndex from,
-                                 RankIndex to,
-                                 std::optional<Candidate>& best) {
-  if (!MayEnter(expert, to)) {
+void LayerSearch::ConsiderDestination(ExpertIndex expert,
+                                      RankIndex from,
+                                      RankIndex to,
+                                      std::optional<Candidate>& best) {
+  if (!CanAdd(expert, to)) {
     return;
   }
-  const CopyChange enter{KeyOf(expert), to, true};
-  const CopyChange leave{KeyOf(expert), from, false};
-  const bool may_leave = MayLeave(expert, from);
+  const CopyChange addition{KeyOf(expert), to, true};
+  const CopyChange removal{KeyOf(expert), from, false};
+  const bool can_remove = CanRemove(expert, from);
   if (HasRoom(to)) {
-    Consider({enter}, best);
-    if (may_leave) {
-      Consider({enter, leave}, best);
+    Consider({addition}, best);
+    if (can_remove) {
+      Consider({addition, removal}, best);
     }
     return;
   }
   const std::vector<ExpertIndex> there = held_[to.value()];
   for (const ExpertIndex other : there) {
-    if (!MayLeave(other, to)) {
+    if (!CanRemove(other, to)) {
       continue;
     }
-    const CopyChange evict{KeyOf(other), to, false};
+    const CopyChange eviction{KeyOf(other), to, false};
     if (copies_[other.value()].size() > 1) {
-      Consider({evict, enter}, best);
-      if (may_leave) {
-        Consider({evict, enter, leave}, best);
+      Consider({eviction, addition}, best);
+      if (can_remove) {
+        Consider({eviction, addition, removal}, best);
       }
     }
-    if (may_leave && MayEnter(other, from)) {
-      const CopyChange back{KeyOf(other), from, true};
-      Consider({enter, back, evict, leave}, best);
+    if (can_remove && CanAdd(other, from)) {
+      const CopyChange swap_back{KeyOf(other), from, true};
+      Consider({addition, swap_back, eviction, removal}, best);
     }
   }
 }
@@ -226,7 +226,7 @@
   // Without this the rounding of each trial would add up.
   penalty_ = before;
   const double drop = before - after;
-  if (drop < before * kLeastGain) {
+  if (drop < before * kMinGain) {
     return;
   }
   const double score = drop / fetches;
@@ -247,29 +247,29 @@
   for (const auto& [key, rank] : rules_.forbidden) {
     if (key.layer == layer_ && key.expert.value() < loads_.size() &&
         rank.value() < ranks_.size() && Holds(rank, key.expert)) {
-      EnforceBan(key.expert, rank, moves);
+      EnforceForbidden(key.expert, rank, moves);
     }
   }
   for (const auto& [key, rank] : rules_.pinned) {
     if (key.layer == layer_ && key.expert.value() < loads_.size() &&
-        rank.value() < ranks_.size() && MayEnter(key.expert, rank)) {
+        rank.value() < ranks_.size() && CanAdd(key.expert, rank)) {
       EnforcePin(key.expert, rank, moves);
     }
   }
   return moves;
 }
 
-void LayerSearch::EnforceBan(ExpertIndex expert,
-                             RankIndex rank,
-                             std::vector<Move>& out) {
-  const CopyChange leave{KeyOf(expert), rank, false};
+void LayerSearch::EnforceForbidden(ExpertIndex expert,
+                                   RankIndex rank,
+                                   std::vector<Move>& out) {
+  const CopyChange removal{KeyOf(expert), rank, false};
   if (copies_[expert.value()].size() > 1) {
-    out.push_back(Commit({leave}));
+    out.push_back(Commit({removal}));
     return;
   }
-  for (const RankIndex home : CoolestRanks(rank)) {
-    if (MayEnter(expert, home) && HasRoom(home)) {
-      out.push_back(Commit({{KeyOf(expert), home, true}, leave}));
+  for (const RankIndex new_rank : LeastLoadedRanks(rank)) {
+    if (CanAdd(expert, new_rank) && HasRoom(new_rank)) {
+      out.push_back(Commit({{KeyOf(expert), new_rank, true}, removal}));
       return;
     }
   }
@@ -278,14 +278,14 @@
 void LayerSearch::EnforcePin(ExpertIndex expert,
                              RankIndex rank,
                              std::vector<Move>& out) {
-  const CopyChange enter{KeyOf(expert), rank, true};
+  const CopyChange addition{KeyOf(expert), rank, true};
   if (HasRoom(rank)) {
-    out.push_back(Commit({enter}));
+    out.push_back(Commit({addition}));
     return;
   }
   for (const ExpertIndex other : held_[rank.value()]) {
-    if (copies_[other.value()].size() > 1 && MayLeave(other, rank)) {
-      out.push_back(Commit({{KeyOf(other), rank, false}, enter}));
+    if (copies_[other.value()].size() > 1 && CanRemove(other, rank)) {
+      out.push_back(Commit({{KeyOf(other), rank, false}, addition}));
       return;
     }
   }
--- a/src/libs/placement/layer_search.h
+++ b/src/libs/placement/layer_search.h
@@ -71,23 +71,25 @@
     double score = 0;
   };
 
-  std::vector<RankIndex> CoolestRanks(RankIndex except) const;
+  std::vector<RankIndex> LeastLoadedRanks(RankIndex except) const;
   RankIndex SlowestRank() const;
   void Consider(std::vector<CopyChange> changes,
                 std::optional<Candidate>& best);
-  void ConsiderTarget(ExpertIndex expert,
-                      RankIndex from,
-                      RankIndex to,
-                      std::optional<Candidate>& best);
+  void ConsiderDestination(ExpertIndex expert,
+                           RankIndex from,
+                           RankIndex to,
+                           std::optional<Candidate>& best);
   void EnforcePin(ExpertIndex expert, RankIndex rank, std::vector<Move>& out);
-  void EnforceBan(ExpertIndex expert, RankIndex rank, std::vector<Move>& out);
+  void EnforceForbidden(ExpertIndex expert,
+                        RankIndex rank,
+                        std::vector<Move>& out);
   Move Commit(std::vector<CopyChange> changes);
   double PenaltyOf(double time) const;
   void Apply(const CopyChange& change);
-  void Shift(ExpertIndex expert, double sign);
+  void AddWork(ExpertIndex expert, double sign);
   bool Holds(RankIndex rank, ExpertIndex expert) const;
-  bool MayLeave(ExpertIndex expert, RankIndex rank) const;
-  bool MayEnter(ExpertIndex expert, RankIndex rank) const;
+  bool CanRemove(ExpertIndex expert, RankIndex rank) const;
+  bool CanAdd(ExpertIndex expert, RankIndex rank) const;
   bool HasRoom(RankIndex rank) const;
   ExpertKey KeyOf(ExpertIndex expert) const { return {layer_, expert}; }
 
@@ -98,7 +100,7 @@
   std::vector<std::vector<RankIndex>> copies_;  // by expert
   std::vector<std::vector<ExpertIndex>> held_;  // by rank
   std::vector<double> times_;                   // by rank
-  double ideal_ = 1;
+  double ideal_time_ = 1;
   // The penalties of `times_` and their sum, kept up as they change.
   std::vector<double> penalties_;
   double penalty_ = 0;
--- a/src/libs/placement/map_history.h
+++ b/src/libs/placement/map_history.h
@@ -13,12 +13,12 @@
 
 class MapHistory {
  public:
-  explicit MapHistory(std::size_t kept) : kept_(kept) {}
+  explicit MapHistory(std::size_t capacity) : capacity_(capacity) {}
 
   // To be called with the map in force before another one takes its place.
-  void Remember(ExpertMap map) {
+  void Push(ExpertMap map) {
     maps_.push_back(std::move(map));
-    if (maps_.size() > kept_) {
+    if (maps_.size() > capacity_) {
       maps_.pop_front();
     }
   }
@@ -35,7 +35,7 @@
   }
 
  private:
-  std::size_t kept_;
+  std::size_t capacity_;
   std::deque<ExpertMap> maps_;
 };
 
--- a/src/libs/placement/map_repair.cc
+++ b/src/libs/placement/map_repair.cc
@@ -24,11 +24,11 @@
 // Frees one slot in the layer by dropping the most copied expert's first copy.
 std::optional<RankIndex> FreeOneSlot(ExpertMap& map, LayerIndex layer) {
   std::optional<ExpertKey> most_copied;
-  std::size_t most = 1;
+  std::size_t max_copies = 1;
   for (std::uint32_t expert = 0; expert < map.experts(); ++expert) {
     const ExpertKey key{layer, ExpertIndex(expert)};
-    if (map.holders(key).size() > most) {
-      most = map.holders(key).size();
+    if (map.holders(key).size() > max_copies) {
+      max_copies = map.holders(key).size();
       most_copied = key;
     }
   }
--- a/src/libs/placement/pick_sums.h
+++ b/src/libs/placement/pick_sums.h
@@ -22,7 +22,7 @@
 class PickSums {
  public:
   // `counters` is how many experts all layers have together.
-  PickSums(PickWorkOptions work, std::size_t counters, ReadingMark first)
+  PickSums(PickWeightOptions work, std::size_t counters, ReadingMark first)
       : work_(work), counters_(counters), mark_(first) {}
 
   // One rank's growth, weighed by the work behind it. One of another number of
@@ -38,7 +38,7 @@
   ReadingMark mark() const { return mark_; }
 
  private:
-  PickWork work_;
+  PickWeightEstimator work_;
   std::size_t counters_;
   std::vector<double> sum_;
   ReadingMark mark_;
--- a/src/libs/placement/pick_work.h
+++ b/src/libs/placement/pick_work.h
@@ -20,37 +20,37 @@
 
 namespace bilberryspool::placement {
 
-struct PickWorkOptions {
+struct PickWeightOptions {
   // Work of reading one token of a prompt, in that of writing one.
   double read_work = 1.0;
   // Readings by which the picks of a request and step are judged, and the part
   // of them, lowest first, that is taken for readings without a prompt: a rank
   // reads prompts in about a third of its readings.
   std::size_t window = 64;
-  double without_prompts = 0.3;
+  double decode_only_quantile = 0.3;
   // Fewer are no ground for a judgement.
-  std::size_t least_readings = 8;
+  std::size_t min_readings = 8;
   // A reading that holds up to so many times the picks of what was written is
   // taken for one without a prompt: how many requests there are is known with a
   // lag.
   double tolerance = 1.5;
 };
 
-class PickWork {
+class PickWeightEstimator {
  public:
-  explicit PickWork(PickWorkOptions options) : options_(options) {}
+  explicit PickWeightEstimator(PickWeightOptions options) : options_(options) {}
 
   // The weight of each of the `picks` that a rank with `requests` made in
   // `steps`, relative to a pick of a token that is written.
   double WeightOf(double picks, std::uint64_t steps, std::uint32_t requests);
 
  private:
-  void Learn(double picks_per_request);
+  void AddSample(double picks_per_request);
 
-  PickWorkOptions options_;
-  std::vector<double> seen_;  // picks of one request in one step; a ring
+  PickWeightOptions options_;
+  std::vector<double> samples_;  // picks of one request in one step; a ring
   std::size_t next_ = 0;
-  double per_request_ = 0.0;
+  double decode_picks_per_request_ = 0.0;
 };
 
 }  // namespace bilberryspool::placement
--- a/src/libs/placement/placement_policy.cc
+++ b/src/libs/placement/placement_policy.cc
@@ -18,7 +18,7 @@
   std::vector<Move> moves;
   double time_gained = 0;  // of the layer, per second of load
   std::uint32_t fetches = 0;
-  bool demanded = false;
+  bool mandatory = false;
 };
 
 struct Totals {
@@ -48,11 +48,11 @@
 }
 
 // Weighed seconds that a gain in layer time is worth and fetches cost.
-class Price {
+class MoveValue {
  public:
-  Price(const PlacementInput& input,
-        const PlacementSettings& settings,
-        double total_time)
+  MoveValue(const PlacementInput& input,
+            const PlacementSettings& settings,
+            double total_time)
       : gain_(settings.skew_weight * ToSeconds(settings.horizon) *
               input.utilization / std::max(total_time, 1e-12)),
         cost_(settings.move_weight * input.seconds_per_fetch *
@@ -68,7 +68,7 @@
     }
   }
 
-  double Worth(double time_gained, std::uint32_t fetches) const {
+  double NetValue(double time_gained, std::uint32_t fetches) const {
     return gain_ * time_gained - cost_ * fetches;
   }
 
@@ -82,11 +82,11 @@
 Bundle BestPrefix(LayerSearch& search,
                   LayerIndex layer,
                   const PlacementSettings& settings,
-                  const Price& price) {
+                  const MoveValue& move_value) {
   Bundle best{layer};
   const double before = search.layer_time();
   std::vector<Move> moves;
-  double best_worth = 0;
+  double best_value = 0;
   std::uint32_t fetches = 0;
   for (std::uint32_t i = 0; i < settings.max_moves_per_layer; ++i) {
     std::optional<Move> move = search.Improve();
@@ -96,9 +96,9 @@
     fetches += move->fetches();
     const double gained = before - move->layer_time_after;
     moves.push_back(std::move(*move));
-    const double worth = price.Worth(gained, fetches);
-    if (worth > best_worth) {
-      best_worth = worth;
+    const double net_value = move_value.NetValue(gained, fetches);
+    if (net_value > best_value) {
+      best_value = net_value;
       best.moves = moves;
       best.time_gained = gained;
       best.fetches = fetches;
@@ -111,9 +111,9 @@
 Bundle BestRepack(const PlacementInput& input,
                   LayerIndex layer,
                   double time_before,
-                  const Price& price) {
+                  const MoveValue& move_value) {
   Bundle best{layer};
-  double best_worth = 0;
+  double best_value = 0;
   for (const double tolerance : kTolerances) {
     const std::optional<PackedLayer> packed = PackLayer(
         input.map, input.loads, input.ranks, input.rules, layer, tolerance);
@@ -122,9 +122,9 @@
     }
     Move move{ChangesTo(*packed, input.map, layer), packed->layer_time};
     const double gained = time_before - move.layer_time_after;
-    const double worth = price.Worth(gained, move.fetches());
-    if (worth > best_worth) {
-      best_worth = worth;
+    const double net_value = move_value.NetValue(gained, move.fetches());
+    if (net_value > best_value) {
+      best_value = net_value;
       best.fetches = move.fetches();
       best.time_gained = gained;
       best.moves = {std::move(move)};
@@ -135,23 +135,23 @@
 
 std::vector<Bundle> FindBundles(const PlacementInput& input,
                                 const PlacementSettings& settings,
-                                const Price& price) {
+                                const MoveValue& move_value) {
   std::vector<Bundle> bundles;
   for (std::uint32_t i = 0; i < input.map.layers(); ++i) {
     const LayerIndex layer(i);
     LayerSearch search(input.map, input.loads, input.ranks, input.rules, layer);
-    Bundle demanded{layer, search.Enforce()};
-    if (!demanded.moves.empty()) {
-      demanded.demanded = true;
-      demanded.fetches = FetchesOf(demanded.moves);
-      bundles.push_back(std::move(demanded));
+    Bundle mandatory{layer, search.Enforce()};
+    if (!mandatory.moves.empty()) {
+      mandatory.mandatory = true;
+      mandatory.fetches = FetchesOf(mandatory.moves);
+      bundles.push_back(std::move(mandatory));
       continue;
     }
     const double before = search.layer_time();
-    Bundle bundle = BestPrefix(search, layer, settings, price);
-    Bundle repack = BestRepack(input, layer, before, price);
-    if (price.Worth(repack.time_gained, repack.fetches) >
-        price.Worth(bundle.time_gained, bundle.fetches)) {
+    Bundle bundle = BestPrefix(search, layer, settings, move_value);
+    Bundle repack = BestRepack(input, layer, before, move_value);
+    if (move_value.NetValue(repack.time_gained, repack.fetches) >
+        move_value.NetValue(bundle.time_gained, bundle.fetches)) {
       bundle = std::move(repack);
     }
     if (!bundle.moves.empty()) {
@@ -165,8 +165,8 @@
 void SortBundles(std::vector<Bundle>& bundles) {
   std::stable_sort(bundles.begin(), bundles.end(),
                    [](const Bundle& one, const Bundle& other) {
-                     if (one.demanded != other.demanded) {
-                       return one.demanded;
+                     if (one.mandatory != other.mandatory) {
+                       return one.mandatory;
                      }
                      return one.time_gained * other.fetches >
                             other.time_gained * one.fetches;
@@ -186,13 +186,13 @@
       return;
     }
     fetches_ += bundle.fetches;
-    demanded_ = demanded_ || bundle.demanded;
+    mandatory_ = mandatory_ || bundle.mandatory;
     for (const Move& move : bundle.moves) {
-      Carry(move);
+      ApplyMove(move);
     }
   }
 
-  bool demanded() const { return demanded_; }
+  bool mandatory() const { return mandatory_; }
   std::uint32_t fetches() const { return fetches_; }
   MovePlan Take() { return std::move(plan_); }
   const ExpertMap& map() const { return plan_.map; }
@@ -212,7 +212,7 @@
     return true;
   }
 
-  void Carry(const Move& move) {
+  void ApplyMove(const Move& move) {
     for (const CopyChange& change : move.changes) {
       if (!change.adds) {
         plan_.map.Remove(change.key, change.rank);
@@ -228,7 +228,7 @@
   std::vector<std::uint32_t> rank_fetches_;
   MovePlan plan_;
   std::uint32_t fetches_ = 0;
-  bool demanded_ = false;
+  bool mandatory_ = false;
 };
 
 Totals TotalsOf(const ExpertMap& map,
@@ -247,19 +247,19 @@
 }  // namespace
 
 // Skew weighs more: instructions are due at a peak, and any stall is lateness.
-PlacementSettings PlacementSettings::Qasr() {
+PlacementSettings PlacementSettings::LatencySensitive() {
   PlacementSettings settings;
   settings.skew_weight = 4;
   settings.move_weight = 1;
   return settings;
 }
 
-PlacementSettings PlacementSettings::Kalapuwa() {
+PlacementSettings PlacementSettings::DisruptionSensitive() {
   PlacementSettings settings;
   settings.skew_weight = 1;
   settings.move_weight = 20;
   settings.horizon = Seconds(3600);
-  settings.least_gain = 0.03;
+  settings.min_gain = 0.03;
   return settings;
 }
 
@@ -277,11 +277,11 @@
   if (input.fetches_in_flight > 0) {
     return NoMove{"moves are in flight", skew};
   }
-  if (!input.forced && now - input.last_change < input.least_interval) {
+  if (!input.forced && now - input.last_change < input.min_interval) {
     return NoMove{"the last change was just now", skew};
   }
-  const Price price(input, settings, before.time);
-  std::vector<Bundle> bundles = FindBundles(input, settings, price);
+  const MoveValue move_value(input, settings, before.time);
+  std::vector<Bundle> bundles = FindBundles(input, settings, move_value);
   SortBundles(bundles);
   PlanBuilder builder(input, settings);
   for (const Bundle& bundle : bundles) {
@@ -292,8 +292,8 @@
   }
   const Totals after = TotalsOf(builder.map(), input.loads, input.ranks);
   const double saved = 1 - after.time / std::max(before.time, 1e-12);
-  const bool must = builder.demanded() || input.forced;
-  if (!must && saved < settings.least_gain) {
+  const bool is_required = builder.mandatory() || input.forced;
+  if (!is_required && saved < settings.min_gain) {
     return NoMove{"the plan saves too little", skew};
   }
   const double fetch_seconds = builder.fetches() * input.seconds_per_fetch;
@@ -301,7 +301,8 @@
   plan.skew_before = skew;
   plan.skew_after = after.skew();
   plan.fetch_seconds = fetch_seconds;
-  plan.why = must ? "an operator asks for it" : "the gain pays for the moves";
+  plan.why =
+      is_required ? "an operator asks for it" : "the gain pays for the moves";
   return plan;
 }
 
--- a/src/libs/placement/placement_policy.h
+++ b/src/libs/placement/placement_policy.h
@@ -29,7 +29,7 @@
   // the loads don't move experts to and fro.
   double hysteresis = 0.2;
   // Plans that save less than this share of the step time are left alone.
-  double least_gain = 0.01;
+  double min_gain = 0.01;
   // How much more a move must gain at the group's peak and in a quiet window.
   double peak_factor = 3;
   double quiet_factor = 10;
@@ -38,9 +38,9 @@
   std::uint32_t max_moves_per_layer = 6;
 
   // For a service whose answers are due at a peak.
-  static PlacementSettings Qasr();
+  static PlacementSettings LatencySensitive();
   // For a service that can't afford repeated disruption.
-  static PlacementSettings Kalapuwa();
+  static PlacementSettings DisruptionSensitive();
 };
 
 struct PlacementInput {
@@ -52,7 +52,7 @@
   double utilization = 1;           // share of time in which steps run
   std::uint32_t fetches_in_flight = 0;
   TimePoint last_change;
-  Duration least_interval = Seconds(60);  // between two plans
+  Duration min_interval = Seconds(60);  // between two plans
   bool at_peak = false;
   bool quiet_window = false;
   bool forced = false;  // an operator wants the best plan whatever it costs
--- a/src/libs/placement/popularity_estimator.cc
+++ b/src/libs/placement/popularity_estimator.cc
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr Duration kDay = Seconds(86400);
-constexpr std::size_t kRememberedNumbers = 256;
+constexpr std::size_t kMaxTrackedNumbers = 256;
 // A shape learned from few counts must not blow a load up or wipe it out.
-constexpr double kLeastRatio = 0.25;
-constexpr double kMostRatio = 4;
+constexpr double kMinRatio = 0.25;
+constexpr double kMaxRatio = 4;
 // How much of the older errors counts at each new bucket.
-constexpr double kErrorKept = 0.9;
+constexpr double kErrorDecay = 0.9;
 // Forecasts that are averaged over the time ahead.
-constexpr int kPoints = 3;
+constexpr int kForecastPoints = 3;
 
-double HalvedAfter(Duration age, Duration half_life) {
+double DecayFactor(Duration age, Duration half_life) {
   return std::exp2(-ToSeconds(age) / ToSeconds(half_life));
 }
 
@@ -51,17 +51,16 @@
 }
 
 // Changes the loads as the shape changes between two times.
-ExpertLoads Follow(ExpertLoads loads,
-                   const std::vector<double>& before,
-                   const std::vector<double>& after,
-                   double trust) {
+ExpertLoads ApplyProfileChange(ExpertLoads loads,
+                               const std::vector<double>& before,
+                               const std::vector<double>& after,
+                               double profile_confidence) {
   for (std::size_t i = 0; i < loads.values().size(); ++i) {
     if (before[i] <= 0) {
       continue;
     }
-    const double ratio =
-        std::clamp(after[i] / before[i], kLeastRatio, kMostRatio);
-    loads.values()[i] *= 1 + trust * (ratio - 1);
+    const double ratio = std::clamp(after[i] / before[i], kMinRatio, kMaxRatio);
+    loads.values()[i] *= 1 + profile_confidence * (ratio - 1);
   }
   return loads;
 }
@@ -70,14 +69,14 @@
 
 PopularityEstimator::PopularityEstimator(EstimatorOptions options)
     : options_(options),
-      shape_(options.buckets, ExpertLoads(options.layers, options.experts)),
-      shape_known_(options.buckets, false) {}
+      profile_(options.buckets, ExpertLoads(options.layers, options.experts)),
+      profile_known_(options.buckets, false) {}
 
 bool PopularityEstimator::Observe(const CountReport& report, TimePoint now) {
   const bool fits = report.tokens.layers() == options_.layers &&
                     report.tokens.experts() == options_.experts;
   const bool timely = report.until > report.from && report.until <= now &&
-                      now - report.until <= options_.oldest;
+                      now - report.until <= options_.max_report_age;
   if (!fits || !timely) {
     return false;
   }
@@ -86,16 +85,16 @@
     return false;
   }
   // Before the report is counted: it belongs to the next bucket already.
-  LearnShape(now);
+  UpdateProfile(now);
   double weight = 1;
   if (report.until > source.latest) {
     const double kept =
-        HalvedAfter(report.until - source.latest, options_.half_life);
+        DecayFactor(report.until - source.latest, options_.half_life);
     Scale(source.tokens, kept);
     source.seconds *= kept;
     source.latest = report.until;
   } else {
-    weight = HalvedAfter(source.latest - report.until, options_.half_life);
+    weight = DecayFactor(source.latest - report.until, options_.half_life);
   }
   AddScaled(source.tokens, report.tokens, weight);
   source.seconds += weight * ToSeconds(report.until - report.from);
@@ -117,12 +116,12 @@
     source.incarnation = report.incarnation;
     source.numbers.clear();
   }
-  const bool forgotten = source.numbers.size() == kRememberedNumbers &&
+  const bool forgotten = source.numbers.size() == kMaxTrackedNumbers &&
                          report.number < *source.numbers.begin();
   if (forgotten || !source.numbers.insert(report.number).second) {
     return false;
   }
-  if (source.numbers.size() > kRememberedNumbers) {
+  if (source.numbers.size() > kMaxTrackedNumbers) {
     source.numbers.erase(source.numbers.begin());
   }
   return true;
@@ -146,7 +145,7 @@
 
 // Takes the estimate into the shape once at the start of each bucket; it then
 // stands for the bucket that has just ended.
-void PopularityEstimator::LearnShape(TimePoint now) {
+void PopularityEstimator::UpdateProfile(TimePoint now) {
   const std::size_t bucket = BucketOf(now);
   if (!started_) {
     started_ = true;
@@ -157,44 +156,45 @@
     return;
   }
   const ExpertLoads shares = SharesOf(Estimate());
-  JudgeShape(shares, learned_bucket_);
-  ExpertLoads& shape = shape_[learned_bucket_];
-  const double weight = shape_known_[learned_bucket_] ? options_.day_weight : 1;
-  Scale(shape, 1 - weight);
-  AddScaled(shape, shares, weight);
-  shape_known_[learned_bucket_] = true;
+  EvaluateProfile(shares, learned_bucket_);
+  ExpertLoads& profile = profile_[learned_bucket_];
+  const double weight =
+      profile_known_[learned_bucket_] ? options_.day_weight : 1;
+  Scale(profile, 1 - weight);
+  AddScaled(profile, shares, weight);
+  profile_known_[learned_bucket_] = true;
   last_shares_ = shares;
   learned_bucket_ = bucket;
 }
 
 // Popularity need not follow the hours at all. Then the shape of other days
 // misleads, which shows as a larger error than that of expecting no change.
-void PopularityEstimator::JudgeShape(const ExpertLoads& shares,
-                                     std::size_t bucket) {
+void PopularityEstimator::EvaluateProfile(const ExpertLoads& shares,
+                                          std::size_t bucket) {
   const std::size_t before = (bucket + options_.buckets - 1) % options_.buckets;
-  const bool judged = !last_shares_.values().empty() && shape_known_[bucket] &&
-                      shape_known_[before];
-  if (!judged) {
+  const bool has_reference = !last_shares_.values().empty() &&
+                             profile_known_[bucket] && profile_known_[before];
+  if (!has_reference) {
     return;
   }
-  const ExpertLoads foretold =
-      Follow(last_shares_, shape_[before].values(), shape_[bucket].values(), 1);
-  double shape_error = 0;
-  double plain_error = 0;
+  const ExpertLoads predicted = ApplyProfileChange(
+      last_shares_, profile_[before].values(), profile_[bucket].values(), 1);
+  double profile_error = 0;
+  double baseline_error = 0;
   for (std::size_t i = 0; i < shares.values().size(); ++i) {
     const double actual = shares.values()[i];
-    shape_error += std::abs(foretold.values()[i] - actual);
-    plain_error += std::abs(last_shares_.values()[i] - actual);
+    profile_error += std::abs(predicted.values()[i] - actual);
+    baseline_error += std::abs(last_shares_.values()[i] - actual);
   }
-  shape_error_ = kErrorKept * shape_error_ + shape_error;
-  plain_error_ = kErrorKept * plain_error_ + plain_error;
+  profile_error_ = kErrorDecay * profile_error_ + profile_error;
+  baseline_error_ = kErrorDecay * baseline_error_ + baseline_error;
 }
 
-double PopularityEstimator::trust() const {
-  if (plain_error_ <= 0) {
+double PopularityEstimator::profile_confidence() const {
+  if (baseline_error_ <= 0) {
     return 0;
   }
-  return std::clamp(2 * (1 - shape_error_ / plain_error_), 0.0, 1.0);
+  return std::clamp(2 * (1 - profile_error_ / baseline_error_), 0.0, 1.0);
 }
 
 Duration PopularityEstimator::Lag() const {
@@ -203,42 +203,43 @@
 }
 
 // A bucket holds what was estimated at its end.
-std::vector<double> PopularityEstimator::ShapeAt(TimePoint time) const {
+std::vector<double> PopularityEstimator::ProfileAt(TimePoint time) const {
   const Duration length = kDay / options_.buckets;
   const std::size_t after = BucketOf(time);
   const std::size_t before = BucketOf(time - length);
-  if (!shape_known_[before] || !shape_known_[after]) {
+  if (!profile_known_[before] || !profile_known_[after]) {
     return {};
   }
   const Duration into =
       (time.time_since_epoch() + options_.day_offset) % length;
   const double share = ToSeconds(into) / ToSeconds(length);
-  std::vector<double> shape = shape_[before].values();
-  for (std::size_t i = 0; i < shape.size(); ++i) {
-    shape[i] += share * (shape_[after].values()[i] - shape[i]);
+  std::vector<double> profile = profile_[before].values();
+  for (std::size_t i = 0; i < profile.size(); ++i) {
+    profile[i] += share * (profile_[after].values()[i] - profile[i]);
   }
-  return shape;
+  return profile;
 }
 
 // The estimate and the shape lag behind the loads alike, so what the shape
 // says a lag later is what the loads are then. Without this a change at the
 // hour would be followed late although it was foreseen.
 ExpertLoads PopularityEstimator::Forecast(TimePoint now, TimePoint at) const {
-  const std::vector<double> here = ShapeAt(now);
-  const std::vector<double> there = ShapeAt(at + Lag());
+  const std::vector<double> profile_now = ProfileAt(now);
+  const std::vector<double> profile_then = ProfileAt(at + Lag());
   ExpertLoads loads = Estimate();
-  if (here.empty() || there.empty()) {
+  if (profile_now.empty() || profile_then.empty()) {
     return loads;
   }
-  return Follow(std::move(loads), here, there, trust());
+  return ApplyProfileChange(std::move(loads), profile_now, profile_then,
+                            profile_confidence());
 }
 
 ExpertLoads PopularityEstimator::ForecastOver(TimePoint now,
                                               Duration horizon) const {
   ExpertLoads mean(options_.layers, options_.experts);
-  for (int i = 0; i < kPoints; ++i) {
-    const TimePoint at = now + horizon * i / (kPoints - 1);
-    AddScaled(mean, Forecast(now, at), 1.0 / kPoints);
+  for (int i = 0; i < kForecastPoints; ++i) {
+    const TimePoint at = now + horizon * i / (kForecastPoints - 1);
+    AddScaled(mean, Forecast(now, at), 1.0 / kForecastPoints);
   }
   return mean;
 }
--- a/src/libs/placement/popularity_estimator.h
+++ b/src/libs/placement/popularity_estimator.h
@@ -22,7 +22,7 @@
   // After this long a count weighs half.
   Duration half_life = Seconds(300);
   // Counts older than this are dropped.
-  Duration oldest = Seconds(3600);
+  Duration max_report_age = Seconds(3600);
   // Time of day at the start of the time line.
   Duration day_offset{};
   // Of the daily shape: a day is divided into this many buckets.
@@ -58,7 +58,7 @@
   // The mean of forecasts over the time ahead.
   ExpertLoads ForecastOver(TimePoint now, Duration horizon) const;
   // How far the learned shape is followed: 0 not at all, 1 fully.
-  double trust() const;
+  double profile_confidence() const;
 
  private:
   struct Source {
@@ -71,24 +71,24 @@
 
   bool IsNew(Source& source, const CountReport& report) const;
   std::size_t BucketOf(TimePoint time) const;
-  void LearnShape(TimePoint now);
-  void JudgeShape(const ExpertLoads& shares, std::size_t bucket);
+  void UpdateProfile(TimePoint now);
+  void EvaluateProfile(const ExpertLoads& shares, std::size_t bucket);
   // The learned shape between the ends of two buckets; empty if unknown.
-  std::vector<double> ShapeAt(TimePoint time) const;
+  std::vector<double> ProfileAt(TimePoint time) const;
   // How old the counts in an estimate are on average.
   Duration Lag() const;
 
   EstimatorOptions options_;
   std::map<RankIndex, Source> sources_;
-  std::vector<ExpertLoads> shape_;  // by bucket: shares of a layer's work
-  std::vector<bool> shape_known_;
+  std::vector<ExpertLoads> profile_;  // by bucket: shares of a layer's work
+  std::vector<bool> profile_known_;
   std::size_t learned_bucket_ = 0;
   bool started_ = false;
   ExpertLoads last_shares_;  // at the end of the bucket before
   // Smoothed errors of foretelling the next bucket by the shape, and by
   // expecting no change.
-  double shape_error_ = 0;
-  double plain_error_ = 0;
+  double profile_error_ = 0;
+  double baseline_error_ = 0;
 };
 
 }  // namespace bilberryspool::placement
--- a/src/libs/placement/recent_loads.cc
+++ b/src/libs/placement/recent_loads.cc
@@ -7,7 +7,7 @@
 RecentLoads::RecentLoads(RecentLoadsOptions options)
     : options_(options),
       loads_(options.layers, options.experts),
-      gathered_(loads_.values().size()) {}
+      pending_(loads_.values().size()) {}
 
 void RecentLoads::Decay(TimePoint now) {
   const double halvings =
@@ -21,65 +21,65 @@
 }
 
 void RecentLoads::Add(const std::vector<double>& work, TimePoint now) {
-  if (work.size() != gathered_.size()) {
+  if (work.size() != pending_.size()) {
     return;
   }
   Decay(now);
   for (std::size_t i = 0; i < work.size(); ++i) {
-    gathered_[i] += work[i];
+    pending_[i] += work[i];
   }
-  TakeGathered();
+  MergePending();
 }
 
-void RecentLoads::TakeGathered() {
+void RecentLoads::MergePending() {
   for (std::size_t layer = 0; layer < options_.layers; ++layer) {
-    if (GatheredOf(layer) >= options_.least_counts) {
-      TakeLayer(layer);
+    if (PendingCounts(layer) >= options_.min_counts) {
+      MergeLayer(layer);
     }
   }
 }
 
-double RecentLoads::GatheredOf(std::size_t layer) const {
+double RecentLoads::PendingCounts(std::size_t layer) const {
   double sum = 0.0;
   for (std::size_t i = layer * options_.experts;
        i < (layer + 1) * options_.experts; ++i) {
-    sum += gathered_[i];
+    sum += pending_[i];
   }
   return sum;
 }
 
 // 1 where nothing can be told yet.
-double RecentLoads::LikenessOf(std::size_t layer) const {
+double RecentLoads::SimilarityOf(std::size_t layer) const {
   const std::vector<double>& known = loads_.values();
   double product = 0.0;
-  double gathered_square = 0.0;
+  double pending_square = 0.0;
   double known_square = 0.0;
   double known_sum = 0.0;
   for (std::size_t i = layer * options_.experts;
        i < (layer + 1) * options_.experts; ++i) {
-    product += gathered_[i] * known[i];
-    gathered_square += gathered_[i] * gathered_[i];
+    product += pending_[i] * known[i];
+    pending_square += pending_[i] * pending_[i];
     known_square += known[i] * known[i];
     known_sum += known[i];
   }
-  if (known_sum < options_.least_counts) {
+  if (known_sum < options_.min_counts) {
     return 1.0;
   }
-  return product / std::sqrt(gathered_square * known_square);
+  return product / std::sqrt(pending_square * known_square);
 }
 
-void RecentLoads::TakeLayer(std::size_t layer) {
+void RecentLoads::MergeLayer(std::size_t layer) {
   std::vector<double>& loads = loads_.values();
-  const bool has_changed = LikenessOf(layer) < options_.least_likeness;
+  const bool has_changed = SimilarityOf(layer) < options_.min_similarity;
   for (std::size_t i = layer * options_.experts;
        i < (layer + 1) * options_.experts; ++i) {
     if (has_changed) {
       weight_ -= loads[i];
       loads[i] = 0.0;
     }
-    loads[i] += gathered_[i];
-    weight_ += gathered_[i];
-    gathered_[i] = 0.0;
+    loads[i] += pending_[i];
+    weight_ += pending_[i];
+    pending_[i] = 0.0;
   }
 }
 
--- a/src/libs/placement/recent_loads.h
+++ b/src/libs/placement/recent_loads.h
@@ -20,11 +20,11 @@
   // counts of a layer are less alike than this to those before (the cosine of
   // the angle between them), those before are forgotten: a mean of both would
   // fit neither.
-  double least_likeness = 0.93;
+  double min_similarity = 0.93;
   // Counts of a layer, of all ranks together, are gathered until there are this
   // many, and then compared: of fewer, chance looks like a change of demand; of
   // one rank's alone there are mostly fewer.
-  double least_counts = 2'000.0;
+  double min_counts = 2'000.0;
 };
 
 // Pure: work and `now` in, loads out.
@@ -42,15 +42,15 @@
 
  private:
   void Decay(TimePoint now);
-  void TakeGathered();
-  void TakeLayer(std::size_t layer);
-  double GatheredOf(std::size_t layer) const;
-  double LikenessOf(std::size_t layer) const;
+  void MergePending();
+  void MergeLayer(std::size_t layer);
+  double PendingCounts(std::size_t layer) const;
+  double SimilarityOf(std::size_t layer) const;
 
   RecentLoadsOptions options_;
   ExpertLoads loads_;
   // Counts that are still too few to be compared, by layer, then expert.
-  std::vector<double> gathered_;
+  std::vector<double> pending_;
   double weight_ = 0.0;
   TimePoint decayed_at_;
 };
--- a/src/libs/placement/speed_estimator.cc
+++ b/src/libs/placement/speed_estimator.cc
@@ -14,39 +14,39 @@
   if (rank.value() >= ranks_.size() || work <= 0 || busy <= Duration::zero()) {
     return;
   }
-  Rank& seen = ranks_[rank.value()];
+  Rank& state = ranks_[rank.value()];
   const double rate = work / ToSeconds(busy);
-  const double weight = seen.rate > 0 ? options_.weight : 1;
-  seen.rate += weight * (rate - seen.rate);
-  const double relative = Relative(seen);
-  seen.slow =
-      relative < (seen.slow ? options_.fine_above : options_.slow_below);
-  if (relative >= options_.replace_below) {
-    seen.very_slow_since.reset();
-  } else if (!seen.very_slow_since) {
-    seen.very_slow_since = now;
+  const double weight = state.rate > 0 ? options_.weight : 1;
+  state.rate += weight * (rate - state.rate);
+  const double relative = Relative(state);
+  state.slow = relative < (state.slow ? options_.recovery_threshold
+                                      : options_.slow_threshold);
+  if (relative >= options_.replace_threshold) {
+    state.very_slow_since.reset();
+  } else if (!state.very_slow_since) {
+    state.very_slow_since = now;
   }
 }
 
-void SpeedEstimator::Forget(RankIndex rank) {
+void SpeedEstimator::Reset(RankIndex rank) {
   if (rank.value() < ranks_.size()) {
     ranks_[rank.value()] = Rank{};
   }
 }
 
 RankHealth SpeedEstimator::HealthOf(RankIndex rank, TimePoint now) const {
-  const Rank& seen = ranks_.at(rank.value());
-  const bool very_slow = seen.very_slow_since &&
-                         now - *seen.very_slow_since >= options_.replace_after;
+  const Rank& state = ranks_.at(rank.value());
+  const bool very_slow = state.very_slow_since &&
+                         now - *state.very_slow_since >= options_.replace_after;
   if (very_slow) {
     return RankHealth::kToReplace;
   }
-  return seen.slow ? RankHealth::kSlow : RankHealth::kHealthy;
+  return state.slow ? RankHealth::kSlow : RankHealth::kHealthy;
 }
 
 double SpeedEstimator::SpeedOf(RankIndex rank) const {
-  const Rank& seen = ranks_.at(rank.value());
-  return seen.slow ? Relative(seen) : 1;
+  const Rank& state = ranks_.at(rank.value());
+  return state.slow ? Relative(state) : 1;
 }
 
 std::vector<RankCapacity> SpeedEstimator::Capacities(std::uint32_t slots,
--- a/src/libs/placement/speed_estimator.h
+++ b/src/libs/placement/speed_estimator.h
@@ -18,10 +18,10 @@
 
 struct SpeedOptions {
   std::uint32_t ranks = 0;
-  double weight = 0.2;         // of a new sample
-  double slow_below = 0.85;    // of the median: gets less work
-  double fine_above = 0.93;    // a slow rank is healthy again
-  double replace_below = 0.5;  // where less work is not enough
+  double weight = 0.2;               // of a new sample
+  double slow_threshold = 0.85;      // of the median: gets less work
+  double recovery_threshold = 0.93;  // a slow rank is healthy again
+  double replace_threshold = 0.5;    // where less work is not enough
   Duration replace_after = Seconds(300);
 };
 
@@ -34,7 +34,7 @@
   // A rank spent `busy` on `work` tokens (its own part of some steps).
   void Observe(RankIndex rank, double work, Duration busy, TimePoint now);
   // A replaced or restarted rank is judged anew.
-  void Forget(RankIndex rank);
+  void Reset(RankIndex rank);
 
   RankHealth HealthOf(RankIndex rank, TimePoint now) const;
   // Relative to the median; 1 for a healthy rank, so that noise moves nothing.
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -19,8 +19,8 @@
 // layer is worth copies. While engines have room a longer step makes nobody
 // late, so only what is far off is mended: copies are dear.
 struct Ambition {
-  double least_gain;
-  double good_enough;
+  double min_gain;
+  double target_imbalance;
 };
 constexpr Ambition kBusyAmbition{0.12, 1.08};
 constexpr Ambition kCalmAmbition{0.2, 1.25};
@@ -37,7 +37,7 @@
 placement::BoundedPlanOptions GroupTask::PlanOptions() {
   placement::BoundedPlanOptions options;
   options.ranks = ranks_;
-  options.places = engine_.expert_places;
+  options.slots_per_layer = engine_.expert_places;
   options.new_experts = engine_.new_experts;
   double requests = 0.0;
   for (const auto& [rank, load] : loads_at_) {
@@ -45,13 +45,13 @@
   }
   const bool is_busy = requests > kBusyShare * engine_.slots * ranks_;
   const Ambition& ambition = is_busy ? kBusyAmbition : kCalmAmbition;
-  options.good_enough = ambition.good_enough;
-  options.least_gain = ambition.least_gain;
+  options.target_imbalance = ambition.target_imbalance;
+  options.min_gain = ambition.min_gain;
   options.speeds.assign(ranks_, 1.0);
   for (const auto& [rank, pace] : paces_) {
     options.speeds[rank.value()] = 1.0 / std::max(pace, kLeastPace);
   }
-  options.pause = PauseBetweenMoves();
+  options.yield_callback = PauseBetweenMoves();
   return options;
 }
 
@@ -76,17 +76,17 @@
   const TimePoint begun = SteadyNow();
   const placement::ExpertLoads loads = loads_.loads();
   const placement::BoundedPlanOptions options = PlanOptions();
-  placement::ChangeTimes times;
-  times.copy = engine_.expert_copy;
+  placement::ChangeCosts costs;
+  costs.copy_time = engine_.expert_copy;
   const placement::BoundedPlan plan =
-      placement::PlanSoonest(*map, loads, options, times);
+      placement::PlanMinTimeLoss(*map, loads, options, costs);
   const double gain = 1.0 - plan.imbalance_after / plan.imbalance_before;
   const TimePoint now = SteadyNow();
   last_plan_ = now - begun;
   // The group may have formed anew while the plan was made.
   const bool still_fits =
       switch_.phase() == SwitchPhase::kIdle && switch_.map() == map;
-  if (gain < options.least_gain || !still_fits) {
+  if (gain < options.min_gain || !still_fits) {
     return;
   }
   constexpr double kPercent = 100.0;
@@ -97,11 +97,11 @@
         static_cast<int>(plan.imbalance_before * kPercent)},
        {"planned_percent", static_cast<int>(plan.imbalance_after * kPercent)},
        {"fetches", plan.fetches},
-       {"most_fetches", plan.most_fetches},
+       {"most_fetches", plan.max_rank_fetches},
        {"counts", static_cast<std::uint64_t>(loads_.weight())},
        {"planned_in_ms", (now - begun) / Milliseconds(1)}});
   switch_.Begin(std::make_shared<const placement::ExpertMap>(plan.map),
-                engine_.expert_copy * plan.most_fetches, now);
+                engine_.expert_copy * plan.max_rank_fetches, now);
   SendDue(now);
 }
 
--- a/src/plugins/control_node/rank_rounds.cc
+++ b/src/plugins/control_node/rank_rounds.cc
@@ -68,7 +68,7 @@
     found = groups_.end();
   }
   if (found == groups_.end()) {
-    placement::PickWorkOptions work;
+    placement::PickWeightOptions work;
     work.read_work = question.read_work;
     // Marks of before a restart of this process must name no sum of now.
     const placement::ReadingMark first((std::uint64_t{random_()} << 32U) + 1U);
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -38,7 +38,7 @@
   net::HttpClient client_;
   net::Endpoint engine_;
   EngineProtocol protocol_;
-  placement::CounterFollower counters_;
+  placement::CounterTracker counters_;
 };
 
 }  // namespace bilberryspool::sidecar
--- a/src/tools/placement_bench/main.cc
+++ b/src/tools/placement_bench/main.cc
@@ -33,10 +33,10 @@
       {"repack-30", FullRepack{Seconds(1800)}},
       {"repack-120", FullRepack{Seconds(7200)}},
       {"greedy-10%", GreedyOnThreshold{0.1}},
-      {"qasr", Ours{PlacementSettings::Qasr(), false}},
-      {"qasr-ahead", Ours{PlacementSettings::Qasr(), true}},
-      {"kalapuwa", Ours{PlacementSettings::Kalapuwa(), false}},
-      {"kalapuwa-ahead", Ours{PlacementSettings::Kalapuwa(), true}},
+      {"qasr", Ours{PlacementSettings::LatencySensitive(), false}},
+      {"qasr-ahead", Ours{PlacementSettings::LatencySensitive(), true}},
+      {"kalapuwa", Ours{PlacementSettings::DisruptionSensitive(), false}},
+      {"kalapuwa-ahead", Ours{PlacementSettings::DisruptionSensitive(), true}},
   };
 }
 
@@ -72,10 +72,10 @@
   std::vector<double> qasr;
   std::vector<double> kalapuwa;
   for (const Outcome& outcome : outcomes) {
-    qasr.push_back(
-        WeighedSeconds(outcome, placement::PlacementSettings::Qasr()));
-    kalapuwa.push_back(
-        WeighedSeconds(outcome, placement::PlacementSettings::Kalapuwa()));
+    qasr.push_back(WeighedSeconds(
+        outcome, placement::PlacementSettings::LatencySensitive()));
+    kalapuwa.push_back(WeighedSeconds(
+        outcome, placement::PlacementSettings::DisruptionSensitive()));
   }
   std::printf("%-14s %s %s %s %s %s %s %s %s %s %s\n", named.name.c_str(),
               SpreadOf(outcomes, &Outcome::skew_p50, 100).c_str(),
@@ -124,7 +124,8 @@
   for (int i = 0; i < kRuns; ++i) {
     const auto start = std::chrono::steady_clock::now();
     const placement::Decision decision = placement::DecidePlacement(
-        input, placement::PlacementSettings::Qasr(), TimeAt(Seconds(0)));
+        input, placement::PlacementSettings::LatencySensitive(),
+        TimeAt(Seconds(0)));
     const auto stop = std::chrono::steady_clock::now();
     if (decision.index() == 1) {
       times.push_back(
--- a/tests/auto/placement/bounded_plan_test.cc
+++ b/tests/auto/placement/bounded_plan_test.cc
@@ -14,7 +14,7 @@
 constexpr std::uint32_t kExperts = 64;
 constexpr std::uint32_t kRanks = 16;
 
-ExpertMap InTurn() {
+ExpertMap RoundRobinMap() {
   ExpertMap map(kLayers, kExperts);
   for (std::uint32_t layer = 0; layer < kLayers; ++layer) {
     for (std::uint32_t e = 0; e < kExperts; ++e) {
@@ -41,16 +41,16 @@
 BoundedPlanOptions MakeOptions() {
   BoundedPlanOptions options;
   options.ranks = kRanks;
-  options.places = 5;
+  options.slots_per_layer = 5;
   options.new_experts = 2;
-  options.new_experts_in_all = 3;
+  options.new_experts_all_layers = 3;
   return options;
 }
 
 TEST_CASE("a plan keeps the engines' bounds and gains") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
-    const ExpertMap before = InTurn();
+    const ExpertMap before = RoundRobinMap();
     const BoundedPlan plan = PlanBounded(before, Skewed(seed), MakeOptions());
     CHECK(plan.map.Orphans().empty());
     CHECK(plan.imbalance_before > 2.0);
@@ -83,39 +83,39 @@
 TEST_CASE("a change is as large as the time of its copies is worth") {
   struct Case {
     std::int64_t copy_ms;
-    std::uint32_t most;  // copies to a rank
+    std::uint32_t max_fetches;  // copies to a rank
   };
   for (const Case& item : {Case{300, 1}, {110, 1}, {50, 2}, {16, 7}, {0, 3}}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       CAPTURE(item.copy_ms);
       CAPTURE(seed);
-      ChangeTimes times;
-      times.copy = Milliseconds(item.copy_ms);
+      ChangeCosts costs;
+      costs.copy_time = Milliseconds(item.copy_ms);
       const BoundedPlan plan =
-          PlanSoonest(InTurn(), Skewed(seed), MakeOptions(), times);
+          PlanMinTimeLoss(RoundRobinMap(), Skewed(seed), MakeOptions(), costs);
       CHECK(plan.map.Orphans().empty());
-      CHECK(plan.most_fetches >= 1);
-      CHECK(plan.most_fetches <= item.most);
+      CHECK(plan.max_rank_fetches >= 1);
+      CHECK(plan.max_rank_fetches <= item.max_fetches);
       CHECK(plan.imbalance_after < 0.75 * plan.imbalance_before);
     }
   }
 }
 
 TEST_CASE("larger changes are taken where they lose less time") {
-  ChangeTimes times;
-  times.copy = Milliseconds(110);
-  times.horizon = Seconds(20);
-  const BoundedPlan patient =
-      PlanSoonest(InTurn(), Skewed(1), MakeOptions(), times);
-  times.horizon = Milliseconds(300);
-  const BoundedPlan hasty =
-      PlanSoonest(InTurn(), Skewed(1), MakeOptions(), times);
-  CHECK(patient.most_fetches > hasty.most_fetches);
-  CHECK(patient.imbalance_after < hasty.imbalance_after);
+  ChangeCosts costs;
+  costs.copy_time = Milliseconds(110);
+  costs.horizon = Seconds(20);
+  const BoundedPlan long_horizon =
+      PlanMinTimeLoss(RoundRobinMap(), Skewed(1), MakeOptions(), costs);
+  costs.horizon = Milliseconds(300);
+  const BoundedPlan short_horizon =
+      PlanMinTimeLoss(RoundRobinMap(), Skewed(1), MakeOptions(), costs);
+  CHECK(long_horizon.max_rank_fetches > short_horizon.max_rank_fetches);
+  CHECK(long_horizon.imbalance_after < short_horizon.imbalance_after);
 }
 
 TEST_CASE("several changes bring a layer near to even, then nothing moves") {
-  ExpertMap map = InTurn();
+  ExpertMap map = RoundRobinMap();
   const ExpertLoads loads = Skewed(3);
   double imbalance = 0.0;
   for (int i = 0; i < 6; ++i) {
@@ -136,7 +136,7 @@
   for (double& load : even.values()) {
     load = 100.0;
   }
-  const BoundedPlan plan = PlanBounded(InTurn(), even, options);
+  const BoundedPlan plan = PlanBounded(RoundRobinMap(), even, options);
   CHECK(plan.imbalance_before > 3.5);
   CHECK(plan.imbalance_after < 0.7 * plan.imbalance_before);
 }
--- a/tests/auto/placement/counter_follower_test.cc
+++ b/tests/auto/placement/counter_follower_test.cc
@@ -37,17 +37,17 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    CounterFollower follower(kFirst);
-    CHECK_FALSE(follower.Take(before, kFirst).has_value());
-    const ReadingMark last = follower.mark();
+    CounterTracker tracker(kFirst);
+    CHECK_FALSE(tracker.Take(before, kFirst).has_value());
+    const ReadingMark last = tracker.mark();
     CHECK(last != kFirst);
     const auto growth =
-        follower.Take(row.reading, row.names_last ? last : kFirst);
+        tracker.Take(row.reading, row.names_last ? last : kFirst);
     CHECK(PicksOf(growth) == row.picks);
     // Whatever it was, the next growth counts from there.
     CounterReading next = row.reading;
     next.counters.front() += 7;
-    const auto then = follower.Take(next, follower.mark());
+    const auto then = tracker.Take(next, tracker.mark());
     REQUIRE(then.has_value());
     CHECK(then->picks.front() == 7);
   }
@@ -56,9 +56,9 @@
 // One engine, the node that reads it, and the leader that asks that node. Each
 // answer may be lost, doubled, late or overtaken; each of the three may start
 // again or be replaced.
-class World {
+class CounterSimulation {
  public:
-  explicit World(std::uint64_t seed) : random_(seed) {}
+  explicit CounterSimulation(std::uint64_t seed) : random_(seed) {}
 
   void Step() {
     const std::uint64_t picks = random_.Below(50);
@@ -70,7 +70,7 @@
       engine_ = {{0}, 0, 0};  // the engine starts again
     }
     if (random_.Chance(0.02)) {
-      follower_ = CounterFollower(Draw());
+      tracker_ = CounterTracker(Draw());
     }
     if (random_.Chance(0.02)) {
       reader_mark_ = ReadingMark();
@@ -80,7 +80,7 @@
       leader_mark_ = ReadingMark();
     }
     ReadEngine();
-    AskReader();
+    PollReader();
   }
 
   double made() const { return made_; }
@@ -96,11 +96,11 @@
   ReadingMark Draw() { return ReadingMark(random_.Below(1ULL << 60U) + 1); }
 
   void ReadEngine() {
-    const auto growth = follower_.Take(engine_, reader_mark_);
+    const auto growth = tracker_.Take(engine_, reader_mark_);
     if (random_.Chance(0.15)) {
       return;  // the answer is lost
     }
-    reader_mark_ = follower_.mark();
+    reader_mark_ = tracker_.mark();
     if (growth.has_value()) {
       sums_.Add(*growth);
     }
@@ -108,7 +108,7 @@
 
   // A call is answered once, so an answer that comes after the leader has
   // asked anew belongs to a call that it gave up, and is not looked at.
-  void AskReader() {
+  void PollReader() {
     auto work = sums_.Take(leader_mark_);
     if (random_.Chance(0.15)) {
       return;  // lost, or late
@@ -122,7 +122,7 @@
 
   Random random_;
   CounterReading engine_{{0}, 0, 0};
-  CounterFollower follower_{kFirst};
+  CounterTracker tracker_{kFirst};
   ReadingMark reader_mark_;
   PickSums sums_{{}, 1, kFirst};
   ReadingMark leader_mark_;
@@ -136,18 +136,18 @@
 TEST_CASE("nothing is counted twice, whatever becomes of the answers") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
-    World world(seed);
+    CounterSimulation simulation(seed);
     for (int step = 0; step < 500; ++step) {
-      const double made = world.made();
-      const double counted = world.counted();
-      world.Step();
+      const double made = simulation.made();
+      const double counted = simulation.counted();
+      simulation.Step();
       // Never ahead of what there was.
-      CHECK(world.counted() <= world.made());
-      CHECK(world.counted() >= counted);
-      CHECK(world.made() >= made);
+      CHECK(simulation.counted() <= simulation.made());
+      CHECK(simulation.counted() >= counted);
+      CHECK(simulation.made() >= made);
     }
     // Most answers arrive, and theirs is counted.
-    CHECK(world.counted() > 0.4 * world.made());
+    CHECK(simulation.counted() > 0.4 * simulation.made());
   }
 }
 
--- a/tests/auto/placement/observed_loads.h
+++ b/tests/auto/placement/observed_loads.h
@@ -16,16 +16,16 @@
 
 class ObservedLoads {
  public:
-  ObservedLoads(RecentLoadsOptions options, PickWorkOptions work)
+  ObservedLoads(RecentLoadsOptions options, PickWeightOptions work)
       : sums_(work,
               std::size_t{options.layers} * options.experts,
               ReadingMark(1)),
         loads_(options) {}
 
   void Observe(RankIndex rank, const CounterReading& reading, TimePoint now) {
-    CounterFollower& follower =
-        followers_.try_emplace(rank, ReadingMark(1)).first->second;
-    const auto growth = follower.Take(reading, follower.mark());
+    CounterTracker& tracker =
+        trackers_.try_emplace(rank, ReadingMark(1)).first->second;
+    const auto growth = tracker.Take(reading, tracker.mark());
     if (growth.has_value()) {
       sums_.Add(*growth);
     }
@@ -39,7 +39,7 @@
   double weight() const { return loads_.weight(); }
 
  private:
-  std::map<RankIndex, CounterFollower> followers_;
+  std::map<RankIndex, CounterTracker> trackers_;
   PickSums sums_;
   RecentLoads loads_;
 };
--- a/tests/auto/placement/pick_work_test.cc
+++ b/tests/auto/placement/pick_work_test.cc
@@ -132,12 +132,12 @@
   RecentLoadsOptions options;
   options.layers = kLayers;
   options.experts = kExperts;
-  PickWorkOptions work;
+  PickWeightOptions work;
   work.read_work = weighs_work ? kReadWork : 1.0;
   ObservedLoads recent(options, work);
   Demand demand(seed);
   double sum = 0.0;
-  int judged = 0;
+  int sampled_steps = 0;
   constexpr int kSteps = 200;
   constexpr int kWarmUp = 60;
   for (int step = 0; step < kSteps; ++step) {
@@ -150,19 +150,19 @@
       continue;
     }
     const ExpertLoads truth = demand.Truth();
-    double told_sum = 0.0;
+    double estimated_sum = 0.0;
     double true_sum = 0.0;
     for (std::size_t i = 0; i < truth.values().size(); ++i) {
-      told_sum += recent.loads().values()[i];
+      estimated_sum += recent.loads().values()[i];
       true_sum += truth.values()[i];
     }
     for (std::size_t i = 0; i < truth.values().size(); ++i) {
-      sum += std::abs(recent.loads().values()[i] / told_sum -
+      sum += std::abs(recent.loads().values()[i] / estimated_sum -
                       truth.values()[i] / true_sum);
     }
-    ++judged;
+    ++sampled_steps;
   }
-  return sum / judged;
+  return sum / sampled_steps;
 }
 
 // Symptom: maps are changed several times a second while demand stays as it is,
@@ -182,9 +182,9 @@
 }
 
 TEST_CASE("readings with prompts weigh less, others as they are") {
-  PickWorkOptions options;
+  PickWeightOptions options;
   options.read_work = 0.02;
-  PickWork work(options);
+  PickWeightEstimator work(options);
   constexpr double kPerRequest = 640.0;
   struct Row {
     const char* name;
--- a/tests/auto/placement/placement_policy_test.cc
+++ b/tests/auto/placement/placement_policy_test.cc
@@ -123,13 +123,14 @@
 }
 
 TEST_CASE("no plan breaks slots, rules or bounds, and equal inputs are equal") {
-  const char* wished = std::getenv("BILBERRYSPOOL_SEEDS");
-  const std::uint64_t seeds =
-      wished == nullptr ? 200 : std::strtoull(wished, nullptr, 10);
+  const char* requested_seeds = std::getenv("BILBERRYSPOOL_SEEDS");
+  const std::uint64_t seeds = requested_seeds == nullptr
+                                  ? 200
+                                  : std::strtoull(requested_seeds, nullptr, 10);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     CAPTURE(seed);
     const PlacementInput input = RandomInput(seed);
-    const PlacementSettings settings = PlacementSettings::Qasr();
+    const PlacementSettings settings = PlacementSettings::LatencySensitive();
     const Decision decision = DecidePlacement(input, settings, kNow);
     const auto* plan = std::get_if<MovePlan>(&decision);
     if (plan == nullptr) {
@@ -187,9 +188,9 @@
   MapHistory history(2);
   const ExpertMap first = ExpertMap::RoundRobin(1, 2, 2, 1);
   const ExpertMap second = ExpertMap::RoundRobin(1, 2, 2, 2);
-  history.Remember(ExpertMap());
-  history.Remember(first);
-  history.Remember(second);
+  history.Push(ExpertMap());
+  history.Push(first);
+  history.Push(second);
   CHECK(history.Undo() == second);
   CHECK(history.Undo() == first);
   CHECK_FALSE(history.Undo().has_value());
