--- a/src/libs/groups/rank_round.h
+++ b/src/libs/groups/rank_round.h
@@ -16,7 +16,7 @@
 #include "libs/base/time.h"
 #include "libs/groups/engine_order.h"
 #include "libs/packing/packed_text.h"
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 
 namespace bilberryspool::groups {
 
--- a/src/libs/placement/counter_follower.cc
+++ b/src/libs/placement/counter_tracker.cc
@@ -1,4 +1,4 @@
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/libs/placement/counter_follower.h
+++ b/src/libs/placement/counter_tracker.h
@@ -9,8 +9,8 @@
 //
 // Pure.
 
-#ifndef LIBS_PLACEMENT_COUNTER_FOLLOWER_H_
-#define LIBS_PLACEMENT_COUNTER_FOLLOWER_H_
+#ifndef LIBS_PLACEMENT_COUNTER_TRACKER_H_
+#define LIBS_PLACEMENT_COUNTER_TRACKER_H_
 
 #include <cstdint>
 #include <optional>
@@ -60,4 +60,4 @@
 
 }  // namespace bilberryspool::placement
 
-#endif  // LIBS_PLACEMENT_COUNTER_FOLLOWER_H_
+#endif  // LIBS_PLACEMENT_COUNTER_TRACKER_H_
--- a/src/libs/placement/pick_sums.h
+++ b/src/libs/placement/pick_sums.h
@@ -14,8 +14,8 @@
 #include <cstddef>
 #include <vector>
 
-#include "libs/placement/counter_follower.h"
-#include "libs/placement/pick_work.h"
+#include "libs/placement/counter_tracker.h"
+#include "libs/placement/pick_weight_estimator.h"
 
 namespace bilberryspool::placement {
 
--- a/src/libs/placement/pick_work.cc
+++ b/src/libs/placement/pick_weight_estimator.cc
@@ -1,4 +1,4 @@
-#include "libs/placement/pick_work.h"
+#include "libs/placement/pick_weight_estimator.h"
 
 #include <algorithm>
 
--- a/src/libs/placement/pick_work.h
+++ b/src/libs/placement/pick_weight_estimator.h
@@ -11,8 +11,8 @@
 //
 // Pure.
 
-#ifndef LIBS_PLACEMENT_PICK_WORK_H_
-#define LIBS_PLACEMENT_PICK_WORK_H_
+#ifndef LIBS_PLACEMENT_PICK_WEIGHT_ESTIMATOR_H_
+#define LIBS_PLACEMENT_PICK_WEIGHT_ESTIMATOR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -55,4 +55,4 @@
 
 }  // namespace bilberryspool::placement
 
-#endif  // LIBS_PLACEMENT_PICK_WORK_H_
+#endif  // LIBS_PLACEMENT_PICK_WEIGHT_ESTIMATOR_H_
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -10,7 +10,7 @@
 #include "libs/net/http_client.h"
 #include "libs/net/http_server.h"
 #include "libs/net/network_loop.h"
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 #include "plugins/sidecar/engine_protocol.h"
 
 namespace bilberryspool::sidecar {
--- a/tests/auto/placement/observed_loads.h
+++ b/tests/auto/placement/observed_loads.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "libs/base/ids.h"
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 #include "libs/placement/pick_sums.h"
 #include "libs/placement/recent_loads.h"
 
