--- a/src/libs/membership/announcement.h
+++ b/src/libs/membership/announcement.h
@@ -76,7 +76,7 @@
   TargetId target;
   Claim claim;
   std::uint64_t sequence = 0;
-  std::uint64_t beat = 0;  // counts the heartbeats of one claim
+  std::uint64_t heartbeat_number = 0;  // counts the heartbeats of one claim
   LoadReport load;
   std::uint64_t entries_digest = 0;  // of the entries that the agent knows
 };
--- a/src/libs/membership/announcer.cc
+++ b/src/libs/membership/announcer.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::membership {
 namespace {
 
-constexpr std::uint64_t kNonces = 1U << 20U;  // short on the wire
+constexpr std::uint64_t kNonceRange = 1U << 20U;  // short on the wire
 
 }  // namespace
 
@@ -18,7 +18,7 @@
       announcement_(options_.description),
       entries_(options_.seeds),
       interval_(options_.interval) {
-  announcement_.claim.nonce = random_.Below(kNonces);
+  announcement_.claim.nonce = random_.Below(kNonceRange);
   announcement_.sequence = 1;
 }
 
@@ -51,11 +51,11 @@
     Announce(now, actions);
   }
   Heartbeat heartbeat{announcement_.target, announcement_.claim,
-                      announcement_.sequence, ++beat_, load_};
+                      announcement_.sequence, ++heartbeat_number_, load_};
   heartbeat.load.age += now - load_at_;
   heartbeat.entries_digest = DigestOfNames(entries_);
-  for (const std::string& entry : Ranked(now, 1)) {
-    awaited_ = entry;
+  for (const std::string& entry : SelectEntries(now, 1)) {
+    awaiting_reply_from_ = entry;
     actions->push_back(SendHeartbeat{entry, heartbeat});
   }
 }
@@ -100,18 +100,18 @@
                       TimePoint now,
                       Actions* actions) {
   avoided_until_.erase(event.entry);
-  if (event.entry == awaited_) {
-    awaited_.clear();
+  if (event.entry == awaiting_reply_from_) {
+    awaiting_reply_from_.clear();
   }
   if (event.reply.interval > Duration(0)) {
     interval_ = std::clamp(event.reply.interval, options_.interval,
-                           options_.most_interval);
+                           options_.max_interval);
   }
   if (!event.reply.entries.empty()) {
     entries_ = event.reply.entries;
   }
   if (event.reply.superseded) {
-    LoseOrOutbid(event.reply.known, now, actions);
+    HandleSuperseded(event.reply.known, now, actions);
     return;
   }
   if (event.reply.wants_announcement) {
@@ -130,7 +130,7 @@
 }
 
 void Announcer::Announce(TimePoint now, Actions* actions) {
-  for (const std::string& entry : Ranked(now, options_.fanout)) {
+  for (const std::string& entry : SelectEntries(now, options_.fanout)) {
     actions->push_back(SendAnnouncement{entry, announcement_});
   }
 }
@@ -139,9 +139,9 @@
 // set back, so it steps over the known claim once. One that was accepted has
 // been replaced: stepping over it again would make two processes take the
 // identity from each other without end.
-void Announcer::LoseOrOutbid(const Claim& holder,
-                             TimePoint now,
-                             Actions* actions) {
+void Announcer::HandleSuperseded(const Claim& holder,
+                                 TimePoint now,
+                                 Actions* actions) {
   if (holder <= announcement_.claim) {
     return;  // answers an earlier claim of this process
   }
@@ -156,15 +156,15 @@
 }
 
 void Announcer::AvoidSilentEntry(TimePoint now) {
-  if (!awaited_.empty()) {
-    avoided_until_[awaited_] = now + options_.avoid_silent;
+  if (!awaiting_reply_from_.empty()) {
+    avoided_until_[awaiting_reply_from_] = now + options_.silent_entry_backoff;
   }
   std::erase_if(avoided_until_,
                 [now](const auto& item) { return item.second <= now; });
 }
 
-std::vector<std::string> Announcer::Ranked(TimePoint now,
-                                           std::size_t count) const {
+std::vector<std::string> Announcer::SelectEntries(TimePoint now,
+                                                  std::size_t count) const {
   std::vector<std::string> usable;
   for (const std::string& entry : entries_) {
     const auto avoided = avoided_until_.find(entry);
@@ -179,9 +179,10 @@
     usable.insert(usable.end(), options_.seeds.begin(), options_.seeds.end());
     std::sort(usable.begin(), usable.end());
     usable.erase(std::unique(usable.begin(), usable.end()), usable.end());
-    const std::size_t turn = usable.empty() ? 0 : beat_ % usable.size();
+    const std::size_t start =
+        usable.empty() ? 0 : heartbeat_number_ % usable.size();
     std::rotate(usable.begin(),
-                usable.begin() + static_cast<std::ptrdiff_t>(turn),
+                usable.begin() + static_cast<std::ptrdiff_t>(start),
                 usable.end());
     usable.resize(std::min(count, usable.size()));
     return usable;
--- a/src/libs/membership/announcer.h
+++ b/src/libs/membership/announcer.h
@@ -30,11 +30,11 @@
   std::vector<std::string> seeds;  // peer addresses of some entries
   // Heartbeats; entries of large domains ask for longer intervals.
   Duration interval = Seconds(1);
-  Duration most_interval = Seconds(5);
+  Duration max_interval = Seconds(5);
   // Entries that get each full announcement; heartbeats go to the first.
   std::size_t fanout = 2;
   // How long an entry that did not answer is passed over.
-  Duration avoid_silent = Seconds(10);
+  Duration silent_entry_backoff = Seconds(10);
 };
 
 class Announcer {
@@ -62,9 +62,10 @@
   void Apply(const ReplyReceived& event, TimePoint now, Actions* actions);
 
   void Announce(TimePoint now, Actions* actions);
-  void LoseOrOutbid(const Claim& holder, TimePoint now, Actions* actions);
+  void HandleSuperseded(const Claim& holder, TimePoint now, Actions* actions);
   void AvoidSilentEntry(TimePoint now);
-  std::vector<std::string> Ranked(TimePoint now, std::size_t count) const;
+  std::vector<std::string> SelectEntries(TimePoint now,
+                                         std::size_t count) const;
   Duration NextInterval();
 
   AnnouncerOptions options_;
@@ -75,8 +76,8 @@
   std::vector<std::string> entries_;
   Duration interval_;
   std::map<std::string, TimePoint> avoided_until_;
-  std::string awaited_;  // the entry whose answer is outstanding
-  std::uint64_t beat_ = 0;
+  std::string awaiting_reply_from_;  // the entry whose answer is outstanding
+  std::uint64_t heartbeat_number_ = 0;
   TimePoint next_tick_;
   bool accepted_ = false;
   bool identity_lost_ = false;
--- a/src/libs/membership/directory.cc
+++ b/src/libs/membership/directory.cc
@@ -19,9 +19,9 @@
       peers_(options_.self),
       table_(options_.targets),
       watch_(options_.domains),
-      pace_{options_.refresh_at_least, Duration(0)},
-      round_(options_.gossip_interval),
-      heartbeat_(options_.heartbeat_interval) {}
+      timing_{options_.min_refresh_interval, Duration(0)},
+      round_interval_(options_.gossip_interval),
+      heartbeat_interval_(options_.heartbeat_interval) {}
 
 std::vector<DirectoryAction> Directory::Handle(const DirectoryEvent& event,
                                                TimePoint now) {
@@ -40,15 +40,16 @@
   if (now < next_tick_) {
     return;
   }
-  next_tick_ = now + random_.Between(round_ * 9 / 10, round_ * 11 / 10);
+  next_tick_ = now + random_.Between(round_interval_ * 9 / 10,
+                                     round_interval_ * 11 / 10);
   peers_.NextStamp(now);  // the sign of life of this entry
-  UpdateSizes(now);
-  WatchDomains(now, actions);
+  UpdateScaling(now);
+  UpdateDomains(now, actions);
   for (auto& [target, record] : table_.records()) {
-    JudgeAndReport(&record, now, actions);
+    UpdateAndReportLiveness(&record, now, actions);
   }
-  table_.Forget(now);
-  peers_.Forget(now, options_.forget_entry_after);
+  table_.RemoveExpired(now);
+  peers_.RemoveExpired(now, options_.entry_retention);
   PublishSummary(now);
   Gossip(now, actions);
 }
@@ -59,13 +60,14 @@
   const Announcement& arrived = event.announcement;
   const MergeResult result = table_.MergeAnnouncement(
       arrived, peers_.NextStamp(now), Duration(0), now);
-  NoteConflict(result, arrived, actions);
-  if (result.merge == Merge::kNew || result.merge == Merge::kNewer) {
+  ReportConflictOnce(result, arrived, actions);
+  if (result.outcome == MergeOutcome::kNew ||
+      result.outcome == MergeOutcome::kNewer) {
     TargetRecord* record = table_.Find(arrived.target);
-    JudgeAndReport(record, now, actions);
+    UpdateAndReportLiveness(record, now, actions);
     actions->push_back(
         TargetChanged{arrived.target, arrived.state, record->liveness});
-    PushNews(*record, true, now, actions);
+    PushUpdate(*record, true, now, actions);
   }
   actions->push_back(ReplyToAgent{
       arrived.target, MakeReply(arrived.target, arrived.claim, now)});
@@ -76,19 +78,20 @@
                       Actions* actions) {
   const Heartbeat& heartbeat = event.heartbeat;
   TargetRecord* record = table_.Find(heartbeat.target);
-  std::optional<Stamp> told;
-  if (record != nullptr && (record->suspected || record->beat == 0 ||
-                            now - record->told_at >= pace_.refresh)) {
-    told = peers_.NextStamp(now);
+  std::optional<Stamp> new_stamp;
+  if (record != nullptr &&
+      (record->suspected || record->heartbeat_number == 0 ||
+       now - record->heartbeat_stamped_at >= timing_.refresh_interval)) {
+    new_stamp = peers_.NextStamp(now);
   }
-  const Merge merge = table_.MergeHeartbeat(heartbeat, told, now);
+  const MergeOutcome outcome = table_.MergeHeartbeat(heartbeat, new_stamp, now);
   AnnounceReply reply = MakeReply(heartbeat.target, heartbeat.claim, now);
-  reply.wants_announcement = merge == Merge::kNewer;
+  reply.wants_announcement = outcome == MergeOutcome::kNewer;
   if (DigestOfNames(reply.entries) == heartbeat.entries_digest) {
     reply.entries.clear();
   }
   if (record != nullptr) {
-    JudgeAndReport(record, now, actions);
+    UpdateAndReportLiveness(record, now, actions);
   }
   actions->push_back(ReplyToAgent{heartbeat.target, std::move(reply)});
 }
@@ -101,16 +104,16 @@
         if (message.from.domain == options_.self.domain || detail_everywhere_) {
           peers_.Observe(message.from, now);
         }
-        Take(message, now, actions);
+        HandleMessage(message, now, actions);
       },
       event.message);
 }
 
-void Directory::Take(const GossipDigest& digest,
-                     TimePoint now,
-                     Actions* actions) {
+void Directory::HandleMessage(const GossipDigest& digest,
+                              TimePoint now,
+                              Actions* actions) {
   for (const Stamp& stamp : digest.stamps) {
-    peers_.NoteNewest(stamp, now);
+    peers_.RecordNewest(stamp, now);
   }
   const bool detail = digest.from.domain == options_.self.domain ||
                       (digest.detail && detail_everywhere_);
@@ -120,29 +123,30 @@
   actions->push_back(SendToPeer{digest.from.peer_address, std::move(delta)});
 }
 
-void Directory::Take(const GossipDelta& delta,
-                     TimePoint now,
-                     Actions* actions) {
+void Directory::HandleMessage(const GossipDelta& delta,
+                              TimePoint now,
+                              Actions* actions) {
   for (const DomainSummary& summary : delta.summaries) {
     summaries_.Merge(summary, now);
-    MeetContacts(summary, now);
+    AddContacts(summary, now);
   }
-  if (DetailFor(delta.from.domain)) {
-    TakeDetail(delta, now, actions);
+  if (HasDetailFor(delta.from.domain)) {
+    MergeDetail(delta, now, actions);
   }
   for (const GossipDigest& digest : delta.answer) {
-    const bool detail = delta.detail && DetailFor(delta.from.domain);
-    GossipDelta back =
+    const bool detail = delta.detail && HasDetailFor(delta.from.domain);
+    GossipDelta response =
         BuildDelta(sources(), digest, detail, options_.row_limit, now);
-    if (!back.reached.empty() || !back.summaries.empty()) {
-      actions->push_back(SendToPeer{delta.from.peer_address, std::move(back)});
+    if (!response.complete_up_to.empty() || !response.summaries.empty()) {
+      actions->push_back(
+          SendToPeer{delta.from.peer_address, std::move(response)});
     }
   }
 }
 
 // An entry that has just started may hear of its own domain from another one
 // first: without this, parts of a domain could stay unknown to each other.
-void Directory::MeetContacts(const DomainSummary& summary, TimePoint now) {
+void Directory::AddContacts(const DomainSummary& summary, TimePoint now) {
   if (summary.domain != options_.self.domain) {
     return;
   }
@@ -151,57 +155,59 @@
   }
 }
 
-void Directory::TakeDetail(const GossipDelta& delta,
-                           TimePoint now,
-                           Actions* actions) {
+void Directory::MergeDetail(const GossipDelta& delta,
+                            TimePoint now,
+                            Actions* actions) {
   for (const EntryInfo& entry : delta.entries) {
-    if (DetailFor(entry.domain)) {
+    if (HasDetailFor(entry.domain)) {
       peers_.Observe(entry, now);
     }
   }
-  for (const AnnouncementNews& news : delta.announcements) {
+  for (const AnnouncementUpdate& update : delta.announcements) {
     // Entries that have just left the detailed mode may still pass foreign
     // targets on to each other; without this they would do so for ever.
-    if (!DetailFor(news.announcement.domain)) {
+    if (!HasDetailFor(update.announcement.domain)) {
       continue;
     }
-    const MergeResult result =
-        table_.MergeAnnouncement(news.announcement, news.stamp, news.age, now);
-    NoteConflict(result, news.announcement, actions);
-    if (result.merge == Merge::kNew || result.merge == Merge::kNewer) {
-      TargetRecord* record = table_.Find(news.announcement.target);
-      JudgeAndReport(record, now, actions);
-      actions->push_back(TargetChanged{
-          news.announcement.target, news.announcement.state, record->liveness});
+    const MergeResult result = table_.MergeAnnouncement(
+        update.announcement, update.stamp, update.age, now);
+    ReportConflictOnce(result, update.announcement, actions);
+    if (result.outcome == MergeOutcome::kNew ||
+        result.outcome == MergeOutcome::kNewer) {
+      TargetRecord* record = table_.Find(update.announcement.target);
+      UpdateAndReportLiveness(record, now, actions);
+      actions->push_back(TargetChanged{update.announcement.target,
+                                       update.announcement.state,
+                                       record->liveness});
     }
   }
   AnnouncementRequest request{options_.self, {}};
-  for (const HeartbeatNews& news : delta.heartbeats) {
-    if (table_.MergeNews(news, now) == Merge::kNewer) {
-      request.targets.push_back(news.target);
+  for (const HeartbeatUpdate& update : delta.heartbeats) {
+    if (table_.MergeHeartbeatUpdate(update, now) == MergeOutcome::kNewer) {
+      request.targets.push_back(update.target);
     }
-    if (TargetRecord* record = table_.Find(news.target)) {
-      JudgeAndReport(record, now, actions);
+    if (TargetRecord* record = table_.Find(update.target)) {
+      UpdateAndReportLiveness(record, now, actions);
     }
   }
-  for (const Stamp& stamp : delta.reached) {
-    peers_.NoteNewest(stamp, now);
-    peers_.NoteReached(stamp);
+  for (const Stamp& stamp : delta.complete_up_to) {
+    peers_.RecordNewest(stamp, now);
+    peers_.RecordCompleteUpTo(stamp);
   }
   if (!request.targets.empty()) {
     actions->push_back(SendToPeer{delta.from.peer_address, std::move(request)});
   }
 }
 
-void Directory::Take(const AnnouncementRequest& request,
-                     TimePoint now,
-                     Actions* actions) {
+void Directory::HandleMessage(const AnnouncementRequest& request,
+                              TimePoint now,
+                              Actions* actions) {
   GossipDelta delta;
   delta.from = options_.self;
   for (const TargetId& target : request.targets) {
     if (const TargetRecord* record = table_.Find(target)) {
-      delta.announcements.push_back(ToAnnouncementNews(*record, now));
-      delta.heartbeats.push_back(ToHeartbeatNews(*record, now));
+      delta.announcements.push_back(ToAnnouncementUpdate(*record, now));
+      delta.heartbeats.push_back(ToHeartbeatUpdate(*record, now));
     }
   }
   if (!delta.announcements.empty()) {
@@ -213,7 +219,7 @@
                                    const Claim& claim,
                                    TimePoint now) const {
   AnnounceReply reply;
-  reply.interval = heartbeat_;
+  reply.interval = heartbeat_interval_;
   const auto found = table_.records().find(target);
   if (found != table_.records().end()) {
     const Announcement& known = found->second.announcement;
@@ -227,9 +233,9 @@
   return reply;
 }
 
-void Directory::NoteConflict(const MergeResult& result,
-                             const Announcement& arrived,
-                             Actions* actions) {
+void Directory::ReportConflictOnce(const MergeResult& result,
+                                   const Announcement& arrived,
+                                   Actions* actions) {
   if (!result.conflict) {
     return;
   }
@@ -241,12 +247,12 @@
   }
 }
 
-void Directory::JudgeAndReport(TargetRecord* record,
-                               TimePoint now,
-                               Actions* actions) {
+void Directory::UpdateAndReportLiveness(TargetRecord* record,
+                                        TimePoint now,
+                                        Actions* actions) {
   const Announcement& announcement = record->announcement;
   const DomainState domain = watch_.State(announcement.domain);
-  if (!table_.Judge(record, domain, pace_, now)) {
+  if (!table_.UpdateLiveness(record, domain, timing_, now)) {
     return;
   }
   actions->push_back(
@@ -256,38 +262,38 @@
   if (record->direct && !record->suspected &&
       record->liveness == Liveness::kSuspect) {
     record->suspected = true;
-    record->beaten = peers_.NextStamp(now);
-    PushNews(*record, false, now, actions);
+    record->heartbeat_stamp = peers_.NextStamp(now);
+    PushUpdate(*record, false, now, actions);
   }
 }
 
-void Directory::PushNews(const TargetRecord& record,
-                         bool announcement,
-                         TimePoint now,
-                         Actions* actions) const {
+void Directory::PushUpdate(const TargetRecord& record,
+                           bool announcement,
+                           TimePoint now,
+                           Actions* actions) const {
   GossipDelta delta;
   delta.from = options_.self;
   if (announcement) {
-    delta.announcements.push_back(ToAnnouncementNews(record, now));
+    delta.announcements.push_back(ToAnnouncementUpdate(record, now));
   }
   if (record.suspected) {
-    delta.heartbeats.push_back(ToHeartbeatNews(record, now));
+    delta.heartbeats.push_back(ToHeartbeatUpdate(record, now));
   }
   for (const auto& [node, peer] : peers_.peers()) {
-    const bool live = now - peer.heard_at <= entry_window();
-    if (node != options_.self.node && live && DetailFor(peer.info.domain)) {
+    const bool live = now - peer.last_seen_at <= entry_window();
+    if (node != options_.self.node && live && HasDetailFor(peer.info.domain)) {
       actions->push_back(SendToPeer{peer.info.peer_address, delta});
     }
   }
 }
 
-bool Directory::DetailFor(const FailureDomain& domain) const {
+bool Directory::HasDetailFor(const FailureDomain& domain) const {
   return detail_everywhere_ || domain == options_.self.domain;
 }
 
 // The thresholds differ by a quarter, so that a deployment at the border does
 // not switch back and forth.
-void Directory::UpdateSizes(TimePoint now) {
+void Directory::UpdateScaling(TimePoint now) {
   std::map<FailureDomain, std::size_t> known;
   std::size_t own = 0;
   for (const auto& [target, record] : table_.records()) {
@@ -316,14 +322,16 @@
       static_cast<double>(detail_everywhere_ ? table_.records().size() : own);
   const Duration stretched = Duration(
       static_cast<Duration::rep>(1e6 * rows / options_.rows_per_second));
-  pace_.refresh = std::max(options_.refresh_at_least, stretched);
+  timing_.refresh_interval = std::max(options_.min_refresh_interval, stretched);
   const auto entries = static_cast<Duration::rep>(live_entries(now).size());
   const auto agents = static_cast<Duration::rep>(own);
-  round_ =
+  round_interval_ =
       std::max(options_.gossip_interval, options_.gossip_per_entry * entries);
-  heartbeat_ = std::max(options_.heartbeat_interval,
-                        options_.heartbeat_per_agent * agents / entries);
-  pace_.slack = (heartbeat_ - options_.heartbeat_interval) * kMissedHeartbeats;
+  heartbeat_interval_ =
+      std::max(options_.heartbeat_interval,
+               options_.heartbeat_per_agent * agents / entries);
+  timing_.heartbeat_slack =
+      (heartbeat_interval_ - options_.heartbeat_interval) * kMissedHeartbeats;
 }
 
 }  // namespace bilberryspool::membership
--- a/src/libs/membership/directory.h
+++ b/src/libs/membership/directory.h
@@ -57,7 +57,7 @@
   double cross_exchanges = 4;
   // Each target's load is passed on this often at most, and less often in
   // large domains: the bytes per node stay bounded instead.
-  Duration refresh_at_least = Seconds(1);
+  Duration min_refresh_interval = Seconds(1);
   double rows_per_second = 40;
   std::size_t row_limit = 400;  // of one message
   Duration summary_interval = Seconds(10);
@@ -67,8 +67,8 @@
   // Plus some rounds where they are stretched.
   Duration entry_silent_after = Seconds(4);
   Duration summary_silent_after = Seconds(40);
-  Duration forget_entry_after = Seconds(600);
-  Duration ramp = Seconds(10);  // of work, after a domain's return
+  Duration entry_retention = Seconds(600);
+  Duration ramp_duration = Seconds(10);  // of work, after a domain's return
   TargetTableOptions targets;
   DomainWatchOptions domains;
 };
@@ -102,7 +102,7 @@
   // Whether targets of other domains are known one by one.
   bool detail_everywhere() const { return detail_everywhere_; }
   // How often each target's load is passed on.
-  Duration refresh_interval() const { return pace_.refresh; }
+  Duration refresh_interval() const { return timing_.refresh_interval; }
 
  private:
   using Actions = std::vector<DirectoryAction>;
@@ -112,36 +112,42 @@
   void Apply(const HeartbeatReceived& event, TimePoint now, Actions* actions);
   void Apply(const PeerMessageReceived& event, TimePoint now, Actions* actions);
 
-  void Take(const GossipDigest& digest, TimePoint now, Actions* actions);
-  void Take(const GossipDelta& delta, TimePoint now, Actions* actions);
-  void MeetContacts(const DomainSummary& summary, TimePoint now);
-  void TakeDetail(const GossipDelta& delta, TimePoint now, Actions* actions);
-  void Take(const AnnouncementRequest& request, TimePoint now, Actions* out);
+  void HandleMessage(const GossipDigest& digest,
+                     TimePoint now,
+                     Actions* actions);
+  void HandleMessage(const GossipDelta& delta, TimePoint now, Actions* actions);
+  void AddContacts(const DomainSummary& summary, TimePoint now);
+  void MergeDetail(const GossipDelta& delta, TimePoint now, Actions* actions);
+  void HandleMessage(const AnnouncementRequest& request,
+                     TimePoint now,
+                     Actions* out);
 
   AnnounceReply MakeReply(const TargetId& target,
                           const Claim& claim,
                           TimePoint now) const;
-  void NoteConflict(const MergeResult& result,
-                    const Announcement& arrived,
-                    Actions* actions);
-  void JudgeAndReport(TargetRecord* record, TimePoint now, Actions* actions);
-  void PushNews(const TargetRecord& record,
-                bool announcement,
-                TimePoint now,
-                Actions* actions) const;
-
-  void UpdateSizes(TimePoint now);
-  void WatchDomains(TimePoint now, Actions* actions);
+  void ReportConflictOnce(const MergeResult& result,
+                          const Announcement& arrived,
+                          Actions* actions);
+  void UpdateAndReportLiveness(TargetRecord* record,
+                               TimePoint now,
+                               Actions* actions);
+  void PushUpdate(const TargetRecord& record,
+                  bool announcement,
+                  TimePoint now,
+                  Actions* actions) const;
+
+  void UpdateScaling(TimePoint now);
+  void UpdateDomains(TimePoint now, Actions* actions);
   DomainEvidence Evidence(const FailureDomain& domain, TimePoint now) const;
   void Gossip(TimePoint now, Actions* actions);
   void PublishSummary(TimePoint now);
   DomainSummary Summarize(TimePoint now) const;
-  std::vector<std::string> PickPartners(TimePoint now);
-  std::vector<std::string> ForeignAddresses(TimePoint now) const;
+  std::vector<std::string> SelectGossipPeers(TimePoint now);
+  std::vector<std::string> OtherDomainAddresses(TimePoint now) const;
   TargetView View(const TargetRecord& record, TimePoint now) const;
   GossipSources sources() const { return {&peers_, &table_, &summaries_}; }
   Duration entry_window() const;
-  bool DetailFor(const FailureDomain& domain) const;
+  bool HasDetailFor(const FailureDomain& domain) const;
 
   DirectoryOptions options_;
   Random random_;
@@ -152,9 +158,9 @@
   TimePoint next_tick_;
   TimePoint started_at_;
   bool started_ = false;
-  Pace pace_;
-  Duration round_;
-  Duration heartbeat_;
+  RefreshTiming timing_;
+  Duration round_interval_;
+  Duration heartbeat_interval_;
   bool detail_everywhere_ = true;
   std::set<std::pair<Claim, Claim>> reported_conflicts_;
 };
--- a/src/libs/membership/directory_rounds.cc
+++ b/src/libs/membership/directory_rounds.cc
@@ -12,9 +12,9 @@
 namespace {
 
 // Rounds within which an entry hears of each other one's latest news.
-constexpr Duration::rep kRounds = 8;
+constexpr Duration::rep kPropagationRounds = 8;
 // Share of work at the start of a ramp.
-constexpr double kLeastShare = 0.05;
+constexpr double kMinRampShare = 0.05;
 
 OfferReason ReasonOf(const TargetRecord& record, bool ramping) {
   if (record.announcement.state == TargetState::kLeaving) {
@@ -62,14 +62,16 @@
 // Share of work `elapsed` after the return of a domain. Targets start within
 // the first quarter of the ramp, spread by their ids, so that they do not all
 // take their first requests at once.
-double RampShare(const TargetId& target, Duration elapsed, Duration ramp) {
-  if (elapsed >= ramp) {
+double RampShare(const TargetId& target,
+                 Duration elapsed,
+                 Duration ramp_duration) {
+  if (elapsed >= ramp_duration) {
     return 1.0;
   }
   const double jitter =
       static_cast<double>(StableHash(target.value()) % 1000) / 4000.0;
-  const double progress = ToSeconds(elapsed) / ToSeconds(ramp);
-  return std::max(kLeastShare, (progress - jitter) / (1.0 - jitter));
+  const double progress = ToSeconds(elapsed) / ToSeconds(ramp_duration);
+  return std::max(kMinRampShare, (progress - jitter) / (1.0 - jitter));
 }
 
 }  // namespace
@@ -98,14 +100,15 @@
   view.announcement = &record.announcement;
   if (domain.reachable && domain.returned_at != TimePoint()) {
     view.share = RampShare(record.announcement.target, now - domain.returned_at,
-                           options_.ramp);
+                           options_.ramp_duration);
   }
   view.reason = ReasonOf(record, view.share < 1.0);
   view.offer = OfferFor(view.reason);
   view.load = record.load;
   view.load.age = now - record.load_at;
-  view.heard_age = now - record.heard_at;
-  view.heard_by = record.direct ? options_.self.node : record.beaten.origin;
+  view.last_seen_age = now - record.last_seen_at;
+  view.last_seen_by =
+      record.direct ? options_.self.node : record.heartbeat_stamp.origin;
   view.direct = record.direct;
   view.liveness = record.liveness;
   return view;
@@ -114,7 +117,7 @@
 // News of an entry take about log2(entries) rounds to reach the others.
 Duration Directory::entry_window() const {
   return options_.entry_silent_after +
-         kRounds * (round_ - options_.gossip_interval);
+         kPropagationRounds * (round_interval_ - options_.gossip_interval);
 }
 
 std::vector<EntryInfo> Directory::live_entries(TimePoint now) const {
@@ -134,7 +137,7 @@
   return found->second.summary.contacts;
 }
 
-void Directory::WatchDomains(TimePoint now, Actions* actions) {
+void Directory::UpdateDomains(TimePoint now, Actions* actions) {
   std::set<FailureDomain> domains;
   for (const auto& [target, record] : table_.records()) {
     domains.insert(record.announcement.domain);
@@ -159,23 +162,25 @@
       continue;
     }
     ++evidence.watched;
-    const Duration allowance = pace_.Allowance(record.direct);
-    if (now - record.heard_at > options_.targets.suspect_after + allowance) {
+    const Duration allowance = timing_.Allowance(record.direct);
+    if (now - record.last_seen_at >
+        options_.targets.suspect_after + allowance) {
       ++evidence.silent;
     }
   }
   if (domain == options_.self.domain) {
     return evidence;
   }
-  TimePoint heard = peers_.LastHeard(domain);
+  TimePoint last_seen = peers_.LastSeen(domain);
   Duration bound = entry_window();
   const auto summary = summaries_.rows().find(domain);
-  if (heard == TimePoint()) {
+  if (last_seen == TimePoint()) {
     bound = options_.summary_silent_after;
-    heard = summary == summaries_.rows().end() ? started_at_
-                                               : summary->second.computed_at;
+    last_seen = summary == summaries_.rows().end()
+                    ? started_at_
+                    : summary->second.computed_at;
   }
-  evidence.entries_silent = now - std::max(heard, started_at_) > bound;
+  evidence.entries_silent = now - std::max(last_seen, started_at_) > bound;
   return evidence;
 }
 
@@ -246,44 +251,45 @@
   for (const auto& [node, peer] : peers_.peers()) {
     domains[peer.info.peer_address] = peer.info.domain;
   }
-  for (const std::string& address : PickPartners(now)) {
+  for (const std::string& address : SelectGossipPeers(now)) {
     const auto known = domains.find(address);
-    const bool detail = known == domains.end() || DetailFor(known->second);
+    const bool detail = known == domains.end() || HasDetailFor(known->second);
     actions->push_back(SendToPeer{address, BuildDigest(sources(), detail)});
   }
 }
 
-std::vector<std::string> Directory::PickPartners(TimePoint now) {
-  std::vector<std::string> near;
+std::vector<std::string> Directory::SelectGossipPeers(TimePoint now) {
+  std::vector<std::string> detail_peers;
   for (const auto& [node, peer] : peers_.peers()) {
-    const bool live = now - peer.heard_at <= entry_window();
-    if (node != options_.self.node && live && DetailFor(peer.info.domain)) {
-      near.push_back(peer.info.peer_address);
+    const bool live = now - peer.last_seen_at <= entry_window();
+    if (node != options_.self.node && live && HasDetailFor(peer.info.domain)) {
+      detail_peers.push_back(peer.info.peer_address);
     }
   }
   // Without a peer of its own domain an entry would go on alone, however many
   // other domains it speaks to.
-  const bool alone = near.empty();
-  std::vector<std::string> partners;
-  if (!near.empty()) {
-    partners.push_back(near[random_.Below(near.size())]);
+  const bool is_isolated = detail_peers.empty();
+  std::vector<std::string> selected;
+  if (!detail_peers.empty()) {
+    selected.push_back(detail_peers[random_.Below(detail_peers.size())]);
   }
-  const std::vector<std::string> foreign = ForeignAddresses(now);
+  const std::vector<std::string> other_domains = OtherDomainAddresses(now);
   const double own = static_cast<double>(live_entries(now).size());
-  if (!foreign.empty() && random_.Chance(options_.cross_exchanges / own)) {
-    partners.push_back(foreign[random_.Below(foreign.size())]);
+  if (!other_domains.empty() &&
+      random_.Chance(options_.cross_exchanges / own)) {
+    selected.push_back(other_domains[random_.Below(other_domains.size())]);
   }
   if (!options_.seeds.empty() &&
-      (alone || random_.Chance(options_.seed_chance))) {
-    partners.push_back(options_.seeds[random_.Below(options_.seeds.size())]);
+      (is_isolated || random_.Chance(options_.seed_chance))) {
+    selected.push_back(options_.seeds[random_.Below(options_.seeds.size())]);
   }
-  std::erase(partners, options_.self.peer_address);
-  return partners;
+  std::erase(selected, options_.self.peer_address);
+  return selected;
 }
 
 // Addresses in other domains, also of entries that are silent: only by trying
 // is the end of a cut noticed.
-std::vector<std::string> Directory::ForeignAddresses(TimePoint now) const {
+std::vector<std::string> Directory::OtherDomainAddresses(TimePoint now) const {
   std::set<std::string> addresses;
   for (const auto& [domain, row] : summaries_.rows()) {
     if (domain == options_.self.domain) {
@@ -294,7 +300,7 @@
     }
   }
   for (const auto& [node, peer] : peers_.peers()) {
-    const bool silent = now - peer.heard_at > entry_window();
+    const bool silent = now - peer.last_seen_at > entry_window();
     if (peer.info.domain != options_.self.domain && silent) {
       addresses.insert(peer.info.peer_address);
     }
--- a/src/libs/membership/domain_watch.cc
+++ b/src/libs/membership/domain_watch.cc
@@ -7,7 +7,7 @@
     return true;
   }
   const double share = options_.silent_share;
-  return evidence.silent >= options_.least_silent &&
+  return evidence.silent >= options_.min_silent &&
          static_cast<double>(evidence.silent) >=
              share * static_cast<double>(evidence.watched);
 }
@@ -26,7 +26,7 @@
   } else if (!state.reachable) {
     const TimePoint since =
         partial_since_.try_emplace(domain, now).first->second;
-    silent = now - since < options_.partial_hold;
+    silent = now - since < options_.partial_return_timeout;
   }
   if (silent != state.reachable) {
     return false;
--- a/src/libs/membership/domain_watch.h
+++ b/src/libs/membership/domain_watch.h
@@ -12,11 +12,11 @@
 
 struct DomainWatchOptions {
   // A domain counts as cut off when this share of its targets, and at least
-  // `least_silent`, are silent at once.
+  // `min_silent`, are silent at once.
   double silent_share = 0.5;
-  std::size_t least_silent = 3;
+  std::size_t min_silent = 3;
   // After so long with some of the domain heard again, the rest is dead.
-  Duration partial_hold = Seconds(60);
+  Duration partial_return_timeout = Seconds(60);
 };
 
 struct DomainState {
--- a/src/libs/membership/flap_damper.h
+++ b/src/libs/membership/flap_damper.h
@@ -9,8 +9,8 @@
 
 struct FlapOptions {
   double penalty_per_return = 1.0;
-  double damp_above = 2.5;
-  double release_below = 1.0;
+  double suppress_threshold = 2.5;
+  double reuse_threshold = 1.0;
   Duration half_life = Seconds(30);
 };
 
@@ -27,7 +27,7 @@
 
  private:
   double penalty_ = 0;
-  TimePoint at_;
+  TimePoint updated_at_;
   bool damped_ = false;
 };
 
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -53,17 +53,17 @@
   std::vector<ServiceSummary> services;
 };
 
-struct AnnouncementNews {
+struct AnnouncementUpdate {
   Announcement announcement;
   Duration age{};  // since the target was heard
   Stamp stamp;
 };
 
-struct HeartbeatNews {
+struct HeartbeatUpdate {
   TargetId target;
   Claim claim;
   std::uint64_t sequence = 0;
-  std::uint64_t beat = 0;
+  std::uint64_t heartbeat_number = 0;
   Duration age{};  // since the agent was heard
   LoadReport load;
   bool suspected = false;  // the origin has since missed heartbeats
@@ -90,10 +90,11 @@
   bool complete = true;  // false where the size limit cut it short
   bool detail = true;
   std::vector<EntryInfo> entries;
-  std::vector<AnnouncementNews> announcements;
-  std::vector<HeartbeatNews> heartbeats;
+  std::vector<AnnouncementUpdate> announcements;
+  std::vector<HeartbeatUpdate> heartbeats;
   std::vector<DomainSummary> summaries;
-  std::vector<Stamp> reached;        // counters up to which this delta is whole
+  std::vector<Stamp>
+      complete_up_to;                // counters up to which this delta is whole
   std::vector<GossipDigest> answer;  // none or one
 };
 
--- a/src/libs/membership/gossip_builder.cc
+++ b/src/libs/membership/gossip_builder.cc
@@ -9,16 +9,18 @@
 namespace {
 
 // The rows of one origin that a receiver lacks.
-struct OriginNews {
-  std::vector<const TargetRecord*> announced;
-  std::vector<const TargetRecord*> beaten;
+struct OriginUpdates {
+  std::vector<const TargetRecord*> announcements;
+  std::vector<const TargetRecord*> heartbeats;
 
-  std::size_t size() const { return announced.size() + beaten.size(); }
+  std::size_t size() const { return announcements.size() + heartbeats.size(); }
 };
 
-using Known = std::map<NodeId, Stamp>;
+using KnownStamps = std::map<NodeId, Stamp>;
 
-bool Lacks(const Known& known, const PeerTable& peers, const Stamp& stamp) {
+bool IsMissing(const KnownStamps& known,
+               const PeerTable& peers,
+               const Stamp& stamp) {
   if (stamp.count == 0 || !peers.IsCurrent(stamp)) {
     return false;
   }
@@ -30,22 +32,23 @@
          found->second.count < stamp.count;
 }
 
-std::map<NodeId, OriginNews> Collect(const GossipSources& sources,
-                                     const Known& known) {
-  std::map<NodeId, OriginNews> news;
+std::map<NodeId, OriginUpdates> Collect(const GossipSources& sources,
+                                        const KnownStamps& known) {
+  std::map<NodeId, OriginUpdates> updates;
   for (const auto& [target, record] : sources.targets->records()) {
-    if (Lacks(known, *sources.peers, record.announced)) {
-      news[record.announced.origin].announced.push_back(&record);
+    if (IsMissing(known, *sources.peers, record.announcement_stamp)) {
+      updates[record.announcement_stamp.origin].announcements.push_back(
+          &record);
     }
-    if (Lacks(known, *sources.peers, record.beaten)) {
-      news[record.beaten.origin].beaten.push_back(&record);
+    if (IsMissing(known, *sources.peers, record.heartbeat_stamp)) {
+      updates[record.heartbeat_stamp.origin].heartbeats.push_back(&record);
     }
   }
-  return news;
+  return updates;
 }
 
 void AddEntries(const GossipSources& sources,
-                const Known& known,
+                const KnownStamps& known,
                 GossipDelta* delta) {
   for (const auto& [node, peer] : sources.peers->peers()) {
     const auto found = known.find(node);
@@ -56,31 +59,32 @@
   }
 }
 
-void AddNews(const GossipSources& sources,
-             const Known& known,
-             std::size_t row_limit,
-             TimePoint now,
-             GossipDelta* delta) {
-  std::map<NodeId, OriginNews> news = Collect(sources, known);
+void AddUpdates(const GossipSources& sources,
+                const KnownStamps& known,
+                std::size_t row_limit,
+                TimePoint now,
+                GossipDelta* delta) {
+  std::map<NodeId, OriginUpdates> updates = Collect(sources, known);
   std::size_t rows = 0;
   for (const auto& [node, peer] : sources.peers->peers()) {
-    const Stamp reached{node, peer.info.incarnation, peer.reached};
-    if (!Lacks(known, *sources.peers, reached)) {
+    const Stamp complete_up_to{node, peer.info.incarnation,
+                               peer.complete_up_to};
+    if (!IsMissing(known, *sources.peers, complete_up_to)) {
       continue;
     }
-    const OriginNews& origin = news[node];
+    const OriginUpdates& origin = updates[node];
     if (rows > 0 && rows + origin.size() > row_limit) {
       delta->complete = false;
       continue;
     }
     rows += origin.size();
-    for (const TargetRecord* record : origin.announced) {
-      delta->announcements.push_back(ToAnnouncementNews(*record, now));
+    for (const TargetRecord* record : origin.announcements) {
+      delta->announcements.push_back(ToAnnouncementUpdate(*record, now));
     }
-    for (const TargetRecord* record : origin.beaten) {
-      delta->heartbeats.push_back(ToHeartbeatNews(*record, now));
+    for (const TargetRecord* record : origin.heartbeats) {
+      delta->heartbeats.push_back(ToHeartbeatUpdate(*record, now));
     }
-    delta->reached.push_back(reached);
+    delta->complete_up_to.push_back(complete_up_to);
   }
 }
 
@@ -95,7 +99,7 @@
     return digest;
   }
   for (const auto& [node, peer] : sources.peers->peers()) {
-    digest.stamps.push_back({node, peer.info.incarnation, peer.reached});
+    digest.stamps.push_back({node, peer.info.incarnation, peer.complete_up_to});
   }
   return digest;
 }
@@ -108,35 +112,37 @@
   GossipDelta delta;
   delta.from = sources.peers->self().info;
   delta.detail = detail;
-  delta.summaries = sources.summaries->Above(digest.summaries, now);
+  delta.summaries = sources.summaries->NewerThan(digest.summaries, now);
   if (!detail) {
     return delta;
   }
-  Known known;
+  KnownStamps known;
   for (const Stamp& stamp : digest.stamps) {
     known[stamp.origin] = stamp;
   }
   AddEntries(sources, known, &delta);
-  AddNews(sources, known, row_limit, now, &delta);
+  AddUpdates(sources, known, row_limit, now, &delta);
   return delta;
 }
 
-AnnouncementNews ToAnnouncementNews(const TargetRecord& record, TimePoint now) {
-  return {record.announcement, now - record.heard_at, record.announced};
+AnnouncementUpdate ToAnnouncementUpdate(const TargetRecord& record,
+                                        TimePoint now) {
+  return {record.announcement, now - record.last_seen_at,
+          record.announcement_stamp};
 }
 
-HeartbeatNews ToHeartbeatNews(const TargetRecord& record, TimePoint now) {
-  HeartbeatNews news;
-  news.target = record.announcement.target;
-  news.claim = record.announcement.claim;
-  news.sequence = record.announcement.sequence;
-  news.beat = record.beat;
-  news.age = now - record.heard_at;
-  news.load = record.load;
-  news.load.age = record.heard_at - record.load_at;
-  news.suspected = record.suspected;
-  news.stamp = record.beaten;
-  return news;
+HeartbeatUpdate ToHeartbeatUpdate(const TargetRecord& record, TimePoint now) {
+  HeartbeatUpdate update;
+  update.target = record.announcement.target;
+  update.claim = record.announcement.claim;
+  update.sequence = record.announcement.sequence;
+  update.heartbeat_number = record.heartbeat_number;
+  update.age = now - record.last_seen_at;
+  update.load = record.load;
+  update.load.age = record.last_seen_at - record.load_at;
+  update.suspected = record.suspected;
+  update.stamp = record.heartbeat_stamp;
+  return update;
 }
 
 }  // namespace bilberryspool::membership
--- a/src/libs/membership/gossip_builder.h
+++ b/src/libs/membership/gossip_builder.h
@@ -31,8 +31,9 @@
                        std::size_t row_limit,
                        TimePoint now);
 
-AnnouncementNews ToAnnouncementNews(const TargetRecord& record, TimePoint now);
-HeartbeatNews ToHeartbeatNews(const TargetRecord& record, TimePoint now);
+AnnouncementUpdate ToAnnouncementUpdate(const TargetRecord& record,
+                                        TimePoint now);
+HeartbeatUpdate ToHeartbeatUpdate(const TargetRecord& record, TimePoint now);
 
 }  // namespace bilberryspool::membership
 
--- a/src/libs/membership/json_fields.h
+++ b/src/libs/membership/json_fields.h
@@ -30,20 +30,20 @@
 
 // A duration in microseconds; others travel in milliseconds.
 template <typename Span>
-struct Fine {
+struct InMicroseconds {
   Span* value;
 };
 template <typename Span>
-Fine(Span*) -> Fine<Span>;
+InMicroseconds(Span*) -> InMicroseconds<Span>;
 
 // An enumeration with values from 0 to `last`.
 template <typename Enum>
-struct Choice {
+struct EnumField {
   Enum* value;
   int last;
 };
 template <typename Enum>
-Choice(Enum*, int) -> Choice<Enum>;
+EnumField(Enum*, int) -> EnumField<Enum>;
 
 inline boost::json::value Encode(const std::string& text) {
   return boost::json::string(text);
@@ -65,11 +65,11 @@
   return static_cast<std::int64_t>(std::lround(*fraction.value * 1000.0));
 }
 template <typename Span>
-boost::json::value Encode(const Fine<Span>& span) {
+boost::json::value Encode(const InMicroseconds<Span>& span) {
   return span.value->count();
 }
 template <typename Enum>
-boost::json::value Encode(const Choice<Enum>& choice) {
+boost::json::value Encode(const EnumField<Enum>& choice) {
   return static_cast<int>(*choice.value);
 }
 template <typename Tag, typename Value>
@@ -137,13 +137,13 @@
   return true;
 }
 // Ages beyond a year are nonsense and would overflow in sums.
-inline constexpr Duration kLongest = Seconds(365LL * 24 * 3600);
+inline constexpr Duration kMaxSpan = Seconds(365LL * 24 * 3600);
 inline bool DecodeSpan(const boost::json::value& json,
                        Duration unit,
                        Duration* out) {
   std::uint64_t number = 0;
   if (!DecodeCount(json, &number) ||
-      number > static_cast<std::uint64_t>(kLongest / unit)) {
+      number > static_cast<std::uint64_t>(kMaxSpan / unit)) {
     return false;
   }
   *out = unit * static_cast<Duration::rep>(number);
@@ -152,7 +152,8 @@
 inline bool Decode(const boost::json::value& json, Duration* out) {
   return DecodeSpan(json, Milliseconds(1), out);
 }
-inline bool Decode(const boost::json::value& json, Fine<Duration>* out) {
+inline bool Decode(const boost::json::value& json,
+                   InMicroseconds<Duration>* out) {
   return DecodeSpan(json, Microseconds(1), out->value);
 }
 inline bool Decode(const boost::json::value& json, Thousandths<double>* out) {
@@ -164,7 +165,7 @@
   return true;
 }
 template <typename Enum>
-bool Decode(const boost::json::value& json, Choice<Enum>* out) {
+bool Decode(const boost::json::value& json, EnumField<Enum>* out) {
   std::uint64_t number = 0;
   if (!DecodeCount(json, &number) ||
       number > static_cast<std::uint64_t>(out->last)) {
--- a/src/libs/membership/membership_codec.cc
+++ b/src/libs/membership/membership_codec.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kDigest = "digest";
 constexpr std::string_view kDelta = "delta";
 constexpr std::string_view kRequest = "request";
-constexpr std::size_t kParts = 5;  // of a delta
+constexpr std::size_t kDeltaParts = 5;  // of a delta
 
 template <typename Struct>
 std::optional<Struct> FromJson(const boost::json::value& value) {
@@ -49,26 +49,26 @@
 };
 
 // Index of the origin and counter of each row, in the order of the rows.
-template <typename News>
-std::vector<std::uint64_t> StampColumn(const std::vector<News>& rows,
+template <typename Update>
+std::vector<std::uint64_t> StampColumn(const std::vector<Update>& rows,
                                        OriginTable* origins) {
   std::vector<std::uint64_t> column;
-  for (const News& row : rows) {
+  for (const Update& row : rows) {
     column.push_back(origins->IndexOf(row.stamp));
     column.push_back(row.stamp.count);
   }
   return column;
 }
 
-template <typename News>
+template <typename Update>
 bool RestoreStamps(const std::vector<std::uint64_t>& column,
                    const std::vector<Stamp>& origins,
-                   std::vector<News>* rows) {
+                   std::vector<Update>* rows) {
   if (column.size() != 2 * rows->size()) {
     return false;
   }
   std::size_t next = 0;
-  for (News& row : *rows) {
+  for (Update& row : *rows) {
     const std::uint64_t origin = column[next];
     if (origin >= origins.size()) {
       return false;
@@ -82,24 +82,25 @@
 
 boost::json::value DeltaToJson(const GossipDelta& delta) {
   OriginTable origins;
-  const auto announced = StampColumn(delta.announcements, &origins);
-  const auto beaten = StampColumn(delta.heartbeats, &origins);
-  return boost::json::array{
-      kDelta, internal::Encode(delta), internal::Encode(origins.origins()),
-      internal::Encode(announced), internal::Encode(beaten)};
+  const auto announcement_stamps = StampColumn(delta.announcements, &origins);
+  const auto heartbeat_stamps = StampColumn(delta.heartbeats, &origins);
+  return boost::json::array{kDelta, internal::Encode(delta),
+                            internal::Encode(origins.origins()),
+                            internal::Encode(announcement_stamps),
+                            internal::Encode(heartbeat_stamps)};
 }
 
 std::optional<PeerMessage> DeltaFromJson(const boost::json::array& array) {
   GossipDelta delta;
   std::vector<Stamp> origins;
-  std::vector<std::uint64_t> announced;
-  std::vector<std::uint64_t> beaten;
-  if (array.size() < kParts || !internal::Decode(array[1], &delta) ||
+  std::vector<std::uint64_t> announcement_stamps;
+  std::vector<std::uint64_t> heartbeat_stamps;
+  if (array.size() < kDeltaParts || !internal::Decode(array[1], &delta) ||
       !internal::Decode(array[2], &origins) ||
-      !internal::Decode(array[3], &announced) ||
-      !internal::Decode(array[4], &beaten) ||
-      !RestoreStamps(announced, origins, &delta.announcements) ||
-      !RestoreStamps(beaten, origins, &delta.heartbeats)) {
+      !internal::Decode(array[3], &announcement_stamps) ||
+      !internal::Decode(array[4], &heartbeat_stamps) ||
+      !RestoreStamps(announcement_stamps, origins, &delta.announcements) ||
+      !RestoreStamps(heartbeat_stamps, origins, &delta.heartbeats)) {
     return std::nullopt;
   }
   return delta;
--- a/src/libs/membership/message_fields.h
+++ b/src/libs/membership/message_fields.h
@@ -28,20 +28,21 @@
       std::tie(s.target, s.node, s.domain, s.address, s.services, s.models,
                s.adapters, s.roles, s.slots, s.claim, s.checks_fencing,
                s.sequence),
-      std::make_tuple(internal::Choice{&s.kind, 1},
-                      internal::Choice{&s.state, 3}));
+      std::make_tuple(internal::EnumField{&s.kind, 1},
+                      internal::EnumField{&s.state, 3}));
 }
 
 template <Is<LoadReport> Self>
 auto Fields(Self& s) {
-  return std::tuple_cat(std::tie(s.running, s.queued, s.limit, s.age),
-                        std::make_tuple(internal::Thousandths{&s.free_kv},
-                                        internal::Fine{&s.step_time}));
+  return std::tuple_cat(
+      std::tie(s.running, s.queued, s.limit, s.age),
+      std::make_tuple(internal::Thousandths{&s.free_kv},
+                      internal::InMicroseconds{&s.step_time}));
 }
 
 template <Is<Heartbeat> Self>
 auto Fields(Self& s) {
-  return std::tie(s.target, s.claim, s.sequence, s.beat, s.load,
+  return std::tie(s.target, s.claim, s.sequence, s.heartbeat_number, s.load,
                   s.entries_digest);
 }
 
@@ -78,15 +79,15 @@
 }
 
 // The stamps of news are written apart, since few origins stand for many rows.
-template <Is<AnnouncementNews> Self>
+template <Is<AnnouncementUpdate> Self>
 auto Fields(Self& s) {
   return std::tie(s.announcement, s.age);
 }
 
-template <Is<HeartbeatNews> Self>
+template <Is<HeartbeatUpdate> Self>
 auto Fields(Self& s) {
-  return std::tie(s.target, s.claim, s.sequence, s.beat, s.age, s.load,
-                  s.suspected);
+  return std::tie(s.target, s.claim, s.sequence, s.heartbeat_number, s.age,
+                  s.load, s.suspected);
 }
 
 template <Is<GossipDigest> Self>
@@ -97,7 +98,7 @@
 template <Is<GossipDelta> Self>
 auto Fields(Self& s) {
   return std::tie(s.from, s.complete, s.detail, s.entries, s.announcements,
-                  s.heartbeats, s.summaries, s.reached, s.answer);
+                  s.heartbeats, s.summaries, s.complete_up_to, s.answer);
 }
 
 template <Is<AnnouncementRequest> Self>
--- a/src/libs/membership/peer_table.cc
+++ b/src/libs/membership/peer_table.cc
@@ -21,7 +21,7 @@
   peer = Peer{info, 0, 0, now};
 }
 
-void PeerTable::NoteNewest(const Stamp& stamp, TimePoint now) {
+void PeerTable::RecordNewest(const Stamp& stamp, TimePoint now) {
   const auto found = peers_.find(stamp.origin);
   if (found == peers_.end() || stamp.origin == self_ ||
       found->second.info.incarnation != stamp.incarnation) {
@@ -29,30 +29,31 @@
   }
   if (stamp.count > found->second.newest) {
     found->second.newest = stamp.count;
-    found->second.heard_at = now;
+    found->second.last_seen_at = now;
   }
 }
 
-void PeerTable::NoteReached(const Stamp& stamp) {
+void PeerTable::RecordCompleteUpTo(const Stamp& stamp) {
   const auto found = peers_.find(stamp.origin);
   if (found == peers_.end() || stamp.origin == self_ ||
       found->second.info.incarnation != stamp.incarnation) {
     return;
   }
-  found->second.reached = std::max(found->second.reached, stamp.count);
+  found->second.complete_up_to =
+      std::max(found->second.complete_up_to, stamp.count);
 }
 
 Stamp PeerTable::NextStamp(TimePoint now) {
   Peer& self = peers_.at(self_);
   ++self.newest;
-  self.reached = self.newest;
-  self.heard_at = now;
+  self.complete_up_to = self.newest;
+  self.last_seen_at = now;
   return Stamp{self_, self.info.incarnation, self.newest};
 }
 
-void PeerTable::Forget(TimePoint now, Duration after) {
+void PeerTable::RemoveExpired(TimePoint now, Duration max_silence) {
   std::erase_if(peers_, [&](const auto& item) {
-    return item.first != self_ && now - item.second.heard_at > after;
+    return item.first != self_ && now - item.second.last_seen_at > max_silence;
   });
 }
 
@@ -70,18 +71,18 @@
     if (peer.info.domain != domain) {
       continue;
     }
-    if (node == self_ || now - peer.heard_at <= window) {
+    if (node == self_ || now - peer.last_seen_at <= window) {
       live.push_back(peer.info);
     }
   }
   return live;
 }
 
-TimePoint PeerTable::LastHeard(const FailureDomain& domain) const {
+TimePoint PeerTable::LastSeen(const FailureDomain& domain) const {
   TimePoint last;
   for (const auto& [node, peer] : peers_) {
     if (peer.info.domain == domain) {
-      last = std::max(last, peer.heard_at);
+      last = std::max(last, peer.last_seen_at);
     }
   }
   return last;
--- a/src/libs/membership/peer_table.h
+++ b/src/libs/membership/peer_table.h
@@ -14,9 +14,9 @@
 // One entry as another one sees it.
 struct Peer {
   EntryInfo info;
-  std::uint64_t reached = 0;  // all its news up to here have arrived
-  std::uint64_t newest = 0;   // the highest counter heard of
-  TimePoint heard_at;         // when `newest` last rose
+  std::uint64_t complete_up_to = 0;  // all its news up to here have arrived
+  std::uint64_t newest = 0;          // the highest counter heard of
+  TimePoint last_seen_at;            // when `newest` last rose
 };
 
 // The entries that this one knows, itself included. Its counters are the
@@ -28,13 +28,13 @@
   // Learns of an entry or of its restart; older incarnations are ignored.
   void Observe(const EntryInfo& info, TimePoint now);
   // Notes that an entry had reached `stamp`; ignored for unknown entries.
-  void NoteNewest(const Stamp& stamp, TimePoint now);
+  void RecordNewest(const Stamp& stamp, TimePoint now);
   // Notes that all news up to `stamp` have been taken in.
-  void NoteReached(const Stamp& stamp);
+  void RecordCompleteUpTo(const Stamp& stamp);
   // The next number for news that this entry is the first to hear.
   Stamp NextStamp(TimePoint now);
   // Drops entries that were silent for longer than `after`.
-  void Forget(TimePoint now, Duration after);
+  void RemoveExpired(TimePoint now, Duration max_silence);
   void KeepOnly(const FailureDomain& domain);
 
   const Peer& self() const { return peers_.at(self_); }
@@ -44,7 +44,7 @@
                               TimePoint now,
                               Duration window) const;
   // When any entry of `domain` was last heard.
-  TimePoint LastHeard(const FailureDomain& domain) const;
+  TimePoint LastSeen(const FailureDomain& domain) const;
   bool IsCurrent(const Stamp& stamp) const;
 
  private:
--- a/src/libs/membership/summary_table.cc
+++ b/src/libs/membership/summary_table.cc
@@ -25,22 +25,22 @@
   return found == rows_.end() ? 0 : found->second.summary.version;
 }
 
-std::vector<DomainSummary> SummaryTable::Above(
+std::vector<DomainSummary> SummaryTable::NewerThan(
     const std::vector<SummaryVersion>& known,
     TimePoint now) const {
   std::map<FailureDomain, std::uint64_t> versions;
   for (const SummaryVersion& row : known) {
     versions[row.domain] = row.version;
   }
-  std::vector<DomainSummary> above;
+  std::vector<DomainSummary> newer;
   for (const auto& [domain, row] : rows_) {
     if (row.summary.version <= versions[domain]) {
       continue;
     }
-    above.push_back(row.summary);
-    above.back().age = now - row.computed_at;
+    newer.push_back(row.summary);
+    newer.back().age = now - row.computed_at;
   }
-  return above;
+  return newer;
 }
 
 std::vector<SummaryVersion> SummaryTable::versions() const {
--- a/src/libs/membership/summary_table.h
+++ b/src/libs/membership/summary_table.h
@@ -25,8 +25,8 @@
 
   std::uint64_t Version(const FailureDomain& domain) const;
   // Those above the versions named in `known`, with their ages at `now`.
-  std::vector<DomainSummary> Above(const std::vector<SummaryVersion>& known,
-                                   TimePoint now) const;
+  std::vector<DomainSummary> NewerThan(const std::vector<SummaryVersion>& known,
+                                       TimePoint now) const;
   std::vector<SummaryVersion> versions() const;
   const std::map<FailureDomain, Row>& rows() const { return rows_; }
 
--- a/src/libs/membership/target_record.h
+++ b/src/libs/membership/target_record.h
@@ -15,27 +15,29 @@
 enum class Liveness { kAlive, kSuspect, kStale, kGone };
 
 // How rarely news of each target come in a domain of the present size.
-struct Pace {
-  Duration refresh{};  // between two accounts of a target by other entries
-  Duration slack{};    // that heartbeats may be late beyond the usual
+struct RefreshTiming {
+  Duration
+      refresh_interval{};  // between two accounts of a target by other entries
+  Duration heartbeat_slack{};  // that heartbeats may be late beyond the usual
 
   // What is granted beyond the timeouts before silence counts.
   Duration Allowance(bool direct) const {
-    return direct ? slack : slack + 2 * refresh;
+    return direct ? heartbeat_slack : heartbeat_slack + 2 * refresh_interval;
   }
 };
 
 // All that an entry knows of one target.
 struct TargetRecord {
   Announcement announcement;
-  Stamp announced;  // who first heard the description
-  std::uint64_t beat = 0;
+  Stamp announcement_stamp;  // who first heard the description
+  std::uint64_t heartbeat_number = 0;
   LoadReport load;
-  TimePoint load_at;    // when the load was measured, by this entry's time
-  TimePoint heard_at;   // when the agent was heard, by this entry's time
-  Stamp beaten;         // who first heard the newest heartbeat told on
-  TimePoint told_at;    // when that heartbeat was last numbered for the others
-  bool direct = false;  // the newest heartbeat came from the agent itself
+  TimePoint load_at;       // when the load was measured, by this entry's time
+  TimePoint last_seen_at;  // when the agent was heard, by this entry's time
+  Stamp heartbeat_stamp;   // who first heard the newest heartbeat told on
+  TimePoint heartbeat_stamped_at;  // when that heartbeat was last numbered for
+                                   // the others
+  bool direct = false;     // the newest heartbeat came from the agent itself
   bool suspected = false;  // whoever heard it last has missed heartbeats
   Liveness liveness = Liveness::kSuspect;  // until judged
   FlapDamper damper;
--- a/src/libs/membership/target_table.cc
+++ b/src/libs/membership/target_table.cc
@@ -7,7 +7,7 @@
 namespace bilberryspool::membership {
 namespace {
 
-bool SameProcess(const Announcement& one, const Announcement& other) {
+bool IsSameProcess(const Announcement& one, const Announcement& other) {
   return one.node == other.node && one.address == other.address;
 }
 
@@ -21,21 +21,23 @@
   TargetRecord& record = position->second;
   if (inserted) {
     record.announcement = announcement;
-    record.announced = stamp;
-    record.heard_at = now - age;
-    record.load_at = record.heard_at;
-    return {Merge::kNew, std::nullopt};
+    record.announcement_stamp = stamp;
+    record.last_seen_at = now - age;
+    record.load_at = record.last_seen_at;
+    return {MergeOutcome::kNew, std::nullopt};
   }
   const Announcement& known = record.announcement;
   const bool other_process =
-      announcement.claim != known.claim && !SameProcess(announcement, known);
+      announcement.claim != known.claim && !IsSameProcess(announcement, known);
   MergeResult result;
-  const bool left = known.claim == announcement.claim &&
-                    known.state == TargetState::kLeaving &&
-                    announcement.state != TargetState::kLeaving;
-  if (announcement.order() <= known.order() || left) {
-    result.merge =
-        announcement.order() == known.order() ? Merge::kSame : Merge::kOlder;
+  const bool reopens_after_leaving =
+      known.claim == announcement.claim &&
+      known.state == TargetState::kLeaving &&
+      announcement.state != TargetState::kLeaving;
+  if (announcement.order() <= known.order() || reopens_after_leaving) {
+    result.outcome = announcement.order() == known.order()
+                         ? MergeOutcome::kSame
+                         : MergeOutcome::kOlder;
 #if !defined(BILBERRYSPOOL_MUTATION_OLDER_ANNOUNCEMENT_WINS)
     if (other_process) {
       result.conflict = announcement;
@@ -43,93 +45,95 @@
     return result;
 #endif
   }
-  if (other_process && now - record.heard_at <= options_.suspect_after &&
+  if (other_process && now - record.last_seen_at <= options_.suspect_after &&
       known.state != TargetState::kLeaving) {
     result.conflict = known;
   }
   BILBERRYSPOOL_INVARIANT(announcement.order() >= known.order(),
                           "a target's description never goes back");
-  result.merge = Merge::kNewer;
+  result.outcome = MergeOutcome::kNewer;
   if (announcement.claim != known.claim) {
     record.damper.AddReturn(options_.flaps, now);
-    record.beat = 0;
-    record.heard_at = now - age;
+    record.heartbeat_number = 0;
+    record.last_seen_at = now - age;
     record.suspected = false;
   }
   record.announcement = announcement;
-  record.announced = stamp;
+  record.announcement_stamp = stamp;
   return result;
 }
 
-Merge TargetTable::MergeHeartbeat(const Heartbeat& heartbeat,
-                                  const std::optional<Stamp>& told,
-                                  TimePoint now) {
+MergeOutcome TargetTable::MergeHeartbeat(const Heartbeat& heartbeat,
+                                         const std::optional<Stamp>& new_stamp,
+                                         TimePoint now) {
   TargetRecord* record = Find(heartbeat.target);
   if (record == nullptr) {
-    return Merge::kNewer;
+    return MergeOutcome::kNewer;
   }
   const Announcement& known = record->announcement;
   if (heartbeat.claim < known.claim) {
-    return Merge::kOlder;
+    return MergeOutcome::kOlder;
   }
   if (heartbeat.claim > known.claim || heartbeat.sequence > known.sequence) {
-    return Merge::kNewer;
+    return MergeOutcome::kNewer;
   }
-  if (heartbeat.beat <= record->beat) {
-    return Merge::kSame;
+  if (heartbeat.heartbeat_number <= record->heartbeat_number) {
+    return MergeOutcome::kSame;
   }
-  record->beat = heartbeat.beat;
+  record->heartbeat_number = heartbeat.heartbeat_number;
   record->load = heartbeat.load;
   record->load_at = now - heartbeat.load.age;
-  record->heard_at = now;
+  record->last_seen_at = now;
   record->direct = true;
   record->suspected = false;
-  if (told) {
-    record->beaten = *told;
-    record->told_at = now;
+  if (new_stamp) {
+    record->heartbeat_stamp = *new_stamp;
+    record->heartbeat_stamped_at = now;
   }
-  return Merge::kSame;
+  return MergeOutcome::kSame;
 }
 
-Merge TargetTable::MergeNews(const HeartbeatNews& news, TimePoint now) {
-  TargetRecord* record = Find(news.target);
+MergeOutcome TargetTable::MergeHeartbeatUpdate(const HeartbeatUpdate& update,
+                                               TimePoint now) {
+  TargetRecord* record = Find(update.target);
   if (record == nullptr) {
     // Whoever was silent for so long is not worth asking for.
-    return news.age < options_.gone_after ? Merge::kNewer : Merge::kOlder;
+    return update.age < options_.gone_after ? MergeOutcome::kNewer
+                                            : MergeOutcome::kOlder;
   }
   const Announcement& known = record->announcement;
-  if (news.claim < known.claim) {
-    return Merge::kOlder;
+  if (update.claim < known.claim) {
+    return MergeOutcome::kOlder;
   }
-  if (news.claim > known.claim || news.sequence > known.sequence) {
-    return Merge::kNewer;
+  if (update.claim > known.claim || update.sequence > known.sequence) {
+    return MergeOutcome::kNewer;
   }
-  if (news.beat == record->beat) {
+  if (update.heartbeat_number == record->heartbeat_number) {
     record->suspected =
-        record->suspected || (news.suspected && !record->direct);
-    return Merge::kSame;
-  }
-  if (news.beat < record->beat) {
-    return Merge::kOlder;
-  }
-  record->beat = news.beat;
-  record->load = news.load;
-  record->load_at = now - news.age - news.load.age;
-  record->heard_at = std::max(record->heard_at, now - news.age);
-  record->beaten = news.stamp;
-  record->told_at = now;
+        record->suspected || (update.suspected && !record->direct);
+    return MergeOutcome::kSame;
+  }
+  if (update.heartbeat_number < record->heartbeat_number) {
+    return MergeOutcome::kOlder;
+  }
+  record->heartbeat_number = update.heartbeat_number;
+  record->load = update.load;
+  record->load_at = now - update.age - update.load.age;
+  record->last_seen_at = std::max(record->last_seen_at, now - update.age);
+  record->heartbeat_stamp = update.stamp;
+  record->heartbeat_stamped_at = now;
   record->direct = false;
-  record->suspected = news.suspected;
-  return Merge::kSame;
+  record->suspected = update.suspected;
+  return MergeOutcome::kSame;
 }
 
 Liveness TargetTable::Classify(const TargetRecord& record,
                                const DomainState& domain,
-                               const Pace& pace,
+                               const RefreshTiming& timing,
                                TimePoint now) const {
-  const TimePoint base = std::max(record.heard_at, domain.returned_at);
+  const TimePoint base = std::max(record.last_seen_at, domain.returned_at);
   const Duration silence = now - base;
-  const Duration allowance = pace.Allowance(record.direct);
+  const Duration allowance = timing.Allowance(record.direct);
 #if !defined(BILBERRYSPOOL_MUTATION_CUT_DOMAIN_IS_EVICTED)
   if (!domain.reachable) {
     return silence > options_.suspect_after ? Liveness::kStale
@@ -137,7 +141,8 @@
   }
 #endif
   if (silence > options_.gone_after + allowance ||
-      (record.suspected && silence > options_.gone_after + pace.slack)) {
+      (record.suspected &&
+       silence > options_.gone_after + timing.heartbeat_slack)) {
     return Liveness::kGone;
   }
   if (record.suspected || silence > options_.suspect_after + allowance) {
@@ -146,12 +151,12 @@
   return Liveness::kAlive;
 }
 
-bool TargetTable::Judge(TargetRecord* record,
-                        const DomainState& domain,
-                        const Pace& pace,
-                        TimePoint now) const {
+bool TargetTable::UpdateLiveness(TargetRecord* record,
+                                 const DomainState& domain,
+                                 const RefreshTiming& timing,
+                                 TimePoint now) const {
   const Liveness before = record->liveness;
-  record->liveness = Classify(*record, domain, pace, now);
+  record->liveness = Classify(*record, domain, timing, now);
   if (before == Liveness::kGone && record->liveness == Liveness::kAlive) {
     record->damper.AddReturn(options_.flaps, now);
   }
@@ -159,12 +164,12 @@
   return before != record->liveness;
 }
 
-void TargetTable::Forget(TimePoint now) {
+void TargetTable::RemoveExpired(TimePoint now) {
   std::erase_if(records_, [&](const auto& item) {
     const TargetRecord& record = item.second;
-    const bool over = record.liveness == Liveness::kGone ||
-                      record.announcement.state == TargetState::kLeaving;
-    return over && now - record.heard_at > options_.forget_after;
+    const bool is_finished = record.liveness == Liveness::kGone ||
+                             record.announcement.state == TargetState::kLeaving;
+    return is_finished && now - record.last_seen_at > options_.target_retention;
   });
 }
 
--- a/src/libs/membership/target_table.h
+++ b/src/libs/membership/target_table.h
@@ -16,14 +16,14 @@
   Duration gone_after = Seconds(8);
   // How long a target that left or is gone is remembered, so that late older
   // messages do not bring it back.
-  Duration forget_after = Seconds(300);
+  Duration target_retention = Seconds(300);
   FlapOptions flaps;
 };
 
-enum class Merge { kNew, kNewer, kSame, kOlder };
+enum class MergeOutcome { kNew, kNewer, kSame, kOlder };
 
 struct MergeResult {
-  Merge merge = Merge::kSame;
+  MergeOutcome outcome = MergeOutcome::kSame;
   // Another process that held the identity and was live: the loser's
   // description.
   std::optional<Announcement> conflict;
@@ -43,19 +43,20 @@
                                 TimePoint now);
   // Takes in a heartbeat that an agent sent to this entry itself. `told` is
   // the number under which the other entries hear of it, if they should now.
-  Merge MergeHeartbeat(const Heartbeat& heartbeat,
-                       const std::optional<Stamp>& told,
-                       TimePoint now);
+  MergeOutcome MergeHeartbeat(const Heartbeat& heartbeat,
+                              const std::optional<Stamp>& new_stamp,
+                              TimePoint now);
   // Takes in a heartbeat that another entry passed on. kNewer stands for a
   // description that is missing or outdated here.
-  Merge MergeNews(const HeartbeatNews& news, TimePoint now);
+  MergeOutcome MergeHeartbeatUpdate(const HeartbeatUpdate& update,
+                                    TimePoint now);
 
   // Judges the liveness of one target; true where it changed.
-  bool Judge(TargetRecord* record,
-             const DomainState& domain,
-             const Pace& pace,
-             TimePoint now) const;
-  void Forget(TimePoint now);
+  bool UpdateLiveness(TargetRecord* record,
+                      const DomainState& domain,
+                      const RefreshTiming& timing,
+                      TimePoint now) const;
+  void RemoveExpired(TimePoint now);
   void KeepOnly(const FailureDomain& domain);
 
   TargetRecord* Find(const TargetId& target);
@@ -65,7 +66,7 @@
  private:
   Liveness Classify(const TargetRecord& record,
                     const DomainState& domain,
-                    const Pace& pace,
+                    const RefreshTiming& timing,
                     TimePoint now) const;
 
   TargetTableOptions options_;
--- a/src/libs/membership/target_view.h
+++ b/src/libs/membership/target_view.h
@@ -33,10 +33,10 @@
   // Share of its usual work that it should get, 0 to 1; below 1 while its
   // domain ramps up.
   double share = 1.0;
-  LoadReport load;       // `age` counts up to the present
-  Duration heard_age{};  // since the agent was heard
-  NodeId heard_by;       // the entry that heard it; empty before the first
-  bool direct = false;   // heard by this entry itself
+  LoadReport load;           // `age` counts up to the present
+  Duration last_seen_age{};  // since the agent was heard
+  NodeId last_seen_by;       // the entry that heard it; empty before the first
+  bool direct = false;       // heard by this entry itself
   Liveness liveness = Liveness::kAlive;
 };
 
--- a/src/plugins/operators/explanations.cc
+++ b/src/plugins/operators/explanations.cc
@@ -36,12 +36,12 @@
 }
 
 void ExplainHearing(const TargetView& view, std::vector<std::string>& notes) {
-  const std::string by =
-      view.direct ? "this entry"
-                  : (view.heard_by.value().empty() ? std::string("nobody yet")
-                                                   : view.heard_by.value());
-  notes.push_back("last heard " + SecondsText(view.heard_age) + " ago, by " +
-                  by);
+  const std::string by = view.direct ? "this entry"
+                                     : (view.last_seen_by.value().empty()
+                                            ? std::string("nobody yet")
+                                            : view.last_seen_by.value());
+  notes.push_back("last heard " + SecondsText(view.last_seen_age) +
+                  " ago, by " + by);
   notes.push_back("load: " + std::to_string(view.load.running) + " running, " +
                   std::to_string(view.load.queued) + " queued of " +
                   std::to_string(view.announcement->slots) + " slots, " +
--- a/tests/auto/membership/codec_test.cc
+++ b/tests/auto/membership/codec_test.cc
@@ -19,12 +19,12 @@
   announcement.services = {ServiceId("s")};
   const Stamp stamp{NodeId("e"), Incarnation(3), 12};
   delta.announcements.push_back({announcement, Milliseconds(40), stamp});
-  HeartbeatNews news;
-  news.target = TargetId("t");
-  news.load = {3, 2, 0.25, Microseconds(34567), Milliseconds(120)};
-  news.stamp = {NodeId("f"), Incarnation(4), 13};
-  delta.heartbeats.push_back(news);
-  delta.reached.push_back(stamp);
+  HeartbeatUpdate update;
+  update.target = TargetId("t");
+  update.load = {3, 2, 0.25, Microseconds(34567), Milliseconds(120)};
+  update.stamp = {NodeId("f"), Incarnation(4), 13};
+  delta.heartbeats.push_back(update);
+  delta.complete_up_to.push_back(stamp);
   return delta;
 }
 
--- a/tests/auto/membership/directory_test.cc
+++ b/tests/auto/membership/directory_test.cc
@@ -32,7 +32,7 @@
   CHECK(entry.detail_everywhere());
   const auto view = entry.target(TargetId("d2/t0"), fleet.now());
   REQUIRE(view);
-  CHECK(view->heard_by.value().starts_with("d2/"));
+  CHECK(view->last_seen_by.value().starts_with("d2/"));
   CHECK(view->load.age < Seconds(4));
 }
 
--- a/tests/auto/membership/fake_fleet.cc
+++ b/tests/auto/membership/fake_fleet.cc
@@ -82,7 +82,7 @@
   }
   const int copies = random_.Chance(faults.duplicate) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    Schedule(now_ + random_.Between(faults.least_delay, faults.most_delay),
+    Schedule(now_ + random_.Between(faults.min_delay, faults.max_delay),
              deliver);
   }
 }
@@ -98,7 +98,7 @@
   now_ = end;
 }
 
-bool FakeFleet::IsFrozen(const std::string& address, Delivery again) {
+bool FakeFleet::DeferIfFrozen(const std::string& address, Delivery again) {
   const TimePoint until = frozen_until_[address];
   if (now_ >= until) {
     return false;
@@ -110,7 +110,7 @@
 void FakeFleet::TickEntry(const std::string& address,
                           std::uint64_t generation) {
   if (!entries_.contains(address) || generations_[address] != generation ||
-      IsFrozen(address, [=, this] { TickEntry(address, generation); })) {
+      DeferIfFrozen(address, [=, this] { TickEntry(address, generation); })) {
     return;
   }
   ToEntry(address, DirectoryTick{}, "");
@@ -121,7 +121,7 @@
 void FakeFleet::TickAgent(const std::string& address,
                           std::uint64_t generation) {
   if (!agents_.contains(address) || generations_[address] != generation ||
-      IsFrozen(address, [=, this] { TickAgent(address, generation); })) {
+      DeferIfFrozen(address, [=, this] { TickAgent(address, generation); })) {
     return;
   }
   ToAgent(address, LoadMeasured{{2, 1, 0.5, Milliseconds(30), {}}});
@@ -135,7 +135,7 @@
                         const std::string& from) {
   const auto found = entries_.find(entry);
   if (found == entries_.end() ||
-      IsFrozen(entry, [=, this] { ToEntry(entry, event, from); })) {
+      DeferIfFrozen(entry, [=, this] { ToEntry(entry, event, from); })) {
     return;
   }
   for (const DirectoryAction& action : found->second->Handle(event, now_)) {
@@ -166,7 +166,7 @@
 void FakeFleet::ToAgent(const std::string& agent, const AnnouncerEvent& event) {
   const auto found = agents_.find(agent);
   if (found == agents_.end() ||
-      IsFrozen(agent, [=, this] { ToAgent(agent, event); })) {
+      DeferIfFrozen(agent, [=, this] { ToAgent(agent, event); })) {
     return;
   }
   for (const AnnouncerAction& action : found->second->Handle(event, now_)) {
--- a/tests/auto/membership/fake_fleet.h
+++ b/tests/auto/membership/fake_fleet.h
@@ -21,8 +21,8 @@
 struct Faults {
   double loss = 0;
   double duplicate = 0;
-  Duration least_delay = Microseconds(200);
-  Duration most_delay = Milliseconds(2);
+  Duration min_delay = Microseconds(200);
+  Duration max_delay = Milliseconds(2);
 };
 
 class FakeFleet {
@@ -77,7 +77,7 @@
   void Schedule(TimePoint at, Delivery deliver);
   void TickEntry(const std::string& address, std::uint64_t generation);
   void TickAgent(const std::string& address, std::uint64_t generation);
-  bool IsFrozen(const std::string& address, Delivery again);
+  bool DeferIfFrozen(const std::string& address, Delivery again);
   void ToEntry(const std::string& entry,
                const DirectoryEvent& event,
                const std::string& from);
--- a/tests/auto/membership/membership_random_test.cc
+++ b/tests/auto/membership/membership_random_test.cc
@@ -8,9 +8,9 @@
 namespace bilberryspool::membership {
 namespace {
 
-int SeedCount(int usual) {
+int SeedCount(int default_count) {
   const char* seeds = std::getenv("BILBERRYSPOOL_SEEDS");
-  return seeds == nullptr ? usual : std::atoi(seeds);
+  return seeds == nullptr ? default_count : std::atoi(seeds);
 }
 
 constexpr int kDomains = 3;
@@ -53,12 +53,14 @@
 // Claims and sequences only rise at one entry as long as it lives.
 class OrderCheck {
  public:
-  void Look(FakeFleet* fleet) {
+  void CheckEntries(FakeFleet* fleet) {
     for (const std::string& address : fleet->entry_addresses()) {
       const Directory& entry = fleet->entry(address);
-      const Incarnation life = entry.peers().self().info.incarnation;
+      const Incarnation entry_incarnation =
+          entry.peers().self().info.incarnation;
       for (const TargetView& view : entry.targets(fleet->now())) {
-        auto& seen = seen_[{address, life, view.announcement->target}];
+        auto& seen =
+            seen_[{address, entry_incarnation, view.announcement->target}];
         CHECK(view.announcement->order() >= seen);
         seen = view.announcement->order();
       }
@@ -79,7 +81,7 @@
   for (int step = 0; step < 30; ++step) {
     InjectFault(&fleet);
     fleet.Run(fleet.random().Between(Milliseconds(100), Seconds(4)));
-    order.Look(&fleet);
+    order.CheckEntries(&fleet);
   }
   const std::string leaving = FakeFleet::Agent(0, 0);
   fleet.StartAgent(leaving, leaving, FakeFleet::Domain(0));
@@ -94,7 +96,7 @@
   fleet.Run(Seconds(25));
   fleet.SetState(leaving, TargetState::kLeaving);
   fleet.Run(Seconds(5));
-  order.Look(&fleet);
+  order.CheckEntries(&fleet);
   fleet.faults = {};
   fleet.Run(Seconds(30));
   for (const std::string& entry : fleet.entry_addresses()) {
--- a/tests/auto/operators/fake_operator_control.cc
+++ b/tests/auto/operators/fake_operator_control.cc
@@ -95,7 +95,7 @@
   heartbeat.target = announcement.target;
   heartbeat.claim = announcement.claim;
   heartbeat.sequence = 1;
-  heartbeat.beat = 1;
+  heartbeat.heartbeat_number = 1;
   heartbeat.load.running = 5;
   heartbeat.load.queued = 1;
   heartbeat.load.age = Milliseconds(300);
