--- a/src/libs/placement/bounded_plan.cc
+++ b/src/libs/placement/bounded_plan.cc
@@ -20,7 +20,7 @@
   return total;
 }
 
-// The work of one layer's plan.
+// Plans the changes of one layer.
 class LayerPlan {
  public:
   LayerPlan(const ExpertMap& map,
@@ -40,8 +40,8 @@
     return !is_stuck_ && imbalance_ > options_.target_imbalance;
   }
 
-  // The ranks that take in an expert by the best next move, each once for each
-  // expert; empty where there is no such move.
+  // Applies the best next move. Returns the ranks that get a new expert, once
+  // per expert; empty if no move improves the layer.
   std::vector<RankIndex> Improve() {
     std::vector<RankIndex> receivers;
     const auto move = search_.Improve();
@@ -63,13 +63,13 @@
     return receivers;
   }
 
-  // The rank takes in no more.
+  // Excludes the rank from further additions.
   void StopAdding(RankIndex rank) { ranks_[rank.value()].usable = false; }
 
   const std::vector<CopyChange>& changes() const { return changes_; }
 
  private:
-  // Before the search reads them; returns their sum.
+  // Sets the speeds, which the search reads on construction. Returns their sum.
   double SetSpeeds() {
     double sum = 0.0;
     for (std::size_t i = 0; i < ranks_.size(); ++i) {
@@ -131,8 +131,9 @@
   }
 }
 
-// The time that the group loses from the moment at which a change without
-// copies would be over, in steps of an even map.
+// Time that the group spends up to the horizon, in units of a balanced map's
+// time. It is counted from the moment at which a change without copies would be
+// complete.
 double TimeLossOf(const BoundedPlan& plan, const ChangeCosts& costs) {
   const double copy_seconds =
       ToSeconds(costs.copy_time) * plan.max_rank_fetches;
@@ -192,7 +193,7 @@
       costs.copy_time <= Duration::zero()
           ? options.new_experts_all_layers
           : static_cast<std::uint32_t>(costs.min_copy_time / costs.copy_time));
-  // What is so near to the aim gains little by more copies.
+  // This close to the target, more copies gain little.
   const double near_target = options.target_imbalance * costs.near_target;
   std::optional<BoundedPlan> best;
   for (std::uint32_t size = first;; size += first) {
--- a/src/libs/placement/counter_tracker.cc
+++ b/src/libs/placement/counter_tracker.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Of the same start of the engine, and not before `last`.
+// Returns whether `reading` comes from the same engine process as `last` and is
+// not older.
 bool IsLater(const CounterReading& reading, const CounterReading& last) {
   if (reading.step < last.step ||
       reading.counters.size() != last.counters.size()) {
--- a/src/libs/placement/counter_tracker.h
+++ b/src/libs/placement/counter_tracker.h
@@ -1,13 +1,12 @@
-// What the counters of one engine have grown by since an earlier reading.
+// Computes the increase of an engine's counters between two readings.
 //
-// Counters only grow, and all of them together are long; most of a reading is
-// the same as the last one. Whoever follows them therefore gives the growth
-// alone. The asker names the reading that it has by its mark, so that a growth
-// is never counted twice: an answer that was lost, doubled or late leaves the
-// asker with a mark that is not the last one given, and the growth in between
-// is left out.
+// Counters are cumulative and a full reading is large, while most of it equals
+// the previous one, so only the increase is returned. Each reading has a mark,
+// and the requester names the mark of the last reading that it received. If a
+// response was lost, duplicated or late, that mark is not the latest one and
+// the increase is dropped, so nothing is counted twice.
 //
-// Pure.
+// Performs no I/O; depends only on its inputs.
 
 #ifndef LIBS_PLACEMENT_COUNTER_TRACKER_H_
 #define LIBS_PLACEMENT_COUNTER_TRACKER_H_
@@ -20,18 +19,18 @@
 
 namespace bilberryspool::placement {
 
-// Names one reading; 0 names none.
+// Identifies a reading; 0 stands for none.
 using ReadingMark = StrongNumber<struct ReadingMarkTag>;
 
-// One rank's counters, by layer, then expert, at the step that it had begun.
+// Counters of one rank, by layer, then expert.
 struct CounterReading {
   std::vector<std::uint64_t> counters;
-  std::uint64_t step = 0;
-  // Requests that it runs.
+  std::uint64_t step = 0;  // step that the rank had begun
+  // Number of requests in progress.
   std::uint32_t requests = 0;
 };
 
-// Between two readings of one start of an engine.
+// Increase between two readings of the same engine process.
 struct CounterGrowth {
   std::uint64_t steps = 0;
   std::uint32_t requests = 0;
@@ -41,16 +40,16 @@
 
 class CounterTracker {
  public:
-  // `first` is drawn at the start of the process, so that marks given before a
-  // restart name no reading.
+  // `first` must be random for each process start, so that marks issued before
+  // a restart match no reading.
   explicit CounterTracker(ReadingMark first) : mark_(first) {}
 
-  // Takes a new reading and gives it the next mark. Returns the growth since
-  // the reading that `since` names; nothing where that is not the last one, or
-  // where the engine has started again.
+  // Stores a new reading under the next mark. Returns the increase since the
+  // reading marked `since`, or nothing if that is not the last reading or the
+  // engine was restarted in between.
   std::optional<CounterGrowth> Take(CounterReading reading, ReadingMark since);
 
-  // Of the last reading.
+  // Mark of the last reading.
   ReadingMark mark() const { return mark_; }
 
  private:
--- a/src/libs/placement/expert_loads.h
+++ b/src/libs/placement/expert_loads.h
@@ -8,7 +8,7 @@
 
 namespace bilberryspool::placement {
 
-// A number for each expert: tokens per second routed to it.
+// Load of each expert, in tokens per second routed to it.
 class ExpertLoads {
  public:
   ExpertLoads() = default;
--- a/src/libs/placement/expert_map.h
+++ b/src/libs/placement/expert_map.h
@@ -1,7 +1,7 @@
-// Where the experts of a model are: which ranks hold a copy of which expert.
+// Assignment of expert copies to ranks.
 //
-// Guards against ranks that disagree about a route: the map is one value, it
-// is versioned by libs/groups, and equal inputs give equal maps.
+// All ranks must route by the same map. It is therefore a single value, which
+// libs/groups versions, and equal inputs produce equal maps.
 
 #ifndef LIBS_PLACEMENT_EXPERT_MAP_H_
 #define LIBS_PLACEMENT_EXPERT_MAP_H_
@@ -17,7 +17,7 @@
 // Position of a layer in the model, from 0.
 using LayerIndex = StrongType<struct LayerIndexTag, std::uint32_t>;
 
-// One expert of one layer: the unit that is fetched, held and dropped.
+// One expert of one layer, the unit in which ranks load and drop weights.
 struct ExpertKey {
   LayerIndex layer;
   ExpertIndex expert;
@@ -25,15 +25,15 @@
   auto operator<=>(const ExpertKey&) const = default;
 };
 
-// The copies of each expert. Copyable; ranks of an expert are kept sorted.
+// Copies of each expert. Copyable; the ranks of an expert are sorted.
 class ExpertMap {
  public:
   ExpertMap() = default;
-  // An empty map: no expert has a copy yet.
+  // Creates a map without any copies.
   ExpertMap(std::uint32_t layers, std::uint32_t experts);
 
-  // Spreads the experts over the ranks in turn and fills the `slots` places
-  // that each rank has in each layer with further copies, each at another rank.
+  // Distributes the experts over the ranks in turn, then fills the `slots` that
+  // each rank has per layer with additional copies on other ranks.
   static ExpertMap RoundRobin(std::uint32_t layers,
                               std::uint32_t experts,
                               std::uint32_t ranks,
@@ -42,21 +42,22 @@
   std::uint32_t layers() const { return layers_; }
   std::uint32_t experts() const { return experts_; }
 
-  // Ranks with a copy of the expert, in rising order.
+  // Ranks with a copy of the expert, in ascending order.
   const std::vector<RankIndex>& holders(ExpertKey key) const;
-  // False for a key outside of the map: engines and orders may name any.
+  // Returns false for a key outside of the map, as keys from engines and orders
+  // are not validated.
   bool Holds(RankIndex rank, ExpertKey key) const;
-  // Adding a copy that is there, or removing one that is not, does nothing.
+  // Adding an existing copy or removing a missing one has no effect.
   void Add(ExpertKey key, RankIndex rank);
   void Remove(ExpertKey key, RankIndex rank);
 
   // All experts of a rank, ordered by layer, then expert.
   std::vector<ExpertKey> HeldBy(RankIndex rank) const;
-  // Experts of one layer at a rank, in rising order.
+  // Experts of one layer at a rank, in ascending order.
   std::vector<ExpertIndex> HeldBy(RankIndex rank, LayerIndex layer) const;
-  // The experts without any copy.
+  // Experts without any copy.
   std::vector<ExpertKey> Orphans() const;
-  // The same map with only the copies at `ranks` (sorted).
+  // Returns a map with only the copies at `ranks`, which must be sorted.
   ExpertMap RestrictedTo(const std::vector<RankIndex>& ranks) const;
 
   bool operator==(const ExpertMap&) const = default;
--- a/src/libs/placement/layer_packer.cc
+++ b/src/libs/placement/layer_packer.cc
@@ -56,7 +56,7 @@
     return std::find(ranks.begin(), ranks.end(), rank) != ranks.end();
   }
 
-  // Fewer copies than planned may have found a place, so times are summed anew.
+  // Recomputes the times, as fewer copies than planned may have been placed.
   PackedLayer Result() {
     PackedLayer result;
     std::vector<double> times(ranks_.size());
--- a/src/libs/placement/layer_search.cc
+++ b/src/libs/placement/layer_search.cc
@@ -5,14 +5,15 @@
 namespace bilberryspool::placement {
 namespace {
 
-// Ranks that are looked at as new homes. More changed little in
-// placement_bench and made a decision slower.
+// Number of destination ranks considered per move. More of them hardly improve
+// the result and make a decision slower (placement_bench).
 constexpr std::size_t kMaxDestinations = 6;
-// A move must lower the penalty by this share, or it chases noise.
+// Minimum relative decrease of the penalty; smaller gains are noise.
 constexpr double kMinGain = 0.002;
 
-// Stands in for the maximum: it falls also when one of two equally slow ranks
-// gets faster, so the search does not stop at ties.
+// A smooth approximation of the maximum: the sum over the ranks also decreases
+// if only one of two equally slow ranks improves, so the search does not stop
+// at ties.
 double SixteenthPower(double time) {
   const double square = time * time;
   const double fourth = square * square;
@@ -98,7 +99,8 @@
   return held_[rank.value()].size() < ranks_[rank.value()].slots;
 }
 
-// Adds the expert's share to the times of its ranks, or takes it away.
+// Adds the expert's share to the times of its ranks (`sign` 1) or subtracts it
+// (`sign` -1).
 void LayerSearch::AddWork(ExpertIndex expert, double sign) {
   const std::vector<RankIndex>& copies = copies_[expert.value()];
   if (copies.empty()) {
@@ -210,7 +212,8 @@
   }
 }
 
-// The score is the drop of the penalty per fetch.
+// Applies the changes tentatively and keeps them in `best` if their score, the
+// decrease of the penalty per fetch, is the highest so far.
 void LayerSearch::Consider(std::vector<CopyChange> changes,
                            std::optional<Candidate>& best) {
   const double before = penalty_;
@@ -223,7 +226,7 @@
     fetches += change->adds ? 1 : 0;
     Apply({change->key, change->rank, !change->adds});
   }
-  // Without this the rounding of each trial would add up.
+  // Restored exactly, as rounding errors of the trials would accumulate.
   penalty_ = before;
   const double drop = before - after;
   if (drop < before * kMinGain) {
--- a/src/libs/placement/layer_search.h
+++ b/src/libs/placement/layer_search.h
@@ -1,4 +1,4 @@
-// Greedy and bounded local search for a better placement of one layer.
+// Bounded greedy local search for a better placement of one layer.
 
 #ifndef LIBS_PLACEMENT_LAYER_SEARCH_H_
 #define LIBS_PLACEMENT_LAYER_SEARCH_H_
@@ -16,19 +16,19 @@
 
 struct RankCapacity {
   double speed = 1;         // work per second, relative to a healthy rank
-  std::uint32_t slots = 0;  // experts that it can hold in one layer
-  bool usable = true;       // false: gets no new copies
+  std::uint32_t slots = 0;  // maximum number of experts in one layer
+  bool usable = true;       // whether it may get new copies
 };
 
 using CopySet = std::set<std::pair<ExpertKey, RankIndex>>;
 
-// What operators demand of single copies.
+// Constraints that operators set on single copies.
 struct OperatorRules {
-  CopySet pinned;     // copies that must be there
-  CopySet forbidden;  // copies that must not be there
+  CopySet pinned;     // copies that must exist
+  CopySet forbidden;  // copies that must not exist
 };
 
-// One copy that comes or goes. Only a copy that comes costs a fetch.
+// Addition or removal of one copy. Only an addition costs a fetch.
 struct CopyChange {
   ExpertKey key;
   RankIndex rank;
@@ -37,7 +37,7 @@
   auto operator<=>(const CopyChange&) const = default;
 };
 
-// Changes that belong together; between moves every expert has a copy.
+// Changes that are applied together. Every expert has a copy after each move.
 struct Move {
   std::vector<CopyChange> changes;
   double layer_time_after = 0;
@@ -45,8 +45,9 @@
   std::uint32_t fetches() const;
 };
 
-// How a layer's work falls on the ranks. The work of an expert is split evenly
-// over its copies; a layer lasts as long as its slowest rank.
+// Models the distribution of a layer's work over the ranks and searches for
+// improvements. The work of an expert is divided evenly among its copies; a
+// layer takes as long as its slowest rank.
 class LayerSearch {
  public:
   // The arguments must outlive the search.
@@ -56,13 +57,15 @@
               const OperatorRules& rules,
               LayerIndex layer);
 
-  // Seconds of the slowest rank per second of load; 1 is a rank's full work.
+  // Seconds of work of the slowest rank per second of load; at 1 that rank is
+  // fully utilized.
   double layer_time() const;
   const std::vector<double>& rank_times() const { return times_; }
 
-  // The best single move that takes work from the slowest rank, applied.
+  // Applies and returns the best single move that takes work from the slowest
+  // rank; nothing if no move improves the layer.
   std::optional<Move> Improve();
-  // Moves that the operators' rules demand, applied.
+  // Applies and returns the moves that the operators' rules require.
   std::vector<Move> Enforce();
 
  private:
@@ -101,7 +104,7 @@
   std::vector<std::vector<ExpertIndex>> held_;  // by rank
   std::vector<double> times_;                   // by rank
   double ideal_time_ = 1;
-  // The penalties of `times_` and their sum, kept up as they change.
+  // Penalties of `times_` and their sum, updated incrementally.
   std::vector<double> penalties_;
   double penalty_ = 0;
 };
--- a/src/libs/placement/map_history.h
+++ b/src/libs/placement/map_history.h
@@ -1,4 +1,4 @@
-// The maps that were in force before, for an operator's undo.
+// Maps that were in force before the current one, for the operators' undo.
 
 #ifndef LIBS_PLACEMENT_MAP_HISTORY_H_
 #define LIBS_PLACEMENT_MAP_HISTORY_H_
@@ -11,11 +11,12 @@
 
 namespace bilberryspool::placement {
 
+// Stack of at most `capacity` previous maps.
 class MapHistory {
  public:
   explicit MapHistory(std::size_t capacity) : capacity_(capacity) {}
 
-  // To be called with the map in force before another one takes its place.
+  // Must be called with the current map before it is replaced.
   void Push(ExpertMap map) {
     maps_.push_back(std::move(map));
     if (maps_.size() > capacity_) {
@@ -23,8 +24,8 @@
     }
   }
 
-  // The map before the present one, which is then forgotten here: a second
-  // undo goes one further back. An undone map gets a new, higher version.
+  // Removes and returns the most recent previous map, so that a second undo
+  // goes one map further back. The caller gives the map a new, higher version.
   std::optional<ExpertMap> Undo() {
     if (maps_.empty()) {
       return std::nullopt;
--- a/src/libs/placement/map_repair.cc
+++ b/src/libs/placement/map_repair.cc
@@ -21,7 +21,8 @@
   return emptiest;
 }
 
-// Frees one slot in the layer by dropping the most copied expert's first copy.
+// Frees one slot in the layer by removing the first copy of the expert with the
+// most copies.
 std::optional<RankIndex> FreeOneSlot(ExpertMap& map, LayerIndex layer) {
   std::optional<ExpertKey> most_copied;
   std::size_t max_copies = 1;
--- a/src/libs/placement/map_repair.h
+++ b/src/libs/placement/map_repair.h
@@ -1,4 +1,4 @@
-// Gives experts that lost their last copy a new place.
+// Assigns experts that lost their last copy to new ranks.
 
 #ifndef LIBS_PLACEMENT_MAP_REPAIR_H_
 #define LIBS_PLACEMENT_MAP_REPAIR_H_
@@ -11,9 +11,10 @@
 
 namespace bilberryspool::placement {
 
-// `map` holds copies at `ranks` only. Each orphan goes to the rank with the
-// fewest experts of its layer; where all `slots` are taken, it takes the place
-// of an expert with more than one copy. Nothing where there is no room at all.
+// `map` must have copies at `ranks` only. Each expert without a copy goes to
+// the rank with the fewest experts of its layer. If all `slots` are in use, it
+// replaces a copy of an expert that has more than one. Returns nothing if there
+// is no room.
 std::optional<ExpertMap> RepairOrphans(ExpertMap map,
                                        const std::vector<RankIndex>& ranks,
                                        std::uint32_t slots);
--- a/src/libs/placement/pick_sums.h
+++ b/src/libs/placement/pick_sums.h
@@ -1,12 +1,12 @@
-// The work that several ranks' experts got, added up where it was read.
+// Sums the work of the experts over the ranks that a node reads.
 //
-// A leader that reads every rank of a large group itself spends the processor
-// time of its small VM on counts and is late for all else. So other nodes read
-// a part of the ranks each, and give one sum. A sum is handed out once: it is
-// named by a mark as single readings are, and what an asker may not have got is
-// left out rather than counted twice.
+// If the leader read every rank of a large group itself, processing the counts
+// would use up the CPU time of its small VM and delay everything else. Other
+// nodes therefore read a part of the ranks each and return one sum. Each sum is
+// returned once and identified by a mark like a single reading. A sum that the
+// requester may not have received is dropped rather than counted twice.
 //
-// Pure.
+// Performs no I/O; depends only on its inputs.
 
 #ifndef LIBS_PLACEMENT_PICK_SUMS_H_
 #define LIBS_PLACEMENT_PICK_SUMS_H_
@@ -21,20 +21,21 @@
 
 class PickSums {
  public:
-  // `counters` is how many experts all layers have together.
+  // `counters` is the total number of experts in all layers. `first` must be
+  // random for each process start, see CounterTracker.
   PickSums(PickWeightOptions work, std::size_t counters, ReadingMark first)
       : work_(work), counters_(counters), mark_(first) {}
 
-  // One rank's growth, weighed by the work behind it. One of another number of
-  // counters is left out.
+  // Adds the increase of one rank's counters, weighted by the work that it
+  // stands for. Ignored if the number of counters differs.
   void Add(const CounterGrowth& growth);
 
-  // The work by layer, then expert, since the sum that `since` names was taken;
-  // empty where that was not the last one, or where nothing came. The next sum
-  // begins.
+  // Returns the work by layer, then expert, since the sum marked `since`, and
+  // starts the next sum. Empty if that was not the last sum or if nothing was
+  // added.
   std::vector<double> Take(ReadingMark since);
 
-  // Of the last sum that was taken.
+  // Mark of the last sum returned.
   ReadingMark mark() const { return mark_; }
 
  private:
--- a/src/libs/placement/pick_weight_estimator.h
+++ b/src/libs/placement/pick_weight_estimator.h
@@ -1,15 +1,16 @@
-// Weighs what counters of expert picks tell by the work behind it.
+// Weights counts of expert picks (tokens routed to an expert) by the work that
+// they stand for.
 //
-// What can go wrong: engines count a pick of a prompt's token like one of a
-// token that is written, though a prompt is read many times faster: it makes
-// nine of ten counts and one seventh of the work. Taken as they are, the counts
-// stand for the few requests whose long prompts were read last. It shows in
-// imbalances of 1.6 to 2.0 right after maps that were planned for 1.25, and in
-// one change of map after the other while demand stays as it is; the copies
-// lengthen steps, and streams pause too long. Weighed by work, the counts stand
-// for all requests that run.
+// Engines count a pick by a prompt token like a pick by a generated token,
+// although prefill processes a token many times faster than decode: prefill
+// makes up nine tenths of the counts and one seventh of the work. Unweighted
+// counts represent the few requests whose long prompts were processed last.
+// The result is an imbalance of 1.6 to 2.0 right after maps planned for 1.25,
+// and frequent map changes under constant demand, whose copies lengthen steps
+// and make streams pause too long. Weighted counts represent all running
+// requests.
 //
-// Pure.
+// Performs no I/O; depends only on its inputs.
 
 #ifndef LIBS_PLACEMENT_PICK_WEIGHT_ESTIMATOR_H_
 #define LIBS_PLACEMENT_PICK_WEIGHT_ESTIMATOR_H_
@@ -21,34 +22,34 @@
 namespace bilberryspool::placement {
 
 struct PickWeightOptions {
-  // Work of reading one token of a prompt, in that of writing one.
+  // Work of processing one prompt token, relative to generating one token.
   double read_work = 1.0;
-  // Readings by which the picks of a request and step are judged, and the part
-  // of them, lowest first, that is taken for readings without a prompt: a rank
-  // reads prompts in about a third of its readings.
+  // Number of recent readings from which the decode picks per request and step
+  // are estimated, and the quantile used as the estimate. About a third of a
+  // rank's readings contain prefill, so a low quantile stands for decode only.
   std::size_t window = 64;
   double decode_only_quantile = 0.3;
-  // Fewer are no ground for a judgement.
+  // With fewer readings all picks get weight 1.
   std::size_t min_readings = 8;
-  // A reading that holds up to so many times the picks of what was written is
-  // taken for one without a prompt: how many requests there are is known with a
-  // lag.
+  // A reading with up to this multiple of the estimated decode picks counts as
+  // one without prefill, because the number of requests is known with a lag.
   double tolerance = 1.5;
 };
 
+// Estimates the share of prefill in the picks of each reading.
 class PickWeightEstimator {
  public:
   explicit PickWeightEstimator(PickWeightOptions options) : options_(options) {}
 
-  // The weight of each of the `picks` that a rank with `requests` made in
-  // `steps`, relative to a pick of a token that is written.
+  // Weight of each of the `picks` that a rank with `requests` in progress made
+  // in `steps`, relative to a pick by a generated token.
   double WeightOf(double picks, std::uint64_t steps, std::uint32_t requests);
 
  private:
   void AddSample(double picks_per_request);
 
   PickWeightOptions options_;
-  std::vector<double> samples_;  // picks of one request in one step; a ring
+  std::vector<double> samples_;  // picks per request and step; ring buffer
   std::size_t next_ = 0;
   double decode_picks_per_request_ = 0.0;
 };
--- a/src/libs/placement/placement_policy.cc
+++ b/src/libs/placement/placement_policy.cc
@@ -9,21 +9,21 @@
 namespace bilberryspool::placement {
 namespace {
 
-// How far behind a rank may be and still keep what it holds, see PackLayer.
+// Values of `tolerance` that are tried, see PackLayer.
 constexpr double kTolerances[] = {0.05, 0.2, 0.5};
 
-// The moves of one layer that are worth most together.
+// Moves of one layer that have the highest net value together.
 struct Bundle {
   LayerIndex layer;
   std::vector<Move> moves;
-  double time_gained = 0;  // of the layer, per second of load
+  double time_gained = 0;  // seconds of layer time per second of load
   std::uint32_t fetches = 0;
   bool mandatory = false;
 };
 
 struct Totals {
   double time = 0;   // of all layers
-  double ideal = 0;  // with the work divided evenly
+  double ideal = 0;  // with perfectly balanced work
 
   double skew() const { return time > 0 ? 1 - ideal / time : 0; }
 };
@@ -47,7 +47,8 @@
   return fetches;
 }
 
-// Weighed seconds that a gain in layer time is worth and fetches cost.
+// Net value, in weighted seconds, of a gain in layer time minus the cost of its
+// fetches.
 class MoveValue {
  public:
   MoveValue(const PlacementInput& input,
@@ -77,8 +78,8 @@
   double cost_;
 };
 
-// Searches on for a few moves and keeps the prefix that is worth most: a
-// single move may gain nothing before the next one.
+// Searches up to `max_moves_per_layer` moves and returns the prefix with the
+// highest net value, as a single move may only pay off with the next one.
 Bundle BestPrefix(LayerSearch& search,
                   LayerIndex layer,
                   const PlacementSettings& settings,
@@ -107,7 +108,7 @@
   return best;
 }
 
-// A layer packed anew, sparing what is held to several degrees.
+// Repacks the layer with each of kTolerances and returns the best result.
 Bundle BestRepack(const PlacementInput& input,
                   LayerIndex layer,
                   double time_before,
@@ -161,7 +162,7 @@
   return bundles;
 }
 
-// Demanded first, then by gain per fetch; equal ones by layer.
+// Sorts mandatory bundles first, then by gain per fetch, ties by layer.
 void SortBundles(std::vector<Bundle>& bundles) {
   std::stable_sort(bundles.begin(), bundles.end(),
                    [](const Bundle& one, const Bundle& other) {
@@ -246,7 +247,8 @@
 
 }  // namespace
 
-// Skew weighs more: instructions are due at a peak, and any stall is lateness.
+// A high skew weight, as answers are due at a peak and each delay of a step
+// makes them late.
 PlacementSettings PlacementSettings::LatencySensitive() {
   PlacementSettings settings;
   settings.skew_weight = 4;
--- a/src/libs/placement/popularity_estimator.cc
+++ b/src/libs/placement/popularity_estimator.cc
@@ -9,12 +9,13 @@
 
 constexpr Duration kDay = Seconds(86400);
 constexpr std::size_t kMaxTrackedNumbers = 256;
-// A shape learned from few counts must not blow a load up or wipe it out.
+// Limits of the factor applied to a load: a profile learned from few counts
+// must not inflate or eliminate it.
 constexpr double kMinRatio = 0.25;
 constexpr double kMaxRatio = 4;
-// How much of the older errors counts at each new bucket.
+// Weight of the previous errors at each new bucket.
 constexpr double kErrorDecay = 0.9;
-// Forecasts that are averaged over the time ahead.
+// Number of forecasts that ForecastOver() averages.
 constexpr int kForecastPoints = 3;
 
 double DecayFactor(Duration age, Duration half_life) {
@@ -33,7 +34,7 @@
   }
 }
 
-// Each expert's share of its layer.
+// Fraction of each expert in the load of its layer.
 ExpertLoads SharesOf(const ExpertLoads& loads) {
   ExpertLoads shares = loads;
   const std::size_t experts = loads.experts();
@@ -50,7 +51,7 @@
   return shares;
 }
 
-// Changes the loads as the shape changes between two times.
+// Scales the loads by the change of the profile from `before` to `after`.
 ExpertLoads ApplyProfileChange(ExpertLoads loads,
                                const std::vector<double>& before,
                                const std::vector<double>& after,
@@ -84,7 +85,7 @@
   if (!IsNew(source, report)) {
     return false;
   }
-  // Before the report is counted: it belongs to the next bucket already.
+  // Must precede counting the report, which already belongs to the next bucket.
   UpdateProfile(now);
   double weight = 1;
   if (report.until > source.latest) {
@@ -101,7 +102,8 @@
   return true;
 }
 
-// A restarted rank counts its reports anew; what it counted before stands.
+// A restarted rank numbers its reports from the start; its earlier counts are
+// kept.
 bool PopularityEstimator::IsNew(Source& source,
                                 const CountReport& report) const {
   if (source.tokens.values().empty()) {
@@ -143,8 +145,8 @@
   return static_cast<std::size_t>(of_day * options_.buckets / kDay.count());
 }
 
-// Takes the estimate into the shape once at the start of each bucket; it then
-// stands for the bucket that has just ended.
+// At the start of each bucket, merges the estimate into the profile of the
+// bucket that has just ended.
 void PopularityEstimator::UpdateProfile(TimePoint now) {
   const std::size_t bucket = BucketOf(now);
   if (!started_) {
@@ -167,8 +169,8 @@
   learned_bucket_ = bucket;
 }
 
-// Popularity need not follow the hours at all. Then the shape of other days
-// misleads, which shows as a larger error than that of expecting no change.
+// Popularity may not depend on the time of day. The profile of other days is
+// then misleading, and its prediction error exceeds the baseline of no change.
 void PopularityEstimator::EvaluateProfile(const ExpertLoads& shares,
                                           std::size_t bucket) {
   const std::size_t before = (bucket + options_.buckets - 1) % options_.buckets;
@@ -202,7 +204,7 @@
   return Microseconds(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-// A bucket holds what was estimated at its end.
+// A bucket holds the estimate at its end.
 std::vector<double> PopularityEstimator::ProfileAt(TimePoint time) const {
   const Duration length = kDay / options_.buckets;
   const std::size_t after = BucketOf(time);
@@ -220,9 +222,9 @@
   return profile;
 }
 
-// The estimate and the shape lag behind the loads alike, so what the shape
-// says a lag later is what the loads are then. Without this a change at the
-// hour would be followed late although it was foreseen.
+// The estimate and the profile lag behind the loads by the same time, so the
+// profile one lag after `at` stands for the loads at `at`. Without this offset,
+// a predicted change would be applied too late.
 ExpertLoads PopularityEstimator::Forecast(TimePoint now, TimePoint at) const {
   const std::vector<double> profile_now = ProfileAt(now);
   const std::vector<double> profile_then = ProfileAt(at + Lag());
--- a/src/libs/placement/popularity_estimator.h
+++ b/src/libs/placement/popularity_estimator.h
@@ -1,7 +1,8 @@
-// Estimates how much work each expert gets, now and at a later time of day.
+// Estimates the load of each expert, now and at a later time of day.
 //
-// Guards against acting on noise and on yesterday's news: counts come late,
-// out of order, twice and with gaps, and popularity follows the hours.
+// Smooths noise and tolerates reports that arrive late, out of order, twice or
+// with gaps. A profile learned from previous days accounts for popularity that
+// follows the time of day.
 
 #ifndef LIBS_PLACEMENT_POPULARITY_ESTIMATOR_H_
 #define LIBS_PLACEMENT_POPULARITY_ESTIMATOR_H_
@@ -19,20 +20,20 @@
 struct EstimatorOptions {
   std::uint32_t layers = 0;
   std::uint32_t experts = 0;
-  // After this long a count weighs half.
+  // Half-life of the weight of a count.
   Duration half_life = Seconds(300);
-  // Counts older than this are dropped.
+  // Reports older than this are dropped.
   Duration max_report_age = Seconds(3600);
-  // Time of day at the start of the time line.
+  // Time of day at the epoch of TimePoint.
   Duration day_offset{};
-  // Of the daily shape: a day is divided into this many buckets.
+  // Number of buckets into which the daily profile divides a day.
   std::uint32_t buckets = 48;
-  // Weight of a new day in the learned shape.
+  // Weight of a new day in the profile (exponential moving average).
   double day_weight = 0.5;
 };
 
-// Tokens routed to each expert between two times, as counted by one rank.
-// `number` rises with each report of one incarnation of the rank.
+// Tokens routed to each expert in a time interval, as counted by one rank.
+// `number` increases with each report of one incarnation of the rank.
 struct CountReport {
   RankIndex rank;
   Incarnation incarnation;
@@ -42,28 +43,30 @@
   ExpertLoads tokens;
 };
 
+// Exponentially decayed load estimate with a daily profile for forecasts.
 class PopularityEstimator {
  public:
   explicit PopularityEstimator(EstimatorOptions options);
 
-  // False where the report was seen before, is too old or has another shape.
+  // Adds a report. Returns false if it is a duplicate, too old or for another
+  // number of layers or experts.
   bool Observe(const CountReport& report, TimePoint now);
 
   // Tokens per second of each expert, summed over the ranks.
   ExpertLoads Estimate() const;
-  // The estimate with the change that earlier days showed between `now` and
-  // `at`, as far as that has foretold this day; the plain estimate before a
-  // day has been seen.
+  // Current estimate adjusted by the change that the profile shows between
+  // `now` and `at`, scaled by profile_confidence(). Equals Estimate() until the
+  // profile covers both times.
   ExpertLoads Forecast(TimePoint now, TimePoint at) const;
-  // The mean of forecasts over the time ahead.
+  // Mean of the forecasts over the time from `now` to `now + horizon`.
   ExpertLoads ForecastOver(TimePoint now, Duration horizon) const;
-  // How far the learned shape is followed: 0 not at all, 1 fully.
+  // Weight of the profile in forecasts, from 0 (ignored) to 1 (fully applied).
   double profile_confidence() const;
 
  private:
   struct Source {
     Incarnation incarnation;
-    std::set<std::uint64_t> numbers;  // recent ones
+    std::set<std::uint64_t> numbers;  // of recent reports
     ExpertLoads tokens;               // decayed
     double seconds = 0;               // decayed
     TimePoint latest;
@@ -73,20 +76,20 @@
   std::size_t BucketOf(TimePoint time) const;
   void UpdateProfile(TimePoint now);
   void EvaluateProfile(const ExpertLoads& shares, std::size_t bucket);
-  // The learned shape between the ends of two buckets; empty if unknown.
+  // Profile interpolated between the ends of two buckets; empty if unknown.
   std::vector<double> ProfileAt(TimePoint time) const;
-  // How old the counts in an estimate are on average.
+  // Mean age of the counts in an estimate.
   Duration Lag() const;
 
   EstimatorOptions options_;
   std::map<RankIndex, Source> sources_;
-  std::vector<ExpertLoads> profile_;  // by bucket: shares of a layer's work
+  std::vector<ExpertLoads> profile_;  // by bucket: fractions of a layer's load
   std::vector<bool> profile_known_;
   std::size_t learned_bucket_ = 0;
   bool started_ = false;
-  ExpertLoads last_shares_;  // at the end of the bucket before
-  // Smoothed errors of foretelling the next bucket by the shape, and by
-  // expecting no change.
+  ExpertLoads last_shares_;  // at the end of the previous bucket
+  // Smoothed errors of predicting the next bucket from the profile and, as the
+  // baseline, from no change.
   double profile_error_ = 0;
   double baseline_error_ = 0;
 };
--- a/src/libs/placement/recent_loads.cc
+++ b/src/libs/placement/recent_loads.cc
@@ -48,7 +48,8 @@
   return sum;
 }
 
-// 1 where nothing can be told yet.
+// Cosine similarity of the pending counts and the loads of the layer; 1 while
+// the loads have too few counts to compare.
 double RecentLoads::SimilarityOf(std::size_t layer) const {
   const std::vector<double>& known = loads_.values();
   double product = 0.0;
--- a/src/libs/placement/recent_loads.h
+++ b/src/libs/placement/recent_loads.h
@@ -1,4 +1,4 @@
-// The work of each expert lately, from what was added up at the ranks.
+// Recent load of each expert, from the sums of PickSums.
 
 #ifndef LIBS_PLACEMENT_RECENT_LOADS_H_
 #define LIBS_PLACEMENT_RECENT_LOADS_H_
@@ -14,30 +14,30 @@
 struct RecentLoadsOptions {
   std::uint32_t layers = 0;
   std::uint32_t experts = 0;
-  // After this long a count weighs half.
+  // Half-life of the weight of a count.
   Duration half_life = Milliseconds(1000);
-  // What is in demand may change from one step to the next. Where the latest
-  // counts of a layer are less alike than this to those before (the cosine of
-  // the angle between them), those before are forgotten: a mean of both would
-  // fit neither.
+  // Demand can change from one step to the next. If the cosine similarity of a
+  // layer's new counts and its previous loads is below this, the previous loads
+  // are discarded, because a mean of both would fit neither.
   double min_similarity = 0.93;
-  // Counts of a layer, of all ranks together, are gathered until there are this
-  // many, and then compared: of fewer, chance looks like a change of demand; of
-  // one rank's alone there are mostly fewer.
+  // Minimum number of counts of a layer, over all ranks, before they are
+  // compared and merged. With fewer counts, random variation looks like a
+  // change of demand; a single rank mostly has fewer.
   double min_counts = 2'000.0;
 };
 
-// Pure: work and `now` in, loads out.
+// Exponentially decayed loads that are reset when demand changes. Performs no
+// I/O; depends only on its inputs.
 class RecentLoads {
  public:
   explicit RecentLoads(RecentLoadsOptions options);
 
-  // Work of some ranks since the last call, by layer, then expert. Of another
-  // number of experts it is left out.
+  // Adds the work of some ranks since the last call, by layer, then expert.
+  // Ignored if the number of experts differs.
   void Add(const std::vector<double>& work, TimePoint now);
 
   const ExpertLoads& loads() const { return loads_; }
-  // Counts that the loads rest on, decayed.
+  // Decayed number of counts in the loads.
   double weight() const { return weight_; }
 
  private:
@@ -49,7 +49,7 @@
 
   RecentLoadsOptions options_;
   ExpertLoads loads_;
-  // Counts that are still too few to be compared, by layer, then expert.
+  // Counts not yet merged because there are too few, by layer, then expert.
   std::vector<double> pending_;
   double weight_ = 0.0;
   TimePoint decayed_at_;
--- a/tests/auto/placement/bounded_plan_test.cc
+++ b/tests/auto/placement/bounded_plan_test.cc
@@ -24,7 +24,8 @@
   return map;
 }
 
-// One expert of each layer has a fifth of the work, the rest falls off.
+// Loads proportional to 1/n; the first expert of each layer has a fifth of the
+// total.
 ExpertLoads Skewed(std::uint64_t seed) {
   Random random(seed);
   ExpertLoads loads(kLayers, kExperts);
@@ -47,7 +48,7 @@
   return options;
 }
 
-TEST_CASE("a plan keeps the engines' bounds and gains") {
+TEST_CASE("a plan respects the engines' limits and improves the map") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     const ExpertMap before = RoundRobinMap();
@@ -77,13 +78,13 @@
   }
 }
 
-// Symptom: after a shift of demand the group is slow for as long as all copies
-// take. Cause: a change was as large as a rank may copy, though the first copy
-// of each hot expert brings most of the gain.
-TEST_CASE("a change is as large as the time of its copies is worth") {
+// After a shift of demand the group was slow until all copies were complete,
+// because a change was as large as a rank may copy, although the first copy of
+// each hot expert brings most of the gain.
+TEST_CASE("the size of a change depends on the time that its copies take") {
   struct Case {
     std::int64_t copy_ms;
-    std::uint32_t max_fetches;  // copies to a rank
+    std::uint32_t max_fetches;  // copies per rank
   };
   for (const Case& item : {Case{300, 1}, {110, 1}, {50, 2}, {16, 7}, {0, 3}}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -101,7 +102,7 @@
   }
 }
 
-TEST_CASE("larger changes are taken where they lose less time") {
+TEST_CASE("larger changes are chosen if they lose less time") {
   ChangeCosts costs;
   costs.copy_time = Milliseconds(110);
   costs.horizon = Seconds(20);
@@ -114,7 +115,7 @@
   CHECK(long_horizon.imbalance_after < short_horizon.imbalance_after);
 }
 
-TEST_CASE("several changes bring a layer near to even, then nothing moves") {
+TEST_CASE("several changes bring the layers close to balance") {
   ExpertMap map = RoundRobinMap();
   const ExpertLoads loads = Skewed(3);
   double imbalance = 0.0;
@@ -126,8 +127,8 @@
   CHECK(imbalance < 1.15);
 }
 
-// Symptom: one rank that runs slower holds its whole group. Cause: it had as
-// much of the experts' work as the others.
+// A rank that runs slower delayed its whole group, because it got as much of
+// the experts' work as the others.
 TEST_CASE("a slow rank gets less of the work") {
   BoundedPlanOptions options = MakeOptions();
   options.speeds.assign(kRanks, 1.0);
@@ -152,9 +153,9 @@
   return options;
 }
 
-// Symptom: after what is in demand has changed, the map fits neither before nor
-// after. Cause: the loads were a mean over both.
-TEST_CASE("a change of demand ends the memory of what was before") {
+// After a change of demand the map fitted neither the old nor the new demand,
+// because the loads were a mean of both.
+TEST_CASE("a change of demand discards the previous loads") {
   ObservedLoads recent(SmallOptions(), {});
   const RankIndex rank(0);
   const TimePoint start = TimeAt(Seconds(10));
@@ -166,11 +167,11 @@
   CHECK(recent.loads().values()[1] == doctest::Approx(49'000.0));
 }
 
-// Symptom: one shift of demand in eight is followed half a second late.
-// Sequence: each reading of a rank that serves few requests holds too few
-// counts to be compared, and is mixed into the loads from before the shift.
-// Cause: readings were compared one by one.
-TEST_CASE("readings that are too small alone are compared together") {
+// One shift of demand in eight was followed half a second late: readings were
+// compared one by one, and a reading of a rank that serves few requests has too
+// few counts to be compared, so it was merged into the loads from before the
+// shift.
+TEST_CASE("readings with too few counts are compared together") {
   ObservedLoads recent(SmallOptions(), {});
   const TimePoint start = TimeAt(Seconds(10));
   constexpr std::uint64_t kSmall = 700;
@@ -185,7 +186,7 @@
   CHECK(recent.loads().values()[1] == doctest::Approx(3.0 * kSmall));
 }
 
-TEST_CASE("a restarted rank and work of another size change nothing") {
+TEST_CASE("a restarted rank and work of another size are ignored") {
   ObservedLoads recent(SmallOptions(), {});
   const RankIndex rank(0);
   const TimePoint start = TimeAt(Seconds(10));
--- a/tests/auto/placement/counter_tracker_test.cc
+++ b/tests/auto/placement/counter_tracker_test.cc
@@ -19,7 +19,7 @@
   return growth.has_value() ? growth->picks : std::vector<std::uint32_t>();
 }
 
-TEST_CASE("a growth is told only from the last reading of one start") {
+TEST_CASE("an increase is returned only since the last reading of a process") {
   struct Row {
     const char* name;
     CounterReading reading;
@@ -28,12 +28,12 @@
   };
   const CounterReading before{{10, 20}, 5, 3};
   const Row rows[] = {
-      {"grown", {{12, 25}, 6, 3}, true, {2, 5}},
+      {"increased", {{12, 25}, 6, 3}, true, {2, 5}},
       {"idle", {{10, 20}, 5, 0}, true, {0, 0}},
-      {"asked for by another mark", {{12, 25}, 6, 3}, false, {}},
-      {"of an earlier step", {{12, 25}, 4, 3}, true, {}},
-      {"started again", {{11, 3}, 9, 3}, true, {}},
-      {"of another size", {{12, 25, 1}, 6, 3}, true, {}},
+      {"requested with another mark", {{12, 25}, 6, 3}, false, {}},
+      {"from an earlier step", {{12, 25}, 4, 3}, true, {}},
+      {"engine restarted", {{11, 3}, 9, 3}, true, {}},
+      {"with another number of counters", {{12, 25, 1}, 6, 3}, true, {}},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -44,7 +44,7 @@
     const auto growth =
         tracker.Take(row.reading, row.names_last ? last : kFirst);
     CHECK(PicksOf(growth) == row.picks);
-    // Whatever it was, the next growth counts from there.
+    // In all cases the next increase is relative to this reading.
     CounterReading next = row.reading;
     next.counters.front() += 7;
     const auto then = tracker.Take(next, tracker.mark());
@@ -53,9 +53,9 @@
   }
 }
 
-// One engine, the node that reads it, and the leader that asks that node. Each
-// answer may be lost, doubled, late or overtaken; each of the three may start
-// again or be replaced.
+// One engine, the node that reads it, and the leader that polls that node. Each
+// answer may be lost, duplicated, late or reordered; each of the three may
+// restart or be replaced.
 class CounterSimulation {
  public:
   explicit CounterSimulation(std::uint64_t seed) : random_(seed) {}
@@ -67,7 +67,7 @@
     engine_.requests = 1;
     made_ += static_cast<double>(picks);
     if (random_.Chance(0.02)) {
-      engine_ = {{0}, 0, 0};  // the engine starts again
+      engine_ = {{0}, 0, 0};  // the engine restarts
     }
     if (random_.Chance(0.02)) {
       tracker_ = CounterTracker(Draw());
@@ -106,15 +106,15 @@
     }
   }
 
-  // A call is answered once, so an answer that comes after the leader has
-  // asked anew belongs to a call that it gave up, and is not looked at.
+  // A call is answered once, so an answer that arrives after the leader has
+  // polled again belongs to an abandoned call and is ignored.
   void PollReader() {
     auto work = sums_.Take(leader_mark_);
     if (random_.Chance(0.15)) {
       return;  // lost, or late
     }
     if (random_.Chance(0.1)) {
-      sums_.Take(leader_mark_);  // the question came twice
+      sums_.Take(leader_mark_);  // the request was duplicated
     }
     leader_mark_ = sums_.mark();
     counted_ += std::accumulate(work.begin(), work.end(), 0.0);
@@ -130,10 +130,10 @@
   double counted_ = 0.0;
 };
 
-// Symptom: a few experts seem to be in demand, and a map is made for them.
-// Sequence: an answer with counts is lost or late; the asker asks again. Cause:
-// the same counts were given, and added, a second time.
-TEST_CASE("nothing is counted twice, whatever becomes of the answers") {
+// A few experts seemed to be in demand and a map was planned for them: when an
+// answer with counts was lost or late and the requester asked again, the same
+// counts were returned and added a second time.
+TEST_CASE("lost, late and duplicated answers never count anything twice") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     CounterSimulation simulation(seed);
@@ -141,17 +141,17 @@
       const double made = simulation.made();
       const double counted = simulation.counted();
       simulation.Step();
-      // Never ahead of what there was.
+      // The counted sum never exceeds the actual one.
       CHECK(simulation.counted() <= simulation.made());
       CHECK(simulation.counted() >= counted);
       CHECK(simulation.made() >= made);
     }
-    // Most answers arrive, and theirs is counted.
+    // Most answers arrive and are counted.
     CHECK(simulation.counted() > 0.4 * simulation.made());
   }
 }
 
-TEST_CASE("a sum is given once, and a stray growth leaves it whole") {
+TEST_CASE("a sum is returned once and ignores readings of another size") {
   PickSums sums({}, 2, kFirst);
   sums.Add({1, 1, {1, 2, 3}});
   sums.Add({1, 1, {4, 5}});
--- a/tests/auto/placement/estimator_test.cc
+++ b/tests/auto/placement/estimator_test.cc
@@ -24,7 +24,7 @@
   return options;
 }
 
-TEST_CASE("late, doubled and missing counts do not bend the estimate") {
+TEST_CASE("late, duplicate and missing reports do not bias the estimate") {
   PopularityEstimator estimator(Options());
   for (std::uint64_t i = 0; i < 60; ++i) {
     const std::uint64_t swapped = i ^ 1U;
@@ -42,7 +42,7 @@
   CHECK(estimator.Estimate().values()[1] == doctest::Approx(1));
 }
 
-TEST_CASE("reports that can't be right are dropped") {
+TEST_CASE("invalid reports are dropped") {
   PopularityEstimator estimator(Options());
   const TimePoint now = TimeAt(Seconds(10000));
   CHECK_FALSE(estimator.Observe(Report(1, now, 1), now));
@@ -52,7 +52,7 @@
   CHECK_FALSE(estimator.Observe(other_shape, now));
 }
 
-TEST_CASE("the evening is foreseen after it has been seen") {
+TEST_CASE("the forecast follows the daily profile of previous days") {
   PopularityEstimator estimator(Options());
   std::uint64_t number = 0;
   const auto rate_at = [](Duration of_day) {
@@ -72,10 +72,10 @@
   CHECK(ahead > 1.5 * here);
 }
 
-// Symptom: a healthy rank is drained of its experts again and again.
-// Sequence: its experts are popular, so it ends each step last.
-// Cause: time alone was taken as a sign of slowness, not time for its work.
-TEST_CASE("a rank with popular experts is not called slow") {
+// Experts were moved away from a healthy rank again and again: its experts are
+// popular, so it finishes each step last, and its time was compared without
+// regard to its work.
+TEST_CASE("a rank with popular experts is not classified as slow") {
   SpeedOptions options;
   options.ranks = 4;
   SpeedEstimator speeds(options);
--- a/tests/auto/placement/observed_loads.h
+++ b/tests/auto/placement/observed_loads.h
@@ -1,5 +1,5 @@
-// Loads as a leader learns them of ranks that one node reads: each rank's
-// counters followed, added up, and taken at once.
+// Loads as a leader computes them for ranks that a single node reads: the
+// counters of each rank are tracked, summed and merged at once.
 
 #ifndef AUTO_PLACEMENT_OBSERVED_LOADS_H_
 #define AUTO_PLACEMENT_OBSERVED_LOADS_H_
--- a/tests/auto/placement/pick_weight_estimator_test.cc
+++ b/tests/auto/placement/pick_weight_estimator_test.cc
@@ -23,8 +23,8 @@
 constexpr Duration kStep = Milliseconds(50);
 constexpr double kArrivalsPerStep = 4.2;
 
-// Requests are about topics; each topic asks for experts of its own, and each
-// request for some more than others of its topic do.
+// Simulated demand. Each request belongs to a topic, which determines half of
+// its distribution over the experts; the other half is its own.
 class Demand {
  public:
   explicit Demand(std::uint64_t seed)
@@ -59,7 +59,7 @@
     return {counters_[rank], step_, requests};
   }
 
-  // What the requests that run ask for, each alike.
+  // Demand of the running requests, with equal weight per request.
   ExpertLoads Truth() const {
     ExpertLoads loads(kLayers, kExperts);
     for (const Request& request : running_) {
@@ -103,7 +103,7 @@
     for (std::size_t i = 0; i < own.size(); ++i) {
       request.shares[i] = (request.shares[i] + own[i]) / 2.0;
     }
-    // Few prompts are long, and they hold most of the tokens.
+    // A few long prompts contain most of the tokens.
     const double length = 200.0 * std::exp(2.6 * random_.Fraction());
     Count(request.rank, request.shares, length);
     running_.push_back(std::move(request));
@@ -126,8 +126,8 @@
   std::vector<std::vector<double>> read_;
 };
 
-// How far the loads are from what runs: the sum of differences of shares, on
-// the mean over time.
+// Error of the estimated loads: the sum of the absolute differences of the
+// experts' shares from the true ones, averaged over time.
 double ErrorOf(bool weighs_work, std::uint64_t seed) {
   RecentLoadsOptions options;
   options.layers = kLayers;
@@ -165,12 +165,12 @@
   return sum / sampled_steps;
 }
 
-// Symptom: maps are changed several times a second while demand stays as it is,
-// and leave an imbalance far above the planned one. Sequence: prompts of a few
-// requests are read and fill nine of ten counts; the map is made for them; a
-// moment later others are read. Cause: picks were counted alike, though those
-// of a prompt stand for little work.
-TEST_CASE("the loads stand for all requests that run") {
+// Maps changed several times per second under constant demand and left an
+// imbalance far above the planned one. The prompts of a few requests made up
+// nine tenths of the counts, so the map was planned for them, and a moment
+// later other prompts were processed. Picks had equal weight, although a pick
+// by a prompt token stands for little work.
+TEST_CASE("the loads represent all running requests") {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     CAPTURE(seed);
     const double by_count = ErrorOf(false, seed);
@@ -181,7 +181,7 @@
   }
 }
 
-TEST_CASE("readings with prompts weigh less, others as they are") {
+TEST_CASE("only the picks of readings with prompts get a lower weight") {
   PickWeightOptions options;
   options.read_work = 0.02;
   PickWeightEstimator work(options);
@@ -193,18 +193,18 @@
     std::uint32_t requests;
     double weight;
   };
-  // Too few readings to judge by.
+  // Too few readings for an estimate.
   CHECK(work.WeightOf(5'000'000.0, 1, 1) == doctest::Approx(1.0));
   for (int i = 0; i < 30; ++i) {
     work.WeightOf(5 * kPerRequest, 1, 5);
   }
   const Row rows[] = {
       {"nothing", 0.0, 0, 0, 1.0},
-      {"writing alone", 10 * kPerRequest, 2, 5, 1.0},
-      {"one request more than told", 12 * kPerRequest, 2, 5, 1.0},
+      {"decode only", 10 * kPerRequest, 2, 5, 1.0},
+      {"one request more than reported", 12 * kPerRequest, 2, 5, 1.0},
       {"with a prompt", 5 * kPerRequest + 100'000.0, 1, 5,
        (5 * kPerRequest + 2'000.0) / (5 * kPerRequest + 100'000.0)},
-      {"a prompt alone", 100'000.0, 1, 0, 0.02},
+      {"prefill only", 100'000.0, 1, 0, 0.02},
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -213,8 +213,9 @@
   }
 }
 
-// Symptom: a rank whose group formed anew is taken for one that read a prompt.
-TEST_CASE("a reading of an earlier step only sets the mark") {
+// A rank whose group was formed again was mistaken for one that processed a
+// prompt.
+TEST_CASE("a reading from an earlier step only sets the mark") {
   RecentLoadsOptions options;
   options.layers = 1;
   options.experts = 2;
--- a/tests/auto/placement/placement_policy_test.cc
+++ b/tests/auto/placement/placement_policy_test.cc
@@ -17,7 +17,8 @@
   return {LayerIndex(layer), ExpertIndex(expert)};
 }
 
-// Four ranks with three slots, eight experts, the first one hot.
+// Four ranks with three slots each and eight experts, of which the first is
+// hot.
 PlacementInput HotExpert() {
   PlacementInput input;
   input.map = ExpertMap::RoundRobin(2, 8, 4, 2);
@@ -64,45 +65,45 @@
         doctest::Approx(SkewOf(plan.map, input.loads, input.ranks)));
 }
 
-TEST_CASE("moves wait where they don't pay, and an operator can force them") {
+TEST_CASE("moves that do not pay off are not made unless forced") {
   struct Row {
     const char* name;
     void (*change)(PlacementInput&, PlacementSettings&);
     bool moves;
   };
   const Row rows[] = {
-      {"as is", [](PlacementInput&, PlacementSettings&) {}, true},
+      {"unchanged", [](PlacementInput&, PlacementSettings&) {}, true},
       {"in flight",
        [](PlacementInput& input, PlacementSettings&) {
          input.fetches_in_flight = 1;
        },
        false},
-      {"just changed",
+      {"changed recently",
        [](PlacementInput& input, PlacementSettings&) {
          input.last_change = kNow - Seconds(1);
        },
        false},
-      {"dear",
+      {"expensive fetches",
        [](PlacementInput& input, PlacementSettings&) {
          input.seconds_per_fetch = 1000;
        },
        false},
-      {"dear, but forced",
+      {"expensive fetches, forced",
        [](PlacementInput& input, PlacementSettings&) {
          input.seconds_per_fetch = 1000;
          input.forced = true;
        },
        true},
-      {"at the peak, worth it",
+      {"at the peak, pays off",
        [](PlacementInput& input, PlacementSettings&) { input.at_peak = true; },
        true},
-      {"at the peak, not worth it",
+      {"at the peak, does not pay off",
        [](PlacementInput& input, PlacementSettings& settings) {
          input.at_peak = true;
          settings.peak_factor = 1e6;
        },
        false},
-      {"quiet window, not worth it",
+      {"quiet window, does not pay off",
        [](PlacementInput& input, PlacementSettings& settings) {
          input.quiet_window = true;
          settings.quiet_factor = 1e6;
@@ -122,7 +123,7 @@
   }
 }
 
-TEST_CASE("no plan breaks slots, rules or bounds, and equal inputs are equal") {
+TEST_CASE("plans respect slots, rules and limits and are deterministic") {
   const char* requested_seeds = std::getenv("BILBERRYSPOOL_SEEDS");
   const std::uint64_t seeds = requested_seeds == nullptr
                                   ? 200
@@ -168,7 +169,7 @@
   CHECK(plan.skew_after < plan.skew_before);
 }
 
-TEST_CASE("orphans of a lost rank find a place while there is room") {
+TEST_CASE("experts of a lost rank are placed if there is room") {
   struct Row {
     std::uint32_t slots;
     bool room;
@@ -184,7 +185,7 @@
   }
 }
 
-TEST_CASE("undo goes back one map at a time") {
+TEST_CASE("undo restores one map at a time") {
   MapHistory history(2);
   const ExpertMap first = ExpertMap::RoundRobin(1, 2, 2, 1);
   const ExpertMap second = ExpertMap::RoundRobin(1, 2, 2, 2);
