--- a/src/libs/membership/announcement.h
+++ b/src/libs/membership/announcement.h
@@ -1,4 +1,4 @@
-// What an agent says of its target, and what an entry answers.
+// Messages between the agent of a target and the entries.
 
 #ifndef LIBS_MEMBERSHIP_ANNOUNCEMENT_H_
 #define LIBS_MEMBERSHIP_ANNOUNCEMENT_H_
@@ -16,13 +16,13 @@
 
 enum class TargetKind { kEngine, kPlain };
 
-// In the order in which a target passes through them. kLeaving is final for
-// one incarnation.
+// Lifecycle of a target, in this order. kLeaving is final for one incarnation.
 enum class TargetState { kJoining, kServing, kDraining, kLeaving };
 
-// One process that claims an identity. Two live claimants of one target are
-// settled by the greater key, which every entry computes alike: the one that
-// started last wins, and `nonce` (random, drawn at start) breaks a tie.
+// Identifies the process that claims a target's identity. If two live processes
+// claim the same target, the greater claim wins, so every entry decides alike:
+// the process that started last wins, and `nonce`, drawn at random at the
+// start, breaks ties.
 struct Claim {
   Incarnation incarnation;
   std::uint64_t nonce = 0;
@@ -36,7 +36,7 @@
   bool operator==(const Claim&) const = default;
 };
 
-// The full description of a target; sent when it changes or on request.
+// Full description of a target, sent when it changes or on request.
 struct Announcement {
   TargetId target;
   NodeId node;
@@ -47,48 +47,49 @@
   std::vector<std::string> models;
   std::vector<std::string> adapters;
   std::vector<std::string> roles;
-  std::uint32_t slots = 0;  // requests that may run at once
+  std::uint32_t slots = 0;  // maximum number of concurrent requests
   Claim claim;
   bool checks_fencing = false;
   TargetState state = TargetState::kJoining;
-  std::uint64_t sequence = 0;  // counts the changes within one claim
+  std::uint64_t sequence = 0;  // number of changes within one claim
 
   // Later descriptions compare greater.
   std::tuple<Claim, std::uint64_t> order() const { return {claim, sequence}; }
   bool operator==(const Announcement&) const = default;
 };
 
-// Load as the engine reported it `age` ago; late by nature.
+// Load that the engine reported `age` ago; it is always delayed.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
   double free_kv = 1.0;  // fraction of the KV cache that is free
   Duration step_time{};
   Duration age{};
-  // How many requests the agent finds its engine able to run side by side; 0
-  // where it doesn't say.
+  // Number of concurrent requests that the engine can run according to the
+  // agent; 0 if unknown.
   std::uint32_t limit = 0;
 };
 
-// Sent often: still there, and the load. `sequence` is that of the
-// announcement it stands for, so that an entry notices one it missed.
+// Sent periodically as a sign of life and with the load. `sequence` is that of
+// the current announcement, so that an entry detects one that it missed.
 struct Heartbeat {
   TargetId target;
   Claim claim;
   std::uint64_t sequence = 0;
-  std::uint64_t heartbeat_number = 0;  // counts the heartbeats of one claim
+  std::uint64_t heartbeat_number = 0;  // increases within one claim
   LoadReport load;
-  std::uint64_t entries_digest = 0;  // of the entries that the agent knows
+  std::uint64_t entries_digest = 0;  // of the entries known to the agent
 };
 
-// Answer of an entry to an announcement or a heartbeat.
+// Response of an entry to an announcement or a heartbeat.
 struct AnnounceReply {
-  bool wants_announcement = false;  // the entry lacks the description
+  bool wants_announcement = false;  // the entry does not have the description
   bool superseded = false;          // a greater claim holds the identity
-  Claim known;                      // the claim that holds it
-  std::uint64_t sequence = 0;       // of the description that the entry has
-  Duration interval{};              // at which the agent should send heartbeats
-  // The entries of the domain ("ip:port"); empty where the digest matched.
+  Claim known;                      // claim that holds the identity
+  std::uint64_t sequence = 0;       // of the description known to the entry
+  Duration interval{};              // requested heartbeat interval
+  // Addresses ("ip:port") of the entries of the domain; empty if the digest
+  // matched.
   std::vector<std::string> entries;
 };
 
--- a/src/libs/membership/announcer.cc
+++ b/src/libs/membership/announcer.cc
@@ -8,7 +8,8 @@
 namespace bilberryspool::membership {
 namespace {
 
-constexpr std::uint64_t kNonceRange = 1U << 20U;  // short on the wire
+// Limits the length of the encoded nonce.
+constexpr std::uint64_t kNonceRange = 1U << 20U;
 
 }  // namespace
 
@@ -119,7 +120,7 @@
     return;
   }
   if (event.reply.known != announcement_.claim) {
-    return;  // a late answer to an earlier claim
+    return;  // a late response to an earlier claim
   }
   accepted_ = true;
   confirmed_sequence_ = std::max(confirmed_sequence_, event.reply.sequence);
@@ -135,15 +136,15 @@
   }
 }
 
-// A process that was never accepted may merely have started with its clock
-// set back, so it steps over the known claim once. One that was accepted has
-// been replaced: stepping over it again would make two processes take the
-// identity from each other without end.
+// A process that was never accepted may have started after its clock was set
+// back, so it raises its incarnation above the known claim once. A process that
+// was accepted has been replaced; if it raised its incarnation again, two
+// processes would take the identity from each other forever.
 void Announcer::HandleSuperseded(const Claim& holder,
                                  TimePoint now,
                                  Actions* actions) {
   if (holder <= announcement_.claim) {
-    return;  // answers an earlier claim of this process
+    return;  // a response to an earlier claim of this process
   }
   if (accepted_) {
     identity_lost_ = true;
@@ -173,8 +174,9 @@
     }
   }
   if (usable.empty()) {
-    // All known entries are silent, as after a cut: the seeds are tried too,
-    // since every known entry may have been replaced meanwhile.
+    // No known entry responds, as after a network partition. The seeds are
+    // tried as well, since all known entries may have been replaced in the
+    // meantime.
     usable = entries_;
     usable.insert(usable.end(), options_.seeds.begin(), options_.seeds.end());
     std::sort(usable.begin(), usable.end());
@@ -191,8 +193,8 @@
                           count);
 }
 
-// Jitter keeps agents that were started or cut off together from beating in
-// step when they come back.
+// Jitter prevents synchronized heartbeats of agents that were started or
+// disconnected together.
 Duration Announcer::NextInterval() {
   return random_.Between(interval_ * 9 / 10, interval_ * 11 / 10);
 }
--- a/src/libs/membership/announcer.h
+++ b/src/libs/membership/announcer.h
@@ -1,11 +1,14 @@
-// The agent's side of membership: tells entries of its own failure domain
-// that its target is there.
+// Agent side of membership: announces the target to entries of its own failure
+// domain and sends heartbeats.
 //
-// Guards against: an entry that dies or goes silent (the next one by
-// rendezvous rank takes over after one unanswered interval), entries that
-// restart with empty memory (they ask for the full announcement), a clock set
-// back across a restart (one step over the known incarnation), and a second
-// process with the same identity (the lesser claim falls silent for good).
+// Failures handled:
+// - An entry stops responding: the next one by rendezvous rank takes over after
+//   one unanswered interval.
+// - An entry restarts without state: it requests the full announcement.
+// - The clock is set back across a restart: the announcer once chooses an
+//   incarnation above the known one.
+// - A second process has the same identity: the one with the lesser claim stops
+//   sending permanently.
 
 #ifndef LIBS_MEMBERSHIP_ANNOUNCER_H_
 #define LIBS_MEMBERSHIP_ANNOUNCER_H_
@@ -24,32 +27,35 @@
 namespace bilberryspool::membership {
 
 struct AnnouncerOptions {
-  // The full description. Its incarnation must grow from start to start (the
-  // wall clock's seconds will do); the nonce is drawn from the seed.
+  // Full description. Its incarnation must increase with each start, for
+  // example the wall clock time in seconds; the nonce is drawn from the seed.
   Announcement description;
-  std::vector<std::string> seeds;  // peer addresses of some entries
-  // Heartbeats; entries of large domains ask for longer intervals.
+  std::vector<std::string> seeds;  // peer addresses of initial entries
+  // Heartbeat interval. Entries of large domains request longer ones, up to
+  // `max_interval`.
   Duration interval = Seconds(1);
   Duration max_interval = Seconds(5);
-  // Entries that get each full announcement; heartbeats go to the first.
+  // Number of entries that receive each full announcement; heartbeats are sent
+  // to the first of them only.
   std::size_t fanout = 2;
-  // How long an entry that did not answer is passed over.
+  // Time for which an entry that did not respond is avoided.
   Duration silent_entry_backoff = Seconds(10);
 };
 
+// State machine without I/O: Handle() returns the messages to send.
 class Announcer {
  public:
   Announcer(AnnouncerOptions options, std::uint64_t seed);
 
   std::vector<AnnouncerAction> Handle(const AnnouncerEvent& event,
                                       TimePoint now);
-  // When to send the next AnnouncerTick; none once the identity is lost.
+  // Time of the next AnnouncerTick; nothing once the identity is lost.
   std::optional<TimePoint> next_deadline() const;
 
   const Announcement& announcement() const { return announcement_; }
   bool identity_lost() const { return identity_lost_; }
-  // Whether an entry has confirmed that the target is leaving: only then may
-  // the process end without being missed as dead.
+  // Whether an entry has confirmed that the target is leaving. If the process
+  // ends before, the entries treat the target as failed.
   bool leaving_confirmed() const { return leaving_confirmed_; }
 
  private:
@@ -76,7 +82,7 @@
   std::vector<std::string> entries_;
   Duration interval_;
   std::map<std::string, TimePoint> avoided_until_;
-  std::string awaiting_reply_from_;  // the entry whose answer is outstanding
+  std::string awaiting_reply_from_;  // entry whose response is outstanding
   std::uint64_t heartbeat_number_ = 0;
   TimePoint next_tick_;
   bool accepted_ = false;
--- a/src/libs/membership/announcer_action.h
+++ b/src/libs/membership/announcer_action.h
@@ -19,7 +19,7 @@
 };
 
 // Another live process holds this identity with a greater claim. The agent
-// takes no more work, and its log and the operator are told.
+// accepts no more work and reports this in its log and to the operator.
 struct IdentityLost {
   Claim holder;
 };
--- a/src/libs/membership/announcer_event.h
+++ b/src/libs/membership/announcer_event.h
@@ -10,12 +10,13 @@
 
 struct AnnouncerTick {};
 
-// The description changed; identity, claim, state and sequence are kept.
+// The description changed. Its target, node, claim, state and sequence are
+// ignored.
 struct DescriptionChanged {
   Announcement description;
 };
 
-// The agent moves on to `state`; ignored once it is leaving.
+// The target enters `state`; ignored once it is leaving.
 struct StateChanged {
   TargetState state = TargetState::kServing;
 };
@@ -25,7 +26,7 @@
 };
 
 struct ReplyReceived {
-  std::string entry;  // the address that answered
+  std::string entry;  // address of the entry that responded
   AnnounceReply reply;
 };
 
--- a/src/libs/membership/directory.cc
+++ b/src/libs/membership/directory.cc
@@ -42,7 +42,7 @@
   }
   next_tick_ = now + random_.Between(round_interval_ * 9 / 10,
                                      round_interval_ * 11 / 10);
-  peers_.NextStamp(now);  // the sign of life of this entry
+  peers_.NextStamp(now);  // proves to the peers that this entry is live
   UpdateScaling(now);
   UpdateDomains(now, actions);
   for (auto& [target, record] : table_.records()) {
@@ -144,8 +144,9 @@
   }
 }
 
-// An entry that has just started may hear of its own domain from another one
-// first: without this, parts of a domain could stay unknown to each other.
+// An entry that has just started may learn of its own domain from another
+// domain first. Without this, parts of a domain might never learn of each
+// other.
 void Directory::AddContacts(const DomainSummary& summary, TimePoint now) {
   if (summary.domain != options_.self.domain) {
     return;
@@ -164,8 +165,8 @@
     }
   }
   for (const AnnouncementUpdate& update : delta.announcements) {
-    // Entries that have just left the detailed mode may still pass foreign
-    // targets on to each other; without this they would do so for ever.
+    // Entries that have just left the detailed mode may still send each other
+    // targets of other domains. Without this check they would do so forever.
     if (!HasDetailFor(update.announcement.domain)) {
       continue;
     }
@@ -257,8 +258,8 @@
   }
   actions->push_back(
       TargetChanged{announcement.target, announcement.state, record->liveness});
-  // Whoever hears an agent notices its silence first; the others would wait
-  // for several refresh intervals more.
+  // The entry that receives an agent's heartbeats is the first to detect
+  // missing ones. The others would wait for several more refresh intervals.
   if (record->direct && !record->suspected &&
       record->liveness == Liveness::kSuspect) {
     record->suspected = true;
@@ -291,8 +292,10 @@
   return detail_everywhere_ || domain == options_.self.domain;
 }
 
-// The thresholds differ by a quarter, so that a deployment at the border does
-// not switch back and forth.
+// Adapts the intervals and the level of detail to the size of the deployment.
+// The threshold for leaving the detailed mode is a quarter higher than the one
+// for entering it, so that a deployment near the limit does not switch back and
+// forth.
 void Directory::UpdateScaling(TimePoint now) {
   std::map<FailureDomain, std::size_t> known;
   std::size_t own = 0;
@@ -313,8 +316,8 @@
                                 : options_.detail_threshold;
   detail_everywhere_ = total <= bound;
   if (!detail_everywhere_) {
-    // Nobody tells of foreign targets one by one any more: what is left of
-    // them would look like a silent domain.
+    // Targets of other domains get no more individual updates; their remaining
+    // records would look like silent domains.
     table_.KeepOnly(options_.self.domain);
     peers_.KeepOnly(options_.self.domain);
   }
--- a/src/libs/membership/directory.h
+++ b/src/libs/membership/directory.h
@@ -1,16 +1,20 @@
-// The entry's side of membership: who is there, in which state, how loaded,
-// and which failure domains are cut off.
+// Entry side of membership: tracks the targets with their state, liveness and
+// load, and which failure domains are unreachable.
 //
-// Agents announce themselves to entries of their own failure domain. Entries
-// of one domain exchange all they know; across domains only summaries travel,
-// but for small deployments, where every entry knows every target so that
-// work can spill over.
+// Agents announce themselves to entries of their own failure domain. Entries of
+// one domain exchange their full state by gossip; between domains only
+// summaries are exchanged. In small deployments every entry knows every target,
+// so that work can spill over to other domains.
 //
-// Guards against: older news overwriting newer (a leaving target offered
-// again), two processes with one identity, lost gossip (gaps are filled by
-// the next exchange), an entry's restart with empty memory, evicting a whole
-// failure domain for a network partition, and a rush of work onto a domain or
-// target that has just come back.
+// Failures handled:
+// - Old messages that arrive late do not overwrite newer state; otherwise a
+//   leaving target would be offered again.
+// - Two processes with the same identity: all entries choose the same one.
+// - Lost gossip messages: the next exchange fills the gaps.
+// - A restart of an entry without state.
+// - A network partition: a whole failure domain is not evicted.
+// - The return of a domain or target: work ramps up slowly instead of rushing
+//   onto it.
 //
 //   Directory directory(options, seed);
 //   for (const DirectoryAction& action : directory.Handle(event, now)) ...
@@ -41,38 +45,44 @@
 
 struct DirectoryOptions {
   EntryInfo self;
-  std::vector<std::string> seeds;  // peer addresses of some entries
-  // Gossip rounds and heartbeats stretch with the domain, so that the messages
-  // per node stay bounded: a round lasts at least `gossip_per_entry` for each
-  // live entry, a heartbeat interval `heartbeat_per_agent` for each agent that
-  // an entry hears on average.
+  std::vector<std::string> seeds;  // peer addresses of initial entries
+  // Intervals of gossip rounds and heartbeats. They grow with the domain to
+  // bound the number of messages per node: a round takes at least
+  // `gossip_per_entry` times the number of live entries, a heartbeat interval
+  // at least `heartbeat_per_agent` times the average number of agents per
+  // entry.
   Duration gossip_interval = Milliseconds(700);
   Duration gossip_per_entry = Milliseconds(40);
   Duration heartbeat_interval = Seconds(1);
   Duration heartbeat_per_agent = Milliseconds(120);
-  // Chance that a round goes to a seed, known or not: joins two halves that
-  // have forgotten each other.
+  // Probability that a round also contacts a random seed, known or not. This
+  // rejoins partitions that have removed each other's entries.
   double seed_chance = 0.05;
-  // Exchanges with other domains that one domain starts per round, in sum.
+  // Total number of exchanges with other domains that the entries of one domain
+  // start per round.
   double cross_exchanges = 4;
-  // Each target's load is passed on this often at most, and less often in
-  // large domains: the bytes per node stay bounded instead.
+  // Minimum interval between two updates of a target's load to other entries.
+  // It grows with the number of targets, so that each entry sends about
+  // `rows_per_second`, which bounds the bytes per node.
   Duration min_refresh_interval = Seconds(1);
   double rows_per_second = 40;
-  std::size_t row_limit = 400;  // of one message
+  std::size_t row_limit = 400;  // target rows per message
   Duration summary_interval = Seconds(10);
-  std::size_t contacts = 3;  // live entries named in a summary
-  // Up to so many targets in all, every entry knows each in detail.
+  std::size_t contacts = 3;  // live entries listed in a summary
+  // Maximum total number of targets up to which every entry knows each of them
+  // in detail.
   std::size_t detail_threshold = 64;
-  // Plus some rounds where they are stretched.
+  // An entry is live for this time after its last update, plus some rounds if
+  // rounds take longer than `gossip_interval`.
   Duration entry_silent_after = Seconds(4);
   Duration summary_silent_after = Seconds(40);
   Duration entry_retention = Seconds(600);
-  Duration ramp_duration = Seconds(10);  // of work, after a domain's return
+  Duration ramp_duration = Seconds(10);  // of work after a domain returns
   TargetTableOptions targets;
   DomainWatchOptions domains;
 };
 
+// State machine without I/O: Handle() returns the actions to perform.
 class Directory {
  public:
   Directory(DirectoryOptions options, std::uint64_t seed);
@@ -81,12 +91,13 @@
                                       TimePoint now);
   std::optional<TimePoint> next_deadline() const { return next_tick_; }
 
-  // All known targets, gone and leaving ones included.
+  // All known targets, including gone and leaving ones.
   std::vector<TargetView> targets(TimePoint now) const;
   std::optional<TargetView> target(const TargetId& target, TimePoint now) const;
-  // The entries of this domain that are heard, this one included.
+  // Live entries of this domain, including this one.
   std::vector<EntryInfo> live_entries(TimePoint now) const;
-  // Entries of `domain` to speak to: those heard, else those its summary names.
+  // Entries of `domain` to contact: the live ones, or those listed in its
+  // summary if none is known to be live.
   std::vector<EntryInfo> contacts(const FailureDomain& domain,
                                   TimePoint now) const;
   const std::map<FailureDomain, SummaryTable::Row>& summaries() const {
@@ -99,9 +110,9 @@
     return watch_.states();
   }
   const PeerTable& peers() const { return peers_; }
-  // Whether targets of other domains are known one by one.
+  // Whether targets of other domains are known individually.
   bool detail_everywhere() const { return detail_everywhere_; }
-  // How often each target's load is passed on.
+  // Interval between two updates of a target's load to other entries.
   Duration refresh_interval() const { return timing_.refresh_interval; }
 
  private:
--- a/src/libs/membership/directory_action.h
+++ b/src/libs/membership/directory_action.h
@@ -21,13 +21,13 @@
   PeerMessage message;
 };
 
-// Two live processes claimed one target; the operator is to be told.
+// Two live processes claimed the same target; to be reported to the operator.
 struct ReportConflict {
   Announcement winner;
   Announcement loser;
 };
 
-// For logs and metrics; also the hint to build a new routing snapshot.
+// For logs and metrics; also indicates that the routing snapshot is outdated.
 struct TargetChanged {
   TargetId target;
   TargetState state = TargetState::kJoining;
--- a/src/libs/membership/directory_event.h
+++ b/src/libs/membership/directory_event.h
@@ -10,7 +10,7 @@
 
 struct DirectoryTick {};
 
-// An agent's message. Answered by exactly one ReplyToAgent.
+// Messages of an agent. Each is answered by exactly one ReplyToAgent.
 struct AnnouncementReceived {
   Announcement announcement;
 };
--- a/src/libs/membership/directory_rounds.cc
+++ b/src/libs/membership/directory_rounds.cc
@@ -1,4 +1,4 @@
-// The periodic duties of the directory and its queries.
+// Periodic tasks and queries of Directory.
 
 #include <algorithm>
 #include <cmath>
@@ -11,9 +11,9 @@
 namespace bilberryspool::membership {
 namespace {
 
-// Rounds within which an entry hears of each other one's latest news.
+// Number of gossip rounds within which updates of an entry reach all others.
 constexpr Duration::rep kPropagationRounds = 8;
-// Share of work at the start of a ramp.
+// Share of work at the start of a ramp-up.
 constexpr double kMinRampShare = 0.05;
 
 OfferReason ReasonOf(const TargetRecord& record, bool ramping) {
@@ -59,9 +59,9 @@
   return Offer::kNo;
 }
 
-// Share of work `elapsed` after the return of a domain. Targets start within
-// the first quarter of the ramp, spread by their ids, so that they do not all
-// take their first requests at once.
+// Share of work `elapsed` after the return of a domain. The start of each
+// target is delayed by up to a quarter of the ramp, depending on its id, so
+// that not all targets get their first requests at once.
 double RampShare(const TargetId& target,
                  Duration elapsed,
                  Duration ramp_duration) {
@@ -114,7 +114,7 @@
   return view;
 }
 
-// News of an entry take about log2(entries) rounds to reach the others.
+// Updates of an entry take about log2(entries) rounds to reach the others.
 Duration Directory::entry_window() const {
   return options_.entry_silent_after +
          kPropagationRounds * (round_interval_ - options_.gossip_interval);
@@ -184,8 +184,9 @@
   return evidence;
 }
 
-// The first entry of the domain by rendezvous rank computes the summary; the
-// second does when that has not come for two intervals.
+// The first entry of the domain by rendezvous rank publishes the summary in
+// each interval. The second one does if the summary is overdue by two
+// intervals.
 void Directory::PublishSummary(TimePoint now) {
   const FailureDomain& domain = options_.self.domain;
   std::vector<std::string> live;
@@ -266,8 +267,9 @@
       detail_peers.push_back(peer.info.peer_address);
     }
   }
-  // Without a peer of its own domain an entry would go on alone, however many
-  // other domains it speaks to.
+  // Without a peer that it exchanges details with, an entry contacts a seed in
+  // every round. Otherwise it would stay isolated, regardless of the number of
+  // other domains it exchanges summaries with.
   const bool is_isolated = detail_peers.empty();
   std::vector<std::string> selected;
   if (!detail_peers.empty()) {
@@ -287,8 +289,8 @@
   return selected;
 }
 
-// Addresses in other domains, also of entries that are silent: only by trying
-// is the end of a cut noticed.
+// Addresses of entries in other domains, including unresponsive ones, as the
+// end of a partition is detected only by contacting them.
 std::vector<std::string> Directory::OtherDomainAddresses(TimePoint now) const {
   std::set<std::string> addresses;
   for (const auto& [domain, row] : summaries_.rows()) {
--- a/src/libs/membership/domain_watch.h
+++ b/src/libs/membership/domain_watch.h
@@ -11,37 +11,38 @@
 namespace bilberryspool::membership {
 
 struct DomainWatchOptions {
-  // A domain counts as cut off when this share of its targets, and at least
-  // `min_silent`, are silent at once.
+  // A domain is considered unreachable if this fraction of its targets, and at
+  // least `min_silent` of them, are silent at the same time.
   double silent_share = 0.5;
   std::size_t min_silent = 3;
-  // After so long with some of the domain heard again, the rest is dead.
+  // If a part of an unreachable domain has been responding for this time, the
+  // rest is considered dead.
   Duration partial_return_timeout = Seconds(60);
 };
 
 struct DomainState {
   FailureDomain domain;
   bool reachable = true;
-  TimePoint silent_since;  // meaningful while not reachable
-  TimePoint returned_at;   // silence before this point is not held against
-                           // the domain's targets
+  TimePoint silent_since;  // valid while not reachable
+  TimePoint returned_at;   // silence of targets before this time is ignored
 };
 
-// What an entry hears of one domain at one moment.
+// Observations of one domain at one time.
 struct DomainEvidence {
-  std::size_t watched = 0;      // targets that are neither gone nor leaving
-  std::size_t silent = 0;       // those of them that are overdue
-  bool entries_silent = false;  // nothing at all came from its entries
+  std::size_t watched = 0;      // targets neither gone nor leaving
+  std::size_t silent = 0;       // watched targets with overdue heartbeats
+  bool entries_silent = false;  // no messages from the domain's entries
 };
 
-// Tells a failure domain that is cut off from targets that died: many of one
-// domain falling silent within the suspicion window have one cause. Guards
-// against evicting a whole domain (and its state) for a network partition.
+// Distinguishes an unreachable failure domain from failed targets: if many
+// targets of one domain become silent within the suspicion window, they have a
+// common cause. A network partition thus does not evict a whole domain and its
+// state.
 class DomainWatch {
  public:
   explicit DomainWatch(DomainWatchOptions options) : options_(options) {}
 
-  // True where the domain's state changed.
+  // Returns whether the domain's state changed.
   bool Update(const FailureDomain& domain,
               const DomainEvidence& evidence,
               TimePoint now);
--- a/src/libs/membership/flap_damper.h
+++ b/src/libs/membership/flap_damper.h
@@ -1,4 +1,4 @@
-// Damping of targets that come and go.
+// Flap damping of targets that restart or reconnect repeatedly.
 
 #ifndef LIBS_MEMBERSHIP_FLAP_DAMPER_H_
 #define LIBS_MEMBERSHIP_FLAP_DAMPER_H_
@@ -9,19 +9,22 @@
 
 struct FlapOptions {
   double penalty_per_return = 1.0;
+  // A target is suppressed once its penalty exceeds the first threshold, until
+  // the penalty is below the second one.
   double suppress_threshold = 2.5;
   double reuse_threshold = 1.0;
-  Duration half_life = Seconds(30);
+  Duration half_life = Seconds(30);  // of the penalty
 };
 
-// A penalty that grows with each return and halves with time. Guards against
-// a target that restarts in a loop and takes work with it each time: it is
-// passed over until it has stayed for a while.
+// Maintains a penalty that increases with each return of a target and decays
+// exponentially. A target that restarts in a loop would lose its work each
+// time, so it is suppressed until it has been stable for a while.
 class FlapDamper {
  public:
   void AddReturn(const FlapOptions& options, TimePoint now);
   double Penalty(const FlapOptions& options, TimePoint now) const;
-  // Whether the target is passed over; has hysteresis, so call it in order.
+  // Updates and returns whether the target is suppressed. Because of the
+  // hysteresis, `now` must not decrease between calls.
   bool Update(const FlapOptions& options, TimePoint now);
   bool damped() const { return damped_; }
 
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -1,10 +1,11 @@
-// What entries tell each other.
+// Gossip messages between entries.
 //
-// Each entry numbers the news it is the first to hear (a heartbeat of an
-// agent, a changed announcement) with its own counter. An exchange starts with
-// the counters that the sender has reached for each origin; the answer holds
-// only what lies above them. So news reaches each entry about once, and what
-// was lost is noticed and filled by the next exchange.
+// The entry that receives an update from an agent (a heartbeat or a changed
+// announcement) is its origin and stamps it with its own counter. An exchange
+// starts with a digest of the counters up to which the sender has all updates
+// of each origin; the response contains only updates above them. Each update
+// thus reaches each entry about once, and the next exchange fills gaps left by
+// lost messages.
 
 #ifndef LIBS_MEMBERSHIP_GOSSIP_H_
 #define LIBS_MEMBERSHIP_GOSSIP_H_
@@ -26,7 +27,7 @@
   Incarnation incarnation;
 };
 
-// A place in the news of one entry.
+// Position in the sequence of updates of one origin.
 struct Stamp {
   NodeId origin;
   Incarnation incarnation;
@@ -42,11 +43,12 @@
   std::uint32_t queued = 0;
 };
 
-// What crosses the borders of a failure domain at large sizes.
+// Information about a failure domain that is sent to other domains in large
+// deployments.
 struct DomainSummary {
   FailureDomain domain;
   std::uint64_t version = 0;
-  Duration age{};  // since it was computed, without the time on the way
+  Duration age{};  // since it was computed, excluding network latency
   std::uint32_t entries = 0;
   std::uint32_t targets = 0;
   std::vector<EntryInfo> contacts;  // a few live entries of the domain
@@ -55,7 +57,7 @@
 
 struct AnnouncementUpdate {
   Announcement announcement;
-  Duration age{};  // since the target was heard
+  Duration age{};  // since the target was last seen
   Stamp stamp;
 };
 
@@ -64,9 +66,9 @@
   Claim claim;
   std::uint64_t sequence = 0;
   std::uint64_t heartbeat_number = 0;
-  Duration age{};  // since the agent was heard
+  Duration age{};  // since the agent was last seen
   LoadReport load;
-  bool suspected = false;  // the origin has since missed heartbeats
+  bool suspected = false;  // heartbeats to the origin are overdue
   Stamp stamp;
 };
 
@@ -75,30 +77,29 @@
   std::uint64_t version = 0;
 };
 
-// Opens an exchange: what the sender already has.
+// Starts an exchange: the updates and summaries that the sender already has.
 struct GossipDigest {
   EntryInfo from;
-  bool detail = true;         // false across domains at large sizes
-  std::vector<Stamp> stamps;  // the highest seen of each origin
+  bool detail = true;         // false between domains of large deployments
+  std::vector<Stamp> stamps;  // complete up to these, one per origin
   std::vector<SummaryVersion> summaries;
 };
 
-// News that the receiver lacks. With `answer`, the receiver sends back what
-// the sender lacks in turn.
+// Updates that the receiver does not have. If `answer` has a digest, the
+// receiver responds with the updates that the sender does not have.
 struct GossipDelta {
   EntryInfo from;
-  bool complete = true;  // false where the size limit cut it short
+  bool complete = true;  // false if truncated by the size limit
   bool detail = true;
   std::vector<EntryInfo> entries;
   std::vector<AnnouncementUpdate> announcements;
   std::vector<HeartbeatUpdate> heartbeats;
   std::vector<DomainSummary> summaries;
-  std::vector<Stamp>
-      complete_up_to;                // counters up to which this delta is whole
-  std::vector<GossipDigest> answer;  // none or one
+  std::vector<Stamp> complete_up_to;  // per origin, together with this delta
+  std::vector<GossipDigest> answer;   // at most one
 };
 
-// Asks for descriptions of targets whose heartbeats came without them.
+// Requests the descriptions of targets of which only heartbeats were received.
 struct AnnouncementRequest {
   EntryInfo from;
   std::vector<TargetId> targets;
--- a/src/libs/membership/gossip_builder.cc
+++ b/src/libs/membership/gossip_builder.cc
@@ -8,7 +8,7 @@
 namespace bilberryspool::membership {
 namespace {
 
-// The rows of one origin that a receiver lacks.
+// Rows of one origin that the receiver does not have.
 struct OriginUpdates {
   std::vector<const TargetRecord*> announcements;
   std::vector<const TargetRecord*> heartbeats;
--- a/src/libs/membership/gossip_builder.h
+++ b/src/libs/membership/gossip_builder.h
@@ -1,4 +1,4 @@
-// Builds the messages of an exchange out of an entry's tables.
+// Builds the messages of a gossip exchange from the tables of an entry.
 
 #ifndef LIBS_MEMBERSHIP_GOSSIP_BUILDER_H_
 #define LIBS_MEMBERSHIP_GOSSIP_BUILDER_H_
@@ -13,18 +13,19 @@
 
 namespace bilberryspool::membership {
 
-// What a message is built from; all of it outlives the call.
+// Tables from which a message is built. They must outlive the call.
 struct GossipSources {
   const PeerTable* peers = nullptr;
   const TargetTable* targets = nullptr;
   const SummaryTable* summaries = nullptr;
 };
 
+// Without `detail` the digest contains only the versions of the summaries.
 GossipDigest BuildDigest(const GossipSources& sources, bool detail);
 
-// What the sender of `digest` lacks. News of as many origins as fit into
-// about `row_limit` rows, each origin whole, so that the receiver's counters
-// never step over a row that was left out.
+// Returns the updates that the sender of `digest` does not have, limited to
+// about `row_limit` rows. Updates of one origin are included completely or not
+// at all, so that the receiver's counters never skip a row that was omitted.
 GossipDelta BuildDelta(const GossipSources& sources,
                        const GossipDigest& digest,
                        bool detail,
--- a/src/libs/membership/json_fields.h
+++ b/src/libs/membership/json_fields.h
@@ -1,5 +1,5 @@
-// Structs as JSON arrays: a struct names its fields once, in Fields(), and
-// both directions follow from that.
+// Encodes structs as JSON arrays and decodes them. A struct lists its fields
+// once, in an overload of Fields(), which both directions use.
 
 #ifndef LIBS_MEMBERSHIP_JSON_FIELDS_H_
 #define LIBS_MEMBERSHIP_JSON_FIELDS_H_
@@ -20,7 +20,7 @@
 
 namespace bilberryspool::membership::internal {
 
-// A fraction in thousandths, since doubles are long in JSON.
+// A fraction encoded in thousandths, as doubles are long in JSON.
 template <typename Number>
 struct Thousandths {
   Number* value;
@@ -28,7 +28,7 @@
 template <typename Number>
 Thousandths(Number*) -> Thousandths<Number>;
 
-// A duration in microseconds; others travel in milliseconds.
+// A duration encoded in microseconds; other durations are in milliseconds.
 template <typename Span>
 struct InMicroseconds {
   Span* value;
@@ -36,7 +36,7 @@
 template <typename Span>
 InMicroseconds(Span*) -> InMicroseconds<Span>;
 
-// An enumeration with values from 0 to `last`.
+// An enumeration with values from 0 to `last`, encoded as a number.
 template <typename Enum>
 struct EnumField {
   Enum* value;
@@ -136,7 +136,8 @@
   *out = number == 1;
   return true;
 }
-// Ages beyond a year are nonsense and would overflow in sums.
+// Maximum duration accepted. Larger ones are invalid and would overflow in
+// sums.
 inline constexpr Duration kMaxSpan = Seconds(365LL * 24 * 3600);
 inline bool DecodeSpan(const boost::json::value& json,
                        Duration unit,
--- a/src/libs/membership/membership_codec.cc
+++ b/src/libs/membership/membership_codec.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kDigest = "digest";
 constexpr std::string_view kDelta = "delta";
 constexpr std::string_view kRequest = "request";
-constexpr std::size_t kDeltaParts = 5;  // of a delta
+constexpr std::size_t kDeltaParts = 5;  // JSON array elements of a delta
 
 template <typename Struct>
 std::optional<Struct> FromJson(const boost::json::value& value) {
@@ -27,7 +27,7 @@
   return decoded;
 }
 
-// The origins that the rows of a delta name, each once.
+// Distinct origins of the rows of a delta.
 class OriginTable {
  public:
   std::uint64_t IndexOf(const Stamp& stamp) {
@@ -48,7 +48,7 @@
   std::vector<Stamp> origins_;
 };
 
-// Index of the origin and counter of each row, in the order of the rows.
+// Origin index and counter of each row, in the order of the rows.
 template <typename Update>
 std::vector<std::uint64_t> StampColumn(const std::vector<Update>& rows,
                                        OriginTable* origins) {
--- a/src/libs/membership/membership_codec.h
+++ b/src/libs/membership/membership_codec.h
@@ -1,5 +1,5 @@
-// JSON form of the messages of membership: arrays of fixed order, since field
-// names would double the bytes that each node may spend.
+// JSON encoding of the membership messages. Messages are arrays of fixed order,
+// as field names would double the bytes per node.
 
 #ifndef LIBS_MEMBERSHIP_MEMBERSHIP_CODEC_H_
 #define LIBS_MEMBERSHIP_MEMBERSHIP_CODEC_H_
@@ -17,7 +17,7 @@
 boost::json::value ToJson(const AnnounceReply& reply);
 boost::json::value ToJson(const PeerMessage& message);
 
-// Empty where the value has another shape; never throw.
+// Return nothing if the value is malformed; never throw.
 std::optional<Announcement> AnnouncementFromJson(
     const boost::json::value& value);
 std::optional<Heartbeat> HeartbeatFromJson(const boost::json::value& value);
--- a/src/libs/membership/message_fields.h
+++ b/src/libs/membership/message_fields.h
@@ -1,5 +1,5 @@
-// The order of the fields of each message on the wire. New fields are added
-// at the end: a reader ignores what it does not know.
+// Order of the fields of each message on the wire. New fields must be added at
+// the end, as readers ignore unknown trailing fields.
 
 #ifndef LIBS_MEMBERSHIP_MESSAGE_FIELDS_H_
 #define LIBS_MEMBERSHIP_MESSAGE_FIELDS_H_
@@ -78,7 +78,7 @@
   return std::tie(s.domain, s.version);
 }
 
-// The stamps of news are written apart, since few origins stand for many rows.
+// The stamps of updates are encoded separately, as many rows have few origins.
 template <Is<AnnouncementUpdate> Self>
 auto Fields(Self& s) {
   return std::tie(s.announcement, s.age);
--- a/src/libs/membership/peer_table.h
+++ b/src/libs/membership/peer_table.h
@@ -11,40 +11,45 @@
 
 namespace bilberryspool::membership {
 
-// One entry as another one sees it.
+// State of one entry as known to this entry.
 struct Peer {
   EntryInfo info;
-  std::uint64_t complete_up_to = 0;  // all its news up to here have arrived
-  std::uint64_t newest = 0;          // the highest counter heard of
-  TimePoint last_seen_at;            // when `newest` last rose
+  std::uint64_t complete_up_to = 0;  // all updates up to here were received
+  std::uint64_t newest = 0;          // highest counter known
+  TimePoint last_seen_at;            // when `newest` last increased
 };
 
-// The entries that this one knows, itself included. Its counters are the
-// version vector of the exchanges; a counter that rises is the sign of life.
+// Entries known to this entry, including itself. The counters form the version
+// vector of the gossip exchanges; an increasing counter shows that an entry is
+// live.
 class PeerTable {
  public:
   explicit PeerTable(const EntryInfo& self);
 
-  // Learns of an entry or of its restart; older incarnations are ignored.
+  // Adds an entry, or resets it if it was restarted. Older incarnations are
+  // ignored.
   void Observe(const EntryInfo& info, TimePoint now);
-  // Notes that an entry had reached `stamp`; ignored for unknown entries.
+  // Records that the counter of an entry has reached `stamp`. Ignored for
+  // unknown entries.
   void RecordNewest(const Stamp& stamp, TimePoint now);
-  // Notes that all news up to `stamp` have been taken in.
+  // Records that all updates up to `stamp` were received.
   void RecordCompleteUpTo(const Stamp& stamp);
-  // The next number for news that this entry is the first to hear.
+  // Returns the stamp for the next update of which this entry is the origin.
   Stamp NextStamp(TimePoint now);
-  // Drops entries that were silent for longer than `after`.
+  // Removes entries that were silent for longer than `max_silence`.
   void RemoveExpired(TimePoint now, Duration max_silence);
+  // Removes the entries of all other domains.
   void KeepOnly(const FailureDomain& domain);
 
   const Peer& self() const { return peers_.at(self_); }
   const std::map<NodeId, Peer>& peers() const { return peers_; }
-  // Those heard within `window`; sorted by id, this entry included.
+  // Entries of `domain` seen within `window`, sorted by id, including this one.
   std::vector<EntryInfo> Live(const FailureDomain& domain,
                               TimePoint now,
                               Duration window) const;
-  // When any entry of `domain` was last heard.
+  // Time at which any entry of `domain` was last seen.
   TimePoint LastSeen(const FailureDomain& domain) const;
+  // Whether `stamp` belongs to the known incarnation of its origin.
   bool IsCurrent(const Stamp& stamp) const;
 
  private:
--- a/src/libs/membership/rendezvous.h
+++ b/src/libs/membership/rendezvous.h
@@ -1,5 +1,6 @@
-// Rendezvous hashing: every node that knows the same candidates ranks them
-// alike, and one that appears or goes moves only its own share.
+// Rendezvous (highest random weight) hashing. All nodes that know the same
+// candidates rank them alike, and adding or removing a candidate moves only its
+// own share of the keys.
 
 #ifndef LIBS_MEMBERSHIP_RENDEZVOUS_H_
 #define LIBS_MEMBERSHIP_RENDEZVOUS_H_
@@ -12,15 +13,15 @@
 
 namespace bilberryspool::membership {
 
-// The same on every build and machine.
+// Hash with the same result in every build and on every machine.
 std::uint64_t StableHash(std::string_view text, std::uint64_t seed = 0);
 
-// The `count` best candidates for `key`, best first.
+// Returns the `count` best candidates for `key`, best first.
 std::vector<std::string> RankByRendezvous(std::string_view key,
                                           std::vector<std::string> candidates,
                                           std::size_t count);
 
-// Digest of a list of names, whatever their order.
+// Digest of a list of names, independent of their order.
 std::uint64_t DigestOfNames(const std::vector<std::string>& names);
 
 }  // namespace bilberryspool::membership
--- a/src/libs/membership/summary_table.h
+++ b/src/libs/membership/summary_table.h
@@ -10,21 +10,21 @@
 
 namespace bilberryspool::membership {
 
-// The newest summary of each failure domain.
+// Newest known summary of each failure domain.
 class SummaryTable {
  public:
   struct Row {
     DomainSummary summary;
-    TimePoint computed_at;  // by this entry's time
+    TimePoint computed_at;  // by the clock of this entry
   };
 
-  // Keeps the higher version.
+  // Stores the summary if its version is higher than the known one.
   void Merge(const DomainSummary& summary, TimePoint now);
-  // Puts this domain's own new summary in, with the next version.
+  // Stores a new summary of this entry's own domain with the next version.
   void Publish(DomainSummary summary, TimePoint now);
 
   std::uint64_t Version(const FailureDomain& domain) const;
-  // Those above the versions named in `known`, with their ages at `now`.
+  // Summaries newer than the versions in `known`, with their ages at `now`.
   std::vector<DomainSummary> NewerThan(const std::vector<SummaryVersion>& known,
                                        TimePoint now) const;
   std::vector<SummaryVersion> versions() const;
--- a/src/libs/membership/target_record.h
+++ b/src/libs/membership/target_record.h
@@ -10,36 +10,35 @@
 
 namespace bilberryspool::membership {
 
-// kStale: silent together with most of its failure domain, so the domain is
-// taken to be cut off and the last known state is kept.
+// kStale: silent together with most of its failure domain. The domain is
+// considered unreachable, and the last known state is kept.
 enum class Liveness { kAlive, kSuspect, kStale, kGone };
 
-// How rarely news of each target come in a domain of the present size.
+// Expected delays between updates of a target; they grow with the domain.
 struct RefreshTiming {
-  Duration
-      refresh_interval{};  // between two accounts of a target by other entries
-  Duration heartbeat_slack{};  // that heartbeats may be late beyond the usual
+  Duration refresh_interval{};  // between updates of a target by other entries
+  Duration heartbeat_slack{};   // added delay of heartbeats in large domains
 
-  // What is granted beyond the timeouts before silence counts.
+  // Time added to the timeouts for silence. Updates from other entries may be
+  // two refresh intervals late.
   Duration Allowance(bool direct) const {
     return direct ? heartbeat_slack : heartbeat_slack + 2 * refresh_interval;
   }
 };
 
-// All that an entry knows of one target.
+// State of one target as known to an entry.
 struct TargetRecord {
   Announcement announcement;
-  Stamp announcement_stamp;  // who first heard the description
+  Stamp announcement_stamp;  // origin of the description
   std::uint64_t heartbeat_number = 0;
   LoadReport load;
-  TimePoint load_at;       // when the load was measured, by this entry's time
-  TimePoint last_seen_at;  // when the agent was heard, by this entry's time
-  Stamp heartbeat_stamp;   // who first heard the newest heartbeat told on
-  TimePoint heartbeat_stamped_at;  // when that heartbeat was last numbered for
-                                   // the others
+  TimePoint load_at;       // when the load was measured, by this clock
+  TimePoint last_seen_at;  // when the agent was last seen, by this clock
+  Stamp heartbeat_stamp;   // origin of the newest heartbeat shared by gossip
+  TimePoint heartbeat_stamped_at;  // when `heartbeat_stamp` was last set
   bool direct = false;     // the newest heartbeat came from the agent itself
-  bool suspected = false;  // whoever heard it last has missed heartbeats
-  Liveness liveness = Liveness::kSuspect;  // until judged
+  bool suspected = false;  // heartbeats to the origin are overdue
+  Liveness liveness = Liveness::kSuspect;  // until classified
   FlapDamper damper;
 };
 
--- a/src/libs/membership/target_table.cc
+++ b/src/libs/membership/target_table.cc
@@ -97,7 +97,7 @@
                                                TimePoint now) {
   TargetRecord* record = Find(update.target);
   if (record == nullptr) {
-    // Whoever was silent for so long is not worth asking for.
+    // A target that was silent for this long is not worth a request.
     return update.age < options_.gone_after ? MergeOutcome::kNewer
                                             : MergeOutcome::kOlder;
   }
--- a/src/libs/membership/target_table.h
+++ b/src/libs/membership/target_table.h
@@ -12,53 +12,59 @@
 namespace bilberryspool::membership {
 
 struct TargetTableOptions {
+  // Silence after which a target is suspected, and after which it is gone.
   Duration suspect_after = Seconds(3);
   Duration gone_after = Seconds(8);
-  // How long a target that left or is gone is remembered, so that late older
-  // messages do not bring it back.
+  // Time for which a target that left or is gone is retained, so that old
+  // messages that arrive late do not bring it back.
   Duration target_retention = Seconds(300);
   FlapOptions flaps;
 };
 
+// How a merged message compares with the known state.
 enum class MergeOutcome { kNew, kNewer, kSame, kOlder };
 
 struct MergeResult {
   MergeOutcome outcome = MergeOutcome::kSame;
-  // Another process that held the identity and was live: the loser's
-  // description.
+  // Description of the losing process if two live processes claimed the
+  // identity.
   std::optional<Announcement> conflict;
 };
 
-// The targets an entry knows. Merging is the maximum by (claim, sequence) and
-// (claim, beat), so all entries that heard the same news agree, in whatever
-// order it came.
+// Targets known to an entry. Merging takes the maximum of (claim, sequence) and
+// of (claim, heartbeat_number), so all entries that received the same updates
+// agree, regardless of the order.
 class TargetTable {
  public:
   explicit TargetTable(TargetTableOptions options) : options_(options) {}
 
-  // `age` is how long ago its agent was heard.
+  // `age` is the time since the agent was last seen.
   MergeResult MergeAnnouncement(const Announcement& announcement,
                                 const Stamp& stamp,
                                 Duration age,
                                 TimePoint now);
-  // Takes in a heartbeat that an agent sent to this entry itself. `told` is
-  // the number under which the other entries hear of it, if they should now.
+  // Merges a heartbeat that an agent sent to this entry. `new_stamp` is its
+  // stamp for the gossip exchanges, if it is to be shared now. kNewer means
+  // that the description is missing or outdated here.
   MergeOutcome MergeHeartbeat(const Heartbeat& heartbeat,
                               const std::optional<Stamp>& new_stamp,
                               TimePoint now);
-  // Takes in a heartbeat that another entry passed on. kNewer stands for a
-  // description that is missing or outdated here.
+  // Merges a heartbeat that another entry shared. kNewer means that the
+  // description is missing or outdated here.
   MergeOutcome MergeHeartbeatUpdate(const HeartbeatUpdate& update,
                                     TimePoint now);
 
-  // Judges the liveness of one target; true where it changed.
+  // Classifies the liveness of one target. Returns whether it changed.
   bool UpdateLiveness(TargetRecord* record,
                       const DomainState& domain,
                       const RefreshTiming& timing,
                       TimePoint now) const;
+  // Removes targets that left or are gone and exceeded `target_retention`.
   void RemoveExpired(TimePoint now);
+  // Removes the targets of all other domains.
   void KeepOnly(const FailureDomain& domain);
 
+  // Returns nullptr if the target is unknown.
   TargetRecord* Find(const TargetId& target);
   std::map<TargetId, TargetRecord>& records() { return records_; }
   const std::map<TargetId, TargetRecord>& records() const { return records_; }
--- a/src/libs/membership/target_view.h
+++ b/src/libs/membership/target_view.h
@@ -1,4 +1,4 @@
-// What routing sees of a target.
+// A target as seen by routing.
 
 #ifndef LIBS_MEMBERSHIP_TARGET_VIEW_H_
 #define LIBS_MEMBERSHIP_TARGET_VIEW_H_
@@ -9,16 +9,16 @@
 
 namespace bilberryspool::membership {
 
-// kLastResort: only where no other target can serve the request.
+// kLastResort: only if no other target can serve the request.
 enum class Offer { kYes, kLastResort, kNo };
 
-// Why a target is offered or not.
+// Reason why a target is offered or not.
 enum class OfferReason {
   kServing,
-  kRamping,   // its failure domain came back a moment ago
-  kSuspect,   // heartbeats are missing
-  kStale,     // its failure domain is cut off; this is its last known state
-  kFlapping,  // it came back too often of late
+  kRamping,   // its failure domain returned recently
+  kSuspect,   // heartbeats are overdue
+  kStale,     // its failure domain is unreachable; last known state
+  kFlapping,  // it returned too often recently
   kJoining,
   kDraining,
   kLeaving,
@@ -30,13 +30,13 @@
   const Announcement* announcement = nullptr;
   Offer offer = Offer::kNo;
   OfferReason reason = OfferReason::kGone;
-  // Share of its usual work that it should get, 0 to 1; below 1 while its
-  // domain ramps up.
+  // Fraction of its normal share of work, 0 to 1; below 1 while its domain
+  // ramps up.
   double share = 1.0;
-  LoadReport load;           // `age` counts up to the present
-  Duration last_seen_age{};  // since the agent was heard
-  NodeId last_seen_by;       // the entry that heard it; empty before the first
-  bool direct = false;       // heard by this entry itself
+  LoadReport load;           // with `age` as of now
+  Duration last_seen_age{};  // since the agent was last seen
+  NodeId last_seen_by;       // entry that saw it last; empty if none did
+  bool direct = false;       // last seen by this entry
   Liveness liveness = Liveness::kAlive;
 };
 
--- a/tests/auto/membership/announcer_test.cc
+++ b/tests/auto/membership/announcer_test.cc
@@ -26,7 +26,7 @@
   return "";
 }
 
-TEST_CASE("a silent entry is passed over at the next heartbeat") {
+TEST_CASE("an unresponsive entry is avoided at the next heartbeat") {
   Announcer announcer(Options(), 1);
   const std::string first =
       HeartbeatTo(announcer.Handle(AnnouncerTick{}, At(2)));
@@ -39,17 +39,17 @@
   CHECK(HeartbeatTo(announcer.Handle(AnnouncerTick{}, At(6))) == second);
 }
 
-// Symptom: a restarted agent is refused for ever. Sequence: its VM's clock is
-// set back while it restarts, so its incarnation is lower than before. Cause:
-// entries rightly refuse older claims.
-TEST_CASE("a clock set back is stepped over once, a replacement never") {
+// A restarted agent was refused forever: the clock of its VM was set back
+// during the restart, so its incarnation was lower than before, and entries
+// correctly refuse older claims.
+TEST_CASE("the incarnation is raised after a clock set back but only once") {
   Announcer announcer(Options(), 1);
   AnnounceReply refusal;
   refusal.superseded = true;
   refusal.known = Claim{Incarnation(9), 1};
   announcer.Handle(ReplyReceived{"a", refusal}, At(2));
   CHECK(announcer.announcement().claim.incarnation == Incarnation(10));
-  announcer.Handle(ReplyReceived{"b", refusal}, At(2));  // the late duplicate
+  announcer.Handle(ReplyReceived{"b", refusal}, At(2));  // late duplicate
   CHECK_FALSE(announcer.identity_lost());
   refusal.known = Claim{Incarnation(12), 1};
   announcer.Handle(ReplyReceived{"a", refusal}, At(3));
--- a/tests/auto/membership/codec_test.cc
+++ b/tests/auto/membership/codec_test.cc
@@ -28,7 +28,7 @@
   return delta;
 }
 
-TEST_CASE("messages survive the way there and back") {
+TEST_CASE("messages are unchanged after encoding and decoding") {
   const PeerMessage messages[] = {
       SampleDelta(), GossipDigest{SampleDelta().from, true, {}, {}},
       AnnouncementRequest{SampleDelta().from, {TargetId("t")}}};
@@ -46,7 +46,7 @@
   CHECK(delta.heartbeats[0].load.step_time == Microseconds(34567));
 }
 
-TEST_CASE("broken messages are refused, not fatal") {
+TEST_CASE("malformed messages are rejected without a crash") {
   const char* rows[] = {"null",
                         "[]",
                         "[1,2]",
@@ -59,7 +59,7 @@
     CAPTURE(row);
     CHECK_FALSE(PeerMessageFromJson(boost::json::parse(row)));
   }
-  // Every prefix of the parts of a good message, with one part gone wrong.
+  // A valid message in which one part at a time is replaced.
   const boost::json::value good = ToJson(PeerMessage(SampleDelta()));
   for (std::size_t i = 0; i < good.as_array().size(); ++i) {
     boost::json::value bad = good;
--- a/tests/auto/membership/directory_test.cc
+++ b/tests/auto/membership/directory_test.cc
@@ -9,8 +9,8 @@
 namespace bilberryspool::membership {
 namespace {
 
-// True where every entry of `domain` (all domains where it is empty) sees
-// `target` as `reason`.
+// Whether all entries of `domain` (of all domains if it is empty) report
+// `reason` for `target`.
 bool AllSee(FakeFleet* fleet,
             const std::string& target,
             OfferReason reason,
@@ -50,7 +50,7 @@
   CHECK(summary.contacts.size() == 3);
 }
 
-TEST_CASE("a dead target is gone everywhere within bound, and it alone") {
+TEST_CASE("only the dead target is gone everywhere within the time limit") {
   for (const int agents : {6, 40}) {
     FakeFleet fleet(3, 3, agents, 3);
     fleet.Run(Seconds(40));
@@ -63,10 +63,10 @@
   }
 }
 
-// Symptom: a stopped target is given requests again seconds after it left.
-// Sequence: it announces that it leaves; a copy of its earlier announcement,
-// delayed in the network, arrives at an entry after that.
-// Cause: news merged by arrival rather than by claim and sequence.
+// A stopped target received requests again seconds after it left: after it had
+// announced that it was leaving, a delayed duplicate of an earlier announcement
+// arrived at an entry. Messages were merged in order of arrival instead of by
+// claim and sequence.
 TEST_CASE("a late older announcement does not bring a leaving target back") {
   FakeFleet fleet(3, 3, 6, 4);
   fleet.Run(Seconds(10));
@@ -82,9 +82,9 @@
   CHECK(AllSee(&fleet, "d0/t1", OfferReason::kLeaving));
 }
 
-// Symptom: all targets of a failure domain are forgotten, and come back in
-// one rush. Sequence: the domain is cut off, all its targets fall silent, each
-// is taken for dead on its own. Cause: one common cause seen as many deaths.
+// All targets of a failure domain were removed and returned at once: the domain
+// was partitioned, all its targets became silent, and each was classified as
+// dead independently although they had a common cause.
 TEST_CASE("a cut evicts nobody, and work ramps up after it") {
   FakeFleet fleet(3, 3, 6, 5);
   fleet.Run(Seconds(10));
@@ -115,7 +115,7 @@
   CHECK_FALSE(evicted);
 }
 
-TEST_CASE("an entry that hears nothing any more keeps what it knew") {
+TEST_CASE("an entry that was frozen evicts no target after it resumes") {
   FakeFleet fleet(3, 3, 6, 6);
   fleet.Run(Seconds(10));
   fleet.Freeze("d0/e0", Seconds(60));
@@ -129,10 +129,10 @@
   CHECK(fleet.ReasonAt("d0/e0", "d0/t0") == OfferReason::kServing);
 }
 
-// Symptom: requests alternate between two machines that answer to one name.
-// Sequence: a second VM starts with the settings of a running one. Cause: both
-// announce one target; unless the same one wins everywhere, entries disagree.
-TEST_CASE("of two processes with one identity the same one wins everywhere") {
+// Requests alternated between two VMs with the same target name: a second VM
+// was started with the settings of a running one, and both announced the
+// target. All entries must choose the same one.
+TEST_CASE("all entries choose the same process if two have one identity") {
   FakeFleet fleet(3, 3, 6, 7);
   fleet.Run(Seconds(10));
   fleet.StartAgent("d1/t0", "d1/copy", "d1");
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_CASE("a target that restarts in a loop is passed over for a while") {
+TEST_CASE("a target that restarts in a loop is suppressed for a while") {
   FakeFleet fleet(1, 3, 6, 8);
   fleet.Run(Seconds(10));
   for (int i = 0; i < 5; ++i) {
@@ -161,7 +161,7 @@
   CHECK(fleet.conflicts.empty());
 }
 
-TEST_CASE("an entry that restarts with empty memory learns all again") {
+TEST_CASE("an entry that restarts without state learns all targets again") {
   FakeFleet fleet(3, 3, 40, 9);
   fleet.Run(Seconds(40));
   fleet.RestartEntry("d1/e1");
@@ -171,7 +171,7 @@
   CHECK(fleet.entry("d0/e0").domain_state(FailureDomain("d1")).reachable);
 }
 
-TEST_CASE("agents move to other entries when theirs dies") {
+TEST_CASE("agents switch to other entries when theirs fails") {
   FakeFleet fleet(1, 3, 9, 10);
   fleet.Run(Seconds(10));
   fleet.StopEntry("d0/e1");
--- a/tests/auto/membership/domain_watch_test.cc
+++ b/tests/auto/membership/domain_watch_test.cc
@@ -5,16 +5,16 @@
 namespace bilberryspool::membership {
 namespace {
 
-TEST_CASE("a domain is cut off when most of it is silent at once") {
+TEST_CASE("a domain is unreachable if most of it is silent at once") {
   struct Row {
     const char* name;
     DomainEvidence evidence;
     bool reachable;
   };
   const Row rows[] = {
-      {"nothing known", {0, 0, false}, true},
+      {"no targets known", {0, 0, false}, true},
       {"one of six", {6, 1, false}, true},
-      {"two of two: too few to tell", {2, 2, false}, true},
+      {"two of two, too few targets", {2, 2, false}, true},
       {"three of six", {6, 3, false}, false},
       {"a rack of a large domain", {443, 100, false}, true},
       {"most of a large domain", {443, 222, false}, false},
@@ -28,7 +28,7 @@
   }
 }
 
-TEST_CASE("what stays silent long after a return is dead, not cut off") {
+TEST_CASE("targets still silent long after a partial return are dead") {
   DomainWatch watch({});
   const FailureDomain domain("d");
   CHECK_FALSE(watch.Update(domain, {6, 0, false}, TimeAt(Seconds(1))));
--- a/tests/auto/membership/fake_fleet.h
+++ b/tests/auto/membership/fake_fleet.h
@@ -1,5 +1,6 @@
-// Entries and agents in one process, joined by a network that loses, delays,
-// duplicates and reorders messages, and that can be cut one way.
+// Entries and agents in one process, connected by a simulated network that
+// loses, delays, duplicates and reorders messages and that can be partitioned
+// in one direction.
 
 #ifndef AUTO_MEMBERSHIP_FAKE_FLEET_H_
 #define AUTO_MEMBERSHIP_FAKE_FLEET_H_
@@ -50,7 +51,7 @@
     frozen_until_[address] = now_ + span;
   }
   void SetState(const std::string& address, TargetState state);
-  // No message passes from `from` to `to` (domains) until Heal().
+  // Drops all messages from domain `from` to domain `to` until Heal().
   void Cut(const std::string& from, const std::string& to) {
     cuts_.emplace(from, to);
   }
@@ -66,7 +67,7 @@
   Faults faults;
   std::vector<ReportConflict> conflicts;
   std::vector<std::string> lost_identities;
-  // Looks at each target change at each entry.
+  // Called for each TargetChanged action of each entry.
   std::function<void(const std::string& entry, const TargetChanged&)> observer;
 
  private:
@@ -77,6 +78,8 @@
   void Schedule(TimePoint at, Delivery deliver);
   void TickEntry(const std::string& address, std::uint64_t generation);
   void TickAgent(const std::string& address, std::uint64_t generation);
+  // If the process is frozen, schedules `again` for when it resumes and returns
+  // true.
   bool DeferIfFrozen(const std::string& address, Delivery again);
   void ToEntry(const std::string& entry,
                const DirectoryEvent& event,
--- a/tests/auto/membership/membership_random_test.cc
+++ b/tests/auto/membership/membership_random_test.cc
@@ -50,7 +50,8 @@
   }
 }
 
-// Claims and sequences only rise at one entry as long as it lives.
+// Checks that the claim and sequence of each target never decrease at an entry
+// until it restarts.
 class OrderCheck {
  public:
   void CheckEntries(FakeFleet* fleet) {
@@ -110,7 +111,7 @@
   CHECK(fleet.lost_identities.empty());
 }
 
-TEST_CASE("random faults: order holds, and all entries agree afterwards") {
+TEST_CASE("random faults: announcements never go back and entries converge") {
   const int count = SeedCount(40);
   for (int seed = 1; seed <= count; ++seed) {
     RunScenario(static_cast<std::uint64_t>(seed));
