--- a/src/libs/groups/rank_round.h
+++ b/src/libs/groups/rank_round.h
@@ -17,7 +17,7 @@
 #include "libs/base/time.h"
 #include "libs/groups/engine_order.h"
 #include "libs/packing/packed_text.h"
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 
 namespace bilberryspool::groups {
 
@@ -39,7 +39,7 @@
   GroupId group;
   // Mark of the last response that the requester received from this node.
   placement::ReadingMark mark;
-  // See placement::PickWorkOptions.
+  // See placement::PickWeightOptions.
   double read_work = 1.0;
   // Number of experts of all layers together.
   std::uint32_t counters = 0;
--- a/src/plugins/control_node/group_task_plan.cc
+++ b/src/plugins/control_node/group_task_plan.cc
@@ -20,8 +20,8 @@
 // delays no request, so only a large imbalance is corrected: copies are
 // expensive.
 struct ChangeThresholds {
-  double least_gain;
-  double good_enough;
+  double min_gain;
+  double target_imbalance;
 };
 constexpr ChangeThresholds kBusyThresholds{0.12, 1.08};
 constexpr ChangeThresholds kIdleThresholds{0.2, 1.25};
@@ -40,7 +40,7 @@
 placement::BoundedPlanOptions GroupTask::PlanOptions() {
   placement::BoundedPlanOptions options;
   options.ranks = ranks_;
-  options.places = engine_.expert_places;
+  options.slots_per_layer = engine_.expert_places;
   options.new_experts = engine_.new_experts;
   double requests = 0.0;
   for (const auto& [rank, load] : loads_at_) {
@@ -49,13 +49,13 @@
   const bool is_busy = requests > kBusyShare * engine_.slots * ranks_;
   const ChangeThresholds& thresholds =
       is_busy ? kBusyThresholds : kIdleThresholds;
-  options.good_enough = thresholds.good_enough;
-  options.least_gain = thresholds.least_gain;
+  options.target_imbalance = thresholds.target_imbalance;
+  options.min_gain = thresholds.min_gain;
   options.speeds.assign(ranks_, 1.0);
   for (const auto& [rank, pace] : paces_) {
     options.speeds[rank.value()] = 1.0 / std::max(pace, kMinPace);
   }
-  options.pause = PauseBetweenMoves();
+  options.yield_callback = PauseBetweenMoves();
   return options;
 }
 
@@ -80,17 +80,17 @@
   const TimePoint begun = SteadyNow();
   const placement::ExpertLoads loads = loads_.loads();
   const placement::BoundedPlanOptions options = PlanOptions();
-  placement::ChangeTimes times;
-  times.copy = engine_.expert_copy;
+  placement::ChangeCosts costs;
+  costs.copy_time = engine_.expert_copy;
   const placement::BoundedPlan plan =
-      placement::PlanSoonest(*map, loads, options, times);
+      placement::PlanMinTimeLoss(*map, loads, options, costs);
   const double gain = 1.0 - plan.imbalance_after / plan.imbalance_before;
   const TimePoint now = SteadyNow();
   last_plan_duration_ = now - begun;
   // The group may have formed again while the plan was computed.
   const bool still_fits =
       switch_.phase() == SwitchPhase::kIdle && switch_.map() == map;
-  if (gain < options.least_gain || !still_fits) {
+  if (gain < options.min_gain || !still_fits) {
     return;
   }
   constexpr double kPercent = 100.0;
@@ -101,11 +101,11 @@
         static_cast<int>(plan.imbalance_before * kPercent)},
        {"planned_percent", static_cast<int>(plan.imbalance_after * kPercent)},
        {"fetches", plan.fetches},
-       {"most_fetches", plan.most_fetches},
+       {"most_fetches", plan.max_rank_fetches},
        {"counts", static_cast<std::uint64_t>(loads_.weight())},
        {"planned_in_ms", (now - begun) / Milliseconds(1)}});
   switch_.Begin(std::make_shared<const placement::ExpertMap>(plan.map),
-                engine_.expert_copy * plan.most_fetches, now);
+                engine_.expert_copy * plan.max_rank_fetches, now);
   SendDue(now);
 }
 
--- a/src/plugins/control_node/rank_poller.cc
+++ b/src/plugins/control_node/rank_poller.cc
@@ -69,7 +69,7 @@
     found = groups_.end();
   }
   if (found == groups_.end()) {
-    placement::PickWorkOptions work;
+    placement::PickWeightOptions work;
     work.read_work = question.read_work;
     // A mark from before a restart of this process must not match a current
     // sum.
--- a/src/plugins/sidecar/engine_reader.h
+++ b/src/plugins/sidecar/engine_reader.h
@@ -11,7 +11,7 @@
 #include "libs/net/http_client.h"
 #include "libs/net/http_server.h"
 #include "libs/net/network_loop.h"
-#include "libs/placement/counter_follower.h"
+#include "libs/placement/counter_tracker.h"
 #include "plugins/sidecar/engine_protocol.h"
 
 namespace bilberryspool::sidecar {
@@ -39,7 +39,7 @@
   net::HttpClient client_;
   net::Endpoint engine_;
   EngineProtocol protocol_;
-  placement::CounterFollower counters_;
+  placement::CounterTracker counters_;
 };
 
 }  // namespace bilberryspool::sidecar
--- a/tests/auto/membership/codec_test.cc
+++ b/tests/auto/membership/codec_test.cc
@@ -19,16 +19,16 @@
   announcement.services = {ServiceId("s")};
   const Stamp stamp{NodeId("e"), Incarnation(3), 12};
   delta.announcements.push_back({announcement, Milliseconds(40), stamp});
-  HeartbeatNews news;
-  news.target = TargetId("t");
-  news.load = {3, 2, 0.25, Microseconds(34567), Milliseconds(120)};
-  news.stamp = {NodeId("f"), Incarnation(4), 13};
-  delta.heartbeats.push_back(news);
-  delta.reached.push_back(stamp);
+  HeartbeatUpdate update;
+  update.target = TargetId("t");
+  update.load = {3, 2, 0.25, Microseconds(34567), Milliseconds(120)};
+  update.stamp = {NodeId("f"), Incarnation(4), 13};
+  delta.heartbeats.push_back(update);
+  delta.complete_up_to.push_back(stamp);
   return delta;
 }
 
-TEST_CASE("messages survive the way there and back") {
+TEST_CASE("messages are unchanged after encoding and decoding") {
   const PeerMessage messages[] = {
       SampleDelta(), GossipDigest{SampleDelta().from, true, {}, {}},
       AnnouncementRequest{SampleDelta().from, {TargetId("t")}}};
@@ -46,7 +46,7 @@
   CHECK(delta.heartbeats[0].load.step_time == Microseconds(34567));
 }
 
-TEST_CASE("broken messages are refused, not fatal") {
+TEST_CASE("malformed messages are rejected without a crash") {
   const char* rows[] = {"null",
                         "[]",
                         "[1,2]",
@@ -59,7 +59,7 @@
     CAPTURE(row);
     CHECK_FALSE(PeerMessageFromJson(boost::json::parse(row)));
   }
-  // Every prefix of the parts of a good message, with one part gone wrong.
+  // A valid message in which one part at a time is replaced.
   const boost::json::value good = ToJson(PeerMessage(SampleDelta()));
   for (std::size_t i = 0; i < good.as_array().size(); ++i) {
     boost::json::value bad = good;
