--- a/tests/auto/control_node/replicated_state_test.cc
+++ b/tests/auto/control_node/replicated_state_test.cc
@@ -13,7 +13,7 @@
   record.request = {1, 2};
   record.service = ServiceId("model\nrefusals\n");
   record.verdict = quarantine::Verdict::kRefused;
-  record.ends = 3;
+  record.terminations = 3;
   record.remaining = Seconds(120);
   return {record};
 }
