--- a/src/plugins/gateway/control_follower.cc
+++ b/src/plugins/gateway/control_follower.cc
@@ -16,19 +16,19 @@
 
 // An answer that takes longer than the node may hold it is lost: the node is
 // dead, cut off, or the connection has gone silent.
-constexpr Duration kWatchPatience = traffic::kLongestWatch + Milliseconds(600);
+constexpr Duration kWatchTimeout = traffic::kLongestWatch + Milliseconds(600);
 // While a text is wanted, how often a node is asked anew whether it has it.
 // With 39 gateways and 6 nodes that is 780 questions a second while it lasts.
-constexpr Duration kFetchPoll = Milliseconds(300);
-constexpr Duration kTellPatience = Milliseconds(500);
+constexpr Duration kFetchPollInterval = Milliseconds(300);
+constexpr Duration kCallAllTimeout = Milliseconds(500);
 // A request waits for the answer.
-constexpr Duration kAskPatience = Milliseconds(200);
-constexpr Duration kPauseAfterFailure = Milliseconds(150);
+constexpr Duration kCallOneTimeout = Milliseconds(200);
+constexpr Duration kRetryDelay = Milliseconds(150);
 // Without a word from the leader the newest configuration heard of counts
 // after this time, so that a failure domain that is cut off goes on serving.
-constexpr Duration kLeaderPatience = Seconds(3);
+constexpr Duration kLeaderWaitTimeout = Seconds(3);
 // A node that no other lists any more and that does not answer is let go.
-constexpr Duration kNodeMemory = Seconds(20);
+constexpr Duration kNodeRetention = Seconds(20);
 
 }  // namespace
 
@@ -54,21 +54,22 @@
     log_.Info("Following a control node.", {{"node", endpoint.ToString()}});
     auto node = std::make_shared<Node>();
     node->endpoint = endpoint;
-    node->heard_at = SteadyNow();
+    node->last_response_at = SteadyNow();
     loop_.Spawn([this, node] { Run(node); });
   }
 }
 
 bool ControlFollower::is_current(TimePoint now) const {
   return state_.routes != nullptr &&
-         (has_heard_leader_ || now - started_at_ > kLeaderPatience);
+         (has_leader_responded_ || now - started_at_ > kLeaderWaitTimeout);
 }
 
 void ControlFollower::Run(const std::shared_ptr<Node>& node) {
   while (true) {
-    const bool is_reachable = Ask(*node, /*wants_configuration=*/false);
+    const bool is_reachable =
+        SendWatchQuery(*node, /*wants_configuration=*/false);
     if (is_reachable) {
-      Fetch(*node);
+      FetchConfiguration(*node);
     }
     if (is_reachable != node->is_reachable) {
       node->is_reachable = is_reachable;
@@ -87,16 +88,16 @@
     }
     reachable_.erase(node->endpoint);
     state_.targets.SetSlow(node->endpoint.ToString(), {});
-    const bool is_forgotten = SteadyNow() - node->heard_at > kNodeMemory &&
-                              members_.count(node->endpoint) == 0 &&
-                              !reachable_.empty();
-    if (is_forgotten) {
+    const bool should_unfollow =
+        SteadyNow() - node->last_response_at > kNodeRetention &&
+        members_.count(node->endpoint) == 0 && !reachable_.empty();
+    if (should_unfollow) {
       log_.Info("Following a control node no more.",
                 {{"node", node->endpoint.ToString()}});
       followed_.erase(node->endpoint);
       return;
     }
-    loop_.SleepFor(kPauseAfterFailure);
+    loop_.SleepFor(kRetryDelay);
   }
 }
 
@@ -122,27 +123,27 @@
   return ranked;
 }
 
-bool ControlFollower::is_home(const Node& node) const {
+bool ControlFollower::is_home_node(const Node& node) const {
   const auto ranked = RankReachable(name_, 1);
   return !ranked.empty() && ranked.front() == node.endpoint;
 }
 
-bool ControlFollower::Tell(const net::Endpoint& node,
-                           const std::string& method,
-                           const boost::json::value& params) {
-  const auto result = client_.Call(node, method, params, kTellPatience);
-  const bool is_told = std::holds_alternative<boost::json::value>(result);
-  if (!is_told) {
+bool ControlFollower::CallNode(const net::Endpoint& node,
+                               const std::string& method,
+                               const boost::json::value& params) {
+  const auto result = client_.Call(node, method, params, kCallAllTimeout);
+  const bool is_answered = std::holds_alternative<boost::json::value>(result);
+  if (!is_answered) {
     client_.DropIdle(node);
   }
-  return is_told;
+  return is_answered;
 }
 
-void ControlFollower::TellAll(const std::string& method,
+void ControlFollower::CallAll(const std::string& method,
                               const boost::json::value& params) {
   for (const net::Endpoint& node : reachable_) {
     loop_.Spawn([this, node, method, params] {
-      if (Tell(node, method, params) || Tell(node, method, params)) {
+      if (CallNode(node, method, params) || CallNode(node, method, params)) {
         return;
       }
       log_.Warn("A control node can't be told.",
@@ -151,15 +152,15 @@
   }
 }
 
-std::optional<boost::json::value> ControlFollower::AskOne(
+std::optional<boost::json::value> ControlFollower::CallOne(
     const std::string& key,
     const std::string& method,
     const std::function<boost::json::value(std::size_t rank)>& make_params) {
-  constexpr std::size_t kMostAsked = 2;
+  constexpr std::size_t kMaxCalledNodes = 2;
   std::size_t rank = 0;
-  for (const net::Endpoint& node : RankReachable(key, kMostAsked)) {
+  for (const net::Endpoint& node : RankReachable(key, kMaxCalledNodes)) {
     const auto result =
-        client_.Call(node, method, make_params(rank++), kAskPatience);
+        client_.Call(node, method, make_params(rank++), kCallOneTimeout);
     if (const auto* answer = std::get_if<boost::json::value>(&result)) {
       return *answer;
     }
@@ -171,19 +172,20 @@
 
 // Each node tells of a new configuration at about the same moment. With the
 // text in each answer it would cross the links once for each control node.
-void ControlFollower::Fetch(Node& node) {
-  if (node.told_version <= version_in_force()) {
+void ControlFollower::FetchConfiguration(Node& node) {
+  if (node.reported_version <= version_in_force()) {
     return;
   }
-  const traffic::ToldText told{node.told_version, node.told_bytes,
-                               state_.gateways, is_home(node)};
-  if (fetch_.ShouldStart(told, version_in_force(), SteadyNow()) &&
-      !Ask(node, /*wants_configuration=*/true)) {
-    fetch_.OnFailed();
+  const traffic::ToldText reported{node.reported_version, node.reported_bytes,
+                                   state_.gateways, is_home_node(node)};
+  if (configuration_fetch_.ShouldStart(reported, version_in_force(),
+                                       SteadyNow()) &&
+      !SendWatchQuery(node, /*wants_configuration=*/true)) {
+    configuration_fetch_.OnFailed();
   }
 }
 
-bool ControlFollower::Ask(Node& node, bool wants_configuration) {
+bool ControlFollower::SendWatchQuery(Node& node, bool wants_configuration) {
   traffic::WatchQuery query;
   query.asker = name_;
   query.boot = node.boot;
@@ -191,7 +193,7 @@
   // What the node has told already is no news again.
   query.version = wants_configuration
                       ? version_in_force()
-                      : std::max(version_in_force(), node.told_version);
+                      : std::max(version_in_force(), node.reported_version);
   query.wants_configuration = wants_configuration;
   query.was_leader = node.is_leader;
   query.slow_revision = node.slow_revision;
@@ -200,12 +202,12 @@
   query.limits = state_.targets.limits().Statements(SteadyNow());
   // While a text is on its way to another fiber, this one looks again soon, in
   // case it does not arrive.
-  const bool lacks_text = node.told_version > version_in_force();
-  query.wait = wants_configuration ? Duration::zero()
-               : lacks_text        ? kFetchPoll
-                                   : traffic::kLongestWatch;
+  const bool lacks_configuration = node.reported_version > version_in_force();
+  query.wait = wants_configuration   ? Duration::zero()
+               : lacks_configuration ? kFetchPollInterval
+                                     : traffic::kLongestWatch;
   const auto result = client_.Call(node.endpoint, "control.watch",
-                                   traffic::ToJson(query), kWatchPatience);
+                                   traffic::ToJson(query), kWatchTimeout);
   const auto* json = std::get_if<boost::json::value>(&result);
   if (json == nullptr) {
     client_.DropIdle(node.endpoint);
@@ -229,17 +231,17 @@
                             const std::vector<traffic::TargetRecord>& targets) {
   const TimePoint now = SteadyNow();
   if (node.boot != answer.boot) {
-    state_.quarantine.TellAgain(now);
+    state_.quarantine.ReportTerminationsAgain(now);
   }
   node.boot = answer.boot;
   node.revision = answer.revision;
-  node.told_version = answer.version;
-  node.told_bytes = answer.bytes;
+  node.reported_version = answer.version;
+  node.reported_bytes = answer.bytes;
   node.is_leader = answer.is_leader;
   node.slow_revision = answer.slow_revision;
   node.quarantine_revision = answer.quarantine_revision;
   node.limits_revision = answer.limits_revision;
-  node.heard_at = now;
+  node.last_response_at = now;
   if (answer.quarantine.has_value()) {
     state_.quarantine.Adopt(node.endpoint.ToString(), *answer.quarantine,
                             answer.is_quarantine_whole, now);
@@ -255,7 +257,7 @@
   state_.targets.SetSlow(node.endpoint.ToString(), answer.slow_targets);
   state_.news.NotifyAll();
   if (answer.is_leader && answer.version > 0) {
-    has_heard_leader_ = true;
+    has_leader_responded_ = true;
   }
   std::vector<net::Endpoint> members;
   for (const std::string& member : answer.members) {
--- a/src/plugins/gateway/control_follower.h
+++ b/src/plugins/gateway/control_follower.h
@@ -40,11 +40,11 @@
 
   // Calls all control nodes that can be reached; does not wait for them. Each
   // is called once more where it does not answer.
-  void TellAll(const std::string& method, const boost::json::value& params);
+  void CallAll(const std::string& method, const boost::json::value& params);
   // Calls one, the same for the same `key` at all gateways that reach the same
   // nodes, or else the next; nothing where neither answers. `make_params` gets
   // the rank of the node that is asked, from 0.
-  std::optional<boost::json::value> AskOne(
+  std::optional<boost::json::value> CallOne(
       const std::string& key,
       const std::string& method,
       const std::function<boost::json::value(std::size_t rank)>& make_params);
@@ -55,31 +55,31 @@
     std::uint64_t boot = 0;
     std::uint64_t revision = 0;
     // The newest configuration that the node has told of.
-    std::uint64_t told_version = 0;
-    std::uint64_t told_bytes = 0;  // of its text
+    std::uint64_t reported_version = 0;
+    std::uint64_t reported_bytes = 0;  // of its text
     bool is_leader = false;
     std::uint64_t slow_revision = 0;
     std::uint64_t quarantine_revision = 0;
     std::uint64_t limits_revision = 0;
     bool is_reachable = false;
-    TimePoint heard_at;
+    TimePoint last_response_at;
   };
 
   void Run(const std::shared_ptr<Node>& node);
   // False where the node did not answer.
-  bool Ask(Node& node, bool wants_configuration);
+  bool SendWatchQuery(Node& node, bool wants_configuration);
   // Asks the node for the text of the configuration that it told of, where it
   // is the one to ask.
-  void Fetch(Node& node);
+  void FetchConfiguration(Node& node);
   // Of the nodes that this gateway reaches, the one for its own texts; another
   // one for each gateway.
-  bool is_home(const Node& node) const;
+  bool is_home_node(const Node& node) const;
   // The reachable nodes that are best for `key`, best first.
   std::vector<net::Endpoint> RankReachable(std::string_view key,
                                            std::size_t count) const;
-  bool Tell(const net::Endpoint& node,
-            const std::string& method,
-            const boost::json::value& params);
+  bool CallNode(const net::Endpoint& node,
+                const std::string& method,
+                const boost::json::value& params);
   std::uint64_t version_in_force() const;
   void Adopt(Node& node,
              const traffic::WatchAnswer& answer,
@@ -96,8 +96,8 @@
   std::set<net::Endpoint> reachable_;
   std::set<net::Endpoint> members_;
   TimePoint started_at_;
-  traffic::TextFetch fetch_{traffic::TextFetchOptions{}};
-  bool has_heard_leader_ = false;
+  traffic::TextFetch configuration_fetch_{traffic::TextFetchOptions{}};
+  bool has_leader_responded_ = false;
 };
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/gateway_process.cc
+++ b/src/plugins/gateway/gateway_process.cc
@@ -125,14 +125,14 @@
 
   void ConnectQuarantine() {
     QuarantineGuard::Links links;
-    links.tell_all = [this](const std::string& method,
+    links.call_all = [this](const std::string& method,
                             const boost::json::value& params) {
-      follower_.TellAll(method, params);
+      follower_.CallAll(method, params);
     };
-    links.ask_one = [this](const std::string& key, const std::string& method,
-                           const boost::json::value& params) {
-      return follower_.AskOne(key, method,
-                              [&params](std::size_t) { return params; });
+    links.call_one = [this](const std::string& key, const std::string& method,
+                            const boost::json::value& params) {
+      return follower_.CallOne(key, method,
+                               [&params](std::size_t) { return params; });
     };
     state_.quarantine.Connect(std::move(links));
   }
@@ -140,11 +140,11 @@
   void ConnectLimits() {
     state_.grants.Connect([this](const ServiceId& service,
                                  declared_limits::GrantRequest request) {
-      return follower_.AskOne("limits/" + service.value(), "limits.grant",
-                              [&request](std::size_t rank) {
-                                request.is_first_choice = rank == 0;
-                                return declared_limits::ToJson(request);
-                              });
+      return follower_.CallOne("limits/" + service.value(), "limits.grant",
+                               [&request](std::size_t rank) {
+                                 request.is_first_choice = rank == 0;
+                                 return declared_limits::ToJson(request);
+                               });
     });
   }
 
--- a/src/plugins/gateway/limit_grants.cc
+++ b/src/plugins/gateway/limit_grants.cc
@@ -7,8 +7,8 @@
 
 using net::SteadyNow;
 
-void LimitGrants::Prepare(const ServiceId& service,
-                          const std::set<TargetId>& tried) {
+void LimitGrants::AcquireGrant(const ServiceId& service,
+                               const std::set<TargetId>& tried) {
   const TimePoint now = SteadyNow();
   const auto limited = targets_.Limited(service, tried);
   if (limited.targets.empty()) {
@@ -28,7 +28,7 @@
   declared_limits::GrantRequest request;
   request.targets = limited.targets;
   request.wanted = *wanted;
-  const auto json = ask_(service, request);
+  const auto json = call_granter_(service, request);
   const auto answer = json.has_value()
                           ? declared_limits::GrantAnswerFromJson(*json)
                           : std::nullopt;
@@ -36,9 +36,9 @@
     targets_.limits().OnNoGranter();
     return;
   }
-  const TimePoint answered = SteadyNow();
-  planner_.OnAnswer(service, answer->grants.empty(), answered);
-  targets_.limits().OnGranted(request.targets, *answer, answered);
+  const TimePoint answered_at = SteadyNow();
+  planner_.OnAnswer(service, answer->grants.empty(), answered_at);
+  targets_.limits().OnGranted(request.targets, *answer, answered_at);
 }
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/limit_grants.h
+++ b/src/plugins/gateway/limit_grants.h
@@ -20,21 +20,21 @@
  public:
   // Asks the control node that grants for the service, or the next; nothing
   // where none answers. Suspends the fiber.
-  using Ask = std::function<std::optional<boost::json::value>(
+  using GrantCall = std::function<std::optional<boost::json::value>(
       const ServiceId& service,
       declared_limits::GrantRequest request)>;
 
   explicit LimitGrants(traffic::TargetPool& targets) : targets_(targets) {}
 
-  void Connect(Ask ask) { ask_ = std::move(ask); }
+  void Connect(GrantCall ask) { call_granter_ = std::move(ask); }
 
   // Before a target of `service` is chosen: gets what a request needs there,
   // as far as there is any. Suspends the fiber where it asks.
-  void Prepare(const ServiceId& service, const std::set<TargetId>& tried);
+  void AcquireGrant(const ServiceId& service, const std::set<TargetId>& tried);
 
  private:
   traffic::TargetPool& targets_;
-  Ask ask_;
+  GrantCall call_granter_;
   declared_limits::GrantPlanner planner_{
       declared_limits::GrantPlannerOptions{}};
 };
--- a/src/plugins/gateway/quarantine_guard.cc
+++ b/src/plugins/gateway/quarantine_guard.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // The requests of one target break within this time.
-constexpr Duration kGathering = Milliseconds(3);
+constexpr Duration kReportDelay = Milliseconds(3);
 
 quarantine::QuarantineViewOptions MakeOptions() {
   quarantine::QuarantineViewOptions options;
@@ -27,37 +27,37 @@
 
 void QuarantineGuard::OnEnd(const quarantine::EndObserved& end, TimePoint now) {
   view_.OnEnd(end, now);
-  Tell(end);
+  Report(end);
 }
 
 void QuarantineGuard::OnCompleted(const quarantine::RequestFingerprint& request,
                                   TimePoint now) {
   if (view_.OnCompleted(request, now)) {
-    Tell(quarantine::CompletionObserved{request, Duration::zero()});
+    Report(quarantine::CompletionObserved{request, Duration::zero()});
   }
 }
 
 void QuarantineGuard::OnTrialOver(const quarantine::RequestFingerprint& request,
-                                  const std::string& asker) {
-  view_.OnTrialOver({request, asker});
-  Tell(quarantine::TrialOver{request, asker});
+                                  const std::string& requester) {
+  view_.OnTrialOver({request, requester});
+  Report(quarantine::TrialOver{request, requester});
 }
 
 bool QuarantineGuard::TryTrial(const quarantine::RequestFingerprint& request,
-                               const std::string& asker) {
+                               const std::string& requester) {
   if (view_.any_reachable()) {
     const std::string key = request.ToText();
-    const auto answer = links_.ask_one(
+    const auto answer = links_.call_one(
         key, "quarantine.trial",
         boost::json::object{{"request", key},
-                            {"asker", asker},
+                            {"asker", requester},
                             {"reports", quarantine::ToJson(view_.OwnEndsOf(
                                             request, net::SteadyNow()))}});
     if (answer.has_value()) {
       return answer->is_bool() && answer->as_bool();
     }
   }
-  return view_.TryTrial(request, asker, net::SteadyNow());
+  return view_.TryTrial(request, requester, net::SteadyNow());
 }
 
 void QuarantineGuard::Adopt(
@@ -66,25 +66,25 @@
     bool is_whole,
     TimePoint now) {
   for (const auto& completion : view_.Adopt(source, records, is_whole, now)) {
-    Tell(completion);
+    Report(completion);
   }
 }
 
-void QuarantineGuard::TellAgain(TimePoint now) {
+void QuarantineGuard::ReportTerminationsAgain(TimePoint now) {
   for (const quarantine::EndObserved& end : view_.OwnEnds(now)) {
-    Tell(end);
+    Report(end);
   }
 }
 
-void QuarantineGuard::Tell(quarantine::Observation observation) {
-  untold_.push_back(std::move(observation));
-  if (untold_.size() > 1) {
+void QuarantineGuard::Report(quarantine::Observation observation) {
+  unreported_.push_back(std::move(observation));
+  if (unreported_.size() > 1) {
     return;
   }
   loop_.Spawn([this] {
-    loop_.SleepFor(kGathering);
-    links_.tell_all("quarantine.report",
-                    quarantine::ToJson(std::exchange(untold_, {})));
+    loop_.SleepFor(kReportDelay);
+    links_.call_all("quarantine.report",
+                    quarantine::ToJson(std::exchange(unreported_, {})));
   });
 }
 
--- a/src/plugins/gateway/quarantine_guard.h
+++ b/src/plugins/gateway/quarantine_guard.h
@@ -25,14 +25,14 @@
     // Tells all that can be reached; does not wait for them.
     std::function<void(const std::string& method,
                        const boost::json::value& params)>
-        tell_all;
+        call_all;
     // Asks one, the same for the same key at all gateways that reach the same
     // nodes; nothing where none answers. Suspends the fiber.
     std::function<std::optional<boost::json::value>(
         const std::string& key,
         const std::string& method,
         const boost::json::value& params)>
-        ask_one;
+        call_one;
   };
 
   explicit QuarantineGuard(net::NetworkLoop& loop);
@@ -43,14 +43,14 @@
   void OnCompleted(const quarantine::RequestFingerprint& request,
                    TimePoint now);
   void OnTrialOver(const quarantine::RequestFingerprint& request,
-                   const std::string& asker);
+                   const std::string& requester);
   quarantine::Judgement Judge(const quarantine::RequestFingerprint& request,
                               TimePoint now) const {
     return view_.Judge(request, now);
   }
   // Leave for one run. Suspends the fiber.
   bool TryTrial(const quarantine::RequestFingerprint& request,
-                const std::string& asker);
+                const std::string& requester);
 
   // What a control node tells.
   void Adopt(const std::string& source,
@@ -61,17 +61,17 @@
     view_.SetReachable(source, is_reachable);
   }
   // A control node has started anew and knows nothing.
-  void TellAgain(TimePoint now);
+  void ReportTerminationsAgain(TimePoint now);
   void Tick(TimePoint now) { view_.Tick(now); }
 
  private:
   // Tells the control nodes in a moment, with what else comes until then.
-  void Tell(quarantine::Observation observation);
+  void Report(quarantine::Observation observation);
 
   net::NetworkLoop& loop_;
   quarantine::QuarantineView view_;
   Links links_;
-  std::vector<quarantine::Observation> untold_;
+  std::vector<quarantine::Observation> unreported_;
 };
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -105,7 +105,7 @@
     if (!AwaitLeave()) {
       return;
     }
-    state_.grants.Prepare(service_, tried_);
+    state_.grants.AcquireGrant(service_, tried_);
     const auto chosen = state_.targets.Choose(service_, tried_, SteadyNow());
     if (const auto* why = std::get_if<traffic::NoChoice>(&chosen)) {
       EndTrial();
