--- a/src/plugins/gateway/control_follower.cc
+++ b/src/plugins/gateway/control_follower.cc
@@ -251,11 +251,11 @@
                                   now);
   }
   AdoptConfiguration(answer);
-  state_.NoteGateways(answer.gateways);
+  state_.SetGatewayCount(answer.gateways);
   state_.targets.Update(node.endpoint.ToString(), answer.is_whole, targets,
                         now);
   state_.targets.SetSlow(node.endpoint.ToString(), answer.slow_targets);
-  state_.news.NotifyAll();
+  state_.update_signal.NotifyAll();
   if (answer.is_leader && answer.version > 0) {
     has_leader_responded_ = true;
   }
--- a/src/plugins/gateway/gateway_process.cc
+++ b/src/plugins/gateway/gateway_process.cc
@@ -29,8 +29,8 @@
 constexpr Duration kBalancerDelay = Milliseconds(2500);
 // Before the platform ends the process.
 constexpr Duration kExitMargin = Milliseconds(400);
-constexpr Duration kDrainPoll = Milliseconds(50);
-constexpr Duration kSettingsPoll = Seconds(1);
+constexpr Duration kDrainPollInterval = Milliseconds(50);
+constexpr Duration kSettingsPollInterval = Seconds(1);
 constexpr std::size_t kMaxHeaderBytes = 64UL * 1024;
 constexpr std::size_t kMaxBodyBytes = 8UL * 1024 * 1024;
 constexpr Duration kIdleTimeout = Seconds(60);
@@ -52,7 +52,7 @@
         state_(loop_,
                common,
                settings,
-               interface.dialect,
+               interface.header_names,
                std::random_device()()),
         follower_(loop_,
                   std::move(authenticator),
@@ -81,7 +81,7 @@
       loop_.OnStopSignal([this] { loop_.Stop(); });
       loop_.OnReloadSignal([this] { loop_.Spawn([this] { Reload(); }); });
       loop_.Spawn([this] { WatchSettings(); });
-      loop_.Spawn([this] { TurnWindows(); });
+      loop_.Spawn([this] { RotateMetricWindows(); });
       loop_.Spawn([this] { WatchTargets(); });
       loop_.WaitForStop();
       Drain();
@@ -203,7 +203,7 @@
   }
 
   // Quantiles on the metrics address follow the present.
-  void TurnWindows() {
+  void RotateMetricWindows() {
     constexpr Duration kWindow = Seconds(10);
     while (true) {
       loop_.SleepFor(kWindow);
@@ -215,13 +215,13 @@
 
   // Requests at targets that have fallen silent or turned slow go on elsewhere.
   void WatchTargets() {
-    constexpr Duration kPoll = Milliseconds(100);
+    constexpr Duration kPollInterval = Milliseconds(100);
     while (true) {
-      loop_.SleepFor(kPoll);
+      loop_.SleepFor(kPollInterval);
       const TimePoint now = SteadyNow();
-      const std::vector<RelayCall*> waiting(state_.waiting.begin(),
-                                            state_.waiting.end());
-      for (RelayCall* call : waiting) {
+      const std::vector<RelayCall*> active_calls(state_.active_calls.begin(),
+                                                 state_.active_calls.end());
+      for (RelayCall* call : active_calls) {
         call->ReviewTarget(now);
       }
     }
@@ -241,7 +241,7 @@
   // The file may change without a signal.
   void WatchSettings() {
     while (true) {
-      loop_.SleepFor(kSettingsPoll);
+      loop_.SleepFor(kSettingsPollInterval);
       const Stamp stamp = FileStamp();
       if (stamp != file_stamp_ && stamp != Stamp{}) {
         file_stamp_ = stamp;
@@ -275,11 +275,11 @@
     log_.Info("Draining.", {{"in_progress", state_.requests_in_progress}});
     const TimePoint closing = std::min(begun + kBalancerDelay, limit);
     while (SteadyNow() < closing) {
-      loop_.SleepFor(kDrainPoll);
+      loop_.SleepFor(kDrainPollInterval);
     }
     callers_.Drain();
     while (callers_.counts().requests_in_progress > 0 && SteadyNow() < limit) {
-      loop_.SleepFor(kDrainPoll);
+      loop_.SleepFor(kDrainPollInterval);
     }
     log_.Info("Stopped.",
               {{"cut_off", callers_.counts().requests_in_progress}});
--- a/src/plugins/gateway/gateway_process.h
+++ b/src/plugins/gateway/gateway_process.h
@@ -13,7 +13,7 @@
 
 // What callers and operators speak; decided where the program is put together.
 struct GatewayInterface {
-  traffic::WireDialect dialect;
+  traffic::WireDialect header_names;
   traffic::ConfigurationReader read_configuration;
 };
 
--- a/src/plugins/gateway/gateway_state.cc
+++ b/src/plugins/gateway/gateway_state.cc
@@ -38,18 +38,18 @@
 GatewayState::GatewayState(net::NetworkLoop& loop,
                            const settings::CommonSettings& common,
                            const settings::GatewaySettings& gateway,
-                           traffic::WireDialect wire_dialect,
+                           traffic::WireDialect names,
                            std::uint64_t seed)
-    : dialect(std::move(wire_dialect)),
+    : header_names(std::move(names)),
       retries(gateway.retries),
       targets(MakePoolOptions(common), seed),
       grants(targets),
       client(loop, MakeClientOptions()),
-      ends(loop),
+      termination_detector(loop),
       quarantine(loop),
       random(seed + 1),
       log("gateway"),
-      figures(metrics),
+      stats(metrics),
       tracing{telemetry::OpenSpans(common.trace.file,
                                    "bilberryspool-gateway",
                                    common.node.value()),
@@ -59,7 +59,7 @@
   limits::RetryBudgetOptions options;
   options.ratio = retries.ratio * kUsedRatio;
   const auto sharers =
-      static_cast<double>(gateways > 0 ? gateways : kAssumedGateways);
+      static_cast<double>(gateway_count > 0 ? gateway_count : kAssumedGateways);
   options.global_burst = retries.slack / (sharers * kShareMargin);
   options.global_reserve = options.global_burst / ToSeconds(retries.window);
   options.workspace_burst = options.global_burst;
@@ -67,11 +67,11 @@
   return budgets.try_emplace(service, options).first->second;
 }
 
-void GatewayState::NoteGateways(std::uint64_t count) {
-  if (count <= gateways) {
+void GatewayState::SetGatewayCount(std::uint64_t count) {
+  if (count <= gateway_count) {
     return;
   }
-  gateways = count;
+  gateway_count = count;
   targets.limits().SetGateways(count);
   // Shares get smaller; a new budget starts with the smaller one.
   budgets.clear();
--- a/src/plugins/gateway/gateway_state.h
+++ b/src/plugins/gateway/gateway_state.h
@@ -34,35 +34,35 @@
   GatewayState(net::NetworkLoop& loop,
                const settings::CommonSettings& common,
                const settings::GatewaySettings& gateway,
-               traffic::WireDialect wire_dialect,
+               traffic::WireDialect names,
                std::uint64_t seed);
 
   limits::RetryBudget& BudgetOf(const ServiceId& service);
   // How many gateways a control node has heard of.
-  void NoteGateways(std::uint64_t count);
+  void SetGatewayCount(std::uint64_t count);
 
-  traffic::WireDialect dialect;
+  traffic::WireDialect header_names;
   settings::RetryLimits retries;
   // Null until a configuration is known.
   std::shared_ptr<const traffic::RouteTable> routes;
   traffic::TargetPool targets;
   LimitGrants grants;
   net::HttpClient client;
-  TargetEnds ends;
+  TerminationDetector termination_detector;
   QuarantineGuard quarantine;
   Random random;
   // Wakes those who wait for something that control nodes tell.
-  net::FiberSignal news;
+  net::FiberSignal update_signal;
   // Requests whose target has not answered yet, or is in the middle of it.
-  std::set<RelayCall*> waiting;
+  std::set<RelayCall*> active_calls;
   telemetry::Logger log;
   telemetry::Registry metrics;
-  RequestFigures figures;
+  RequestStats stats;
   Tracing tracing;
   std::uint64_t requests_in_progress = 0;
   // The most that were heard of: a control node that is cut off hears fewer,
   // and shares that are too large would break the bound for all.
-  std::uint64_t gateways = 0;
+  std::uint64_t gateway_count = 0;
   std::map<ServiceId, limits::RetryBudget> budgets;
 };
 
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -44,7 +44,7 @@
       exchange_(exchange),
       arrived_(SteadyNow()),
       give_up_at_(arrived_ + kDefaultPatience),
-      head_(ReadHead(exchange.request(), state.dialect)),
+      head_(ReadHead(exchange.request(), state.header_names)),
       routes_(state.routes),
       trace_(state.tracing, exchange.request().headers, state.random),
       cancellation_(std::make_shared<net::Cancellation>()) {}
@@ -152,7 +152,7 @@
   while (!caller_left_ && SteadyNow() < limit &&
          state_.targets.OutlookOf(service_, SteadyNow()) ==
              traffic::Outlook::kForming) {
-    state_.news.WaitUntil(
+    state_.update_signal.WaitUntil(
         std::min(limit, state_.targets.forms_until(service_)));
   }
   const auto waited = (SteadyNow() - began) / Milliseconds(1);
@@ -229,7 +229,7 @@
                                        const ForwardedHead& forwarded) {
   const TimePoint sent_at = SteadyNow();
   net::HttpRequest request =
-      MakeTargetRequest(exchange_.request(), forwarded, state_.dialect);
+      MakeTargetRequest(exchange_.request(), forwarded, state_.header_names);
   trace_.StartSend(request);
   auto opened =
       state_.client.Open(endpoint, request, patience(), cancellation_);
@@ -275,54 +275,55 @@
   }
   EndAt(choice, TargetOutcome::kFailed);
   const bool is_unsent = error.kind == net::HttpErrorKind::kConnect;
-  const bool has_ended = HasEnded(choice, error.kind);
-  if (has_ended) {
+  const bool has_terminated = HasTerminated(choice, error.kind);
+  if (has_terminated) {
     NoteEnd(choice);
   }
   trail_ += is_unsent ? " unreachable" : " no_head:" + error.text;
-  trail_ += has_ended ? " ended" : "";
+  trail_ += has_terminated ? " ended" : "";
   return NotServed{is_unsent ? SendResult::kNotSent : SendResult::kUnknown,
                    error.text};
 }
 
-bool RelayCall::HasEnded(const traffic::Choice& choice,
-                         net::HttpErrorKind kind) {
+bool RelayCall::HasTerminated(const traffic::Choice& choice,
+                              net::HttpErrorKind kind) {
   const auto endpoint = net::ParseEndpoint(choice.address);
   return kind == net::HttpErrorKind::kClosed && endpoint.has_value() &&
-         state_.ends.HasEnded(choice.target, *endpoint);
+         state_.termination_detector.HasTerminated(choice.target, *endpoint);
 }
 
 // Answered{} stands for a head that is fit to be followed by its body.
 RelayCall::SendOutcome RelayCall::JudgeHead(const traffic::Choice& choice,
                                             const net::HttpResponseHead& head) {
-  const traffic::WireDialect& dialect = state_.dialect;
+  const traffic::WireDialect& header_names = state_.header_names;
   const TimePoint now = SteadyNow();
-  if (const auto text = head.headers.Find(dialect.load)) {
+  if (const auto text = head.headers.Find(header_names.load)) {
     if (const auto load = ReadLoad(*text)) {
       state_.targets.OnLoad(choice.target, load->running, load->waiting, now);
     }
   }
   HearLimit(choice, head);
   trail_ += " " + std::to_string(head.status);
-  const bool is_refusal = head.headers.Find(dialect.not_executed).has_value();
+  const bool is_refusal =
+      head.headers.Find(header_names.not_executed).has_value();
   if (head.status == net::status::kMisdirected || is_refusal) {
     const bool is_replaced = head.status == net::status::kMisdirected;
     EndAt(choice,
           is_replaced ? TargetOutcome::kReplaced : TargetOutcome::kFull);
     trail_ += " not_executed";
-    if (const auto at_fault = head.headers.Find(dialect.at_fault)) {
+    if (const auto at_fault = head.headers.Find(header_names.at_fault)) {
       trail_ += " at=" + std::string(*at_fault);
     }
     return NotServed{SendResult::kNotExecuted, "target refused"};
   }
-  const auto id = head.headers.Find(dialect.request_id);
+  const auto id = head.headers.Find(header_names.request_id);
   if (id.has_value() && *id != head_.request_id) {
     EndAt(choice, TargetOutcome::kFailed);
     trail_ += " other_answer";
     return NotServed{SendResult::kUnknown, "another request's answer"};
   }
   if (net::status::IsSuccess(head.status) &&
-      !head.headers.Find(dialect.signature)) {
+      !head.headers.Find(header_names.signature)) {
     EndAt(choice, TargetOutcome::kFailed);
     trail_ += " unsigned";
     return NotServed{SendResult::kUnknown, "no signature"};
@@ -446,7 +447,7 @@
 
 void RelayCall::Finish(std::string_view outcome, std::string_view why) {
   const TimePoint now = SteadyNow();
-  state_.figures.Note(service_, outcome, TimesAt(now));
+  state_.stats.Note(service_, outcome, TimesAt(now));
   trace_.End(head_.request_id, std::string(outcome));
   state_.log.Info(
       "Request.",
@@ -462,16 +463,16 @@
        {"first_ms", first_event_at_ == TimePoint{}
                         ? -1
                         : (first_event_at_ - arrived_).count() / 1000},
-       {"pause_ms", longest_pause_.count() / 1000},
+       {"pause_ms", max_pause_.count() / 1000},
        {"ms", (now - arrived_).count() / 1000}});
 }
 
 RequestTimes RelayCall::TimesAt(TimePoint now) const {
   RequestTimes times;
-  times.whole = now - arrived_;
+  times.total = now - arrived_;
   if (first_event_at_ != TimePoint{}) {
     times.first_event = first_event_at_ - arrived_;
-    times.longest_pause = longest_pause_;
+    times.max_pause = max_pause_;
   }
   return times;
 }
--- a/src/plugins/gateway/relay_call.h
+++ b/src/plugins/gateway/relay_call.h
@@ -57,7 +57,7 @@
                    const ForwardedHead& forwarded);
   SendOutcome Judge(const traffic::Choice& choice, const net::HttpError& error);
   // Whether the target has ended, whose connection broke.
-  bool HasEnded(const traffic::Choice& choice, net::HttpErrorKind kind);
+  bool HasTerminated(const traffic::Choice& choice, net::HttpErrorKind kind);
   SendOutcome JudgeHead(const traffic::Choice& choice,
                         const net::HttpResponseHead& head);
   SendOutcome TakeWhole(const traffic::Choice& choice,
@@ -136,7 +136,7 @@
   bool has_begun_ = false;
   TimePoint first_event_at_;
   TimePoint last_event_at_;
-  Duration longest_pause_{};
+  Duration max_pause_{};
   // What the log line tells of each send.
   std::string trail_;
 };
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -65,7 +65,7 @@
       AnswerHeldBack(judgement);
       return false;
     }
-    state_.news.WaitUntil(std::min(limit, SteadyNow() + kBetweenAsks));
+    state_.update_signal.WaitUntil(std::min(limit, SteadyNow() + kBetweenAsks));
   }
 }
 
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -22,10 +22,11 @@
 // one's limit.
 void RelayCall::HearLimit(const traffic::Choice& choice,
                           const net::HttpResponseHead& head) {
-  const traffic::WireDialect& dialect = state_.dialect;
-  const auto text = head.headers.Find(dialect.limit);
-  const bool is_its_own = head.headers.Find(dialect.signature).has_value() ||
-                          head.headers.Find(dialect.not_executed).has_value();
+  const traffic::WireDialect& header_names = state_.header_names;
+  const auto text = head.headers.Find(header_names.limit);
+  const bool is_its_own =
+      head.headers.Find(header_names.signature).has_value() ||
+      head.headers.Find(header_names.not_executed).has_value();
   if (head.status == net::status::kMisdirected || (!text && !is_its_own)) {
     return;
   }
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -38,7 +38,7 @@
   if (!splitter_.unfinished().empty() || !has_begun_) {
     EndAt(choice, TargetOutcome::kFailed);
     trail_ += " torn";
-    if (HasEnded(choice, net::HttpErrorKind::kClosed)) {
+    if (HasTerminated(choice, net::HttpErrorKind::kClosed)) {
       NoteEnd(choice);
       trail_ += " ended";
     }
@@ -55,7 +55,7 @@
                            const std::string& events) {
   const TimePoint now = SteadyNow();
   if (has_begun_) {
-    longest_pause_ = std::max(longest_pause_, now - last_event_at_);
+    max_pause_ = std::max(max_pause_, now - last_event_at_);
   }
   last_event_at_ = now;
   if (!has_begun_) {
--- a/src/plugins/gateway/request_figures.h
+++ b/src/plugins/gateway/request_figures.h
@@ -16,17 +16,16 @@
 
 // How one request went, as its caller saw it.
 struct RequestTimes {
-  Duration whole{};
+  Duration total{};
   // Of a stream: until its first event, and the longest pause after that.
   std::optional<Duration> first_event;
-  Duration longest_pause{};
+  Duration max_pause{};
 };
 
 // Belongs to the gateway's loop.
-class RequestFigures {
+class RequestStats {
  public:
-  explicit RequestFigures(telemetry::Registry& registry)
-      : registry_(registry) {}
+  explicit RequestStats(telemetry::Registry& registry) : registry_(registry) {}
 
   void Note(const ServiceId& service,
             std::string_view outcome,
@@ -34,17 +33,17 @@
 
  private:
   // Looked up once: a look-up by name costs more than the note.
-  struct OfService {
-    telemetry::Distribution* whole = nullptr;
+  struct ServiceStats {
+    telemetry::Distribution* total = nullptr;
     telemetry::Distribution* first_event = nullptr;
-    telemetry::Distribution* longest_pause = nullptr;
+    telemetry::Distribution* max_pause = nullptr;
     std::map<std::string, telemetry::Counter*, std::less<>> outcomes;
   };
 
-  OfService& FiguresOf(const ServiceId& service);
+  ServiceStats& StatsOf(const ServiceId& service);
 
   telemetry::Registry& registry_;
-  std::map<ServiceId, OfService> services_;
+  std::map<ServiceId, ServiceStats> services_;
 };
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/request_head.cc
+++ b/src/plugins/gateway/request_head.cc
@@ -61,14 +61,14 @@
 }  // namespace
 
 RequestHead ReadHead(const net::HttpRequest& request,
-                     const traffic::WireDialect& dialect) {
+                     const traffic::WireDialect& header_names) {
   RequestHead head;
   head.request_id =
-      std::string(request.headers.ValueOr(dialect.request_id, ""));
+      std::string(request.headers.ValueOr(header_names.request_id, ""));
   head.host = WithoutPort(request.headers.ValueOr("Host", ""));
   head.path = request.target.substr(0, request.target.find('?'));
-  head.key = std::string(request.headers.ValueOr(dialect.key, ""));
-  if (const auto text = request.headers.Find(dialect.deadline_ms)) {
+  head.key = std::string(request.headers.ValueOr(header_names.key, ""));
+  if (const auto text = request.headers.Find(header_names.deadline_ms)) {
     head.patience = ReadMilliseconds(*text);
   }
   return head;
@@ -76,7 +76,7 @@
 
 net::HttpRequest MakeTargetRequest(const net::HttpRequest& request,
                                    const ForwardedHead& head,
-                                   const traffic::WireDialect& dialect) {
+                                   const traffic::WireDialect& header_names) {
   net::HttpRequest forwarded;
   forwarded.method = request.method;
   forwarded.target = request.target;
@@ -86,15 +86,15 @@
     forwarded.headers.Remove(name);
   }
   forwarded.headers.Remove("Expect");
-  forwarded.headers.Remove(dialect.key);
-  forwarded.headers.Remove(dialect.workspace);
+  forwarded.headers.Remove(header_names.key);
+  forwarded.headers.Remove(header_names.workspace);
   if (!head.workspace.empty()) {
-    forwarded.headers.Add(dialect.workspace, head.workspace);
+    forwarded.headers.Add(header_names.workspace, head.workspace);
   }
-  forwarded.headers.Set(dialect.expected_target, head.target);
-  forwarded.headers.Set(dialect.deadline_ms,
+  forwarded.headers.Set(header_names.expected_target, head.target);
+  forwarded.headers.Set(header_names.deadline_ms,
                         std::to_string(head.time_left / Milliseconds(1)));
-  forwarded.headers.Set(dialect.priority,
+  forwarded.headers.Set(header_names.priority,
                         std::to_string(std::min(head.priority, kLeastUrgent)));
   if (!head.last_event_id.empty()) {
     forwarded.headers.Set("Last-Event-Id", head.last_event_id);
--- a/src/plugins/gateway/request_head.h
+++ b/src/plugins/gateway/request_head.h
@@ -23,7 +23,7 @@
 };
 
 RequestHead ReadHead(const net::HttpRequest& request,
-                     const traffic::WireDialect& dialect);
+                     const traffic::WireDialect& header_names);
 
 // What the gateway sets on a request to a target.
 struct ForwardedHead {
@@ -37,7 +37,7 @@
 
 net::HttpRequest MakeTargetRequest(const net::HttpRequest& request,
                                    const ForwardedHead& head,
-                                   const traffic::WireDialect& dialect);
+                                   const traffic::WireDialect& header_names);
 
 // A target's head without what concerns its connection alone.
 net::HttpResponseHead MakeCallerHead(const net::HttpResponseHead& head);
--- a/src/plugins/gateway/target_ends.cc
+++ b/src/plugins/gateway/target_ends.cc
@@ -11,40 +11,41 @@
 namespace {
 
 // The request waits for it before it is sent on.
-constexpr Duration kPatience = Milliseconds(100);
+constexpr Duration kConnectTimeout = Milliseconds(100);
 // The requests of one target break within this time of each other. Shorter
 // than any start of a process takes, which would listen again.
-constexpr Duration kMemory = Milliseconds(500);
+constexpr Duration kResultRetention = Milliseconds(500);
 
 }  // namespace
 
-bool TargetEnds::HasEnded(const TargetId& target,
-                          const net::Endpoint& endpoint) {
+bool TerminationDetector::HasTerminated(const TargetId& target,
+                                        const net::Endpoint& endpoint) {
   const TimePoint now = SteadyNow();
-  Forget(now);
+  RemoveExpired(now);
   const auto [found, is_new] = checks_.try_emplace(target);
   if (!is_new) {
-    const TimePoint limit = found->second.begun + kMemory;
-    while (checks_.count(target) > 0 && !checks_[target].is_over &&
+    const TimePoint limit = found->second.started_at + kResultRetention;
+    while (checks_.count(target) > 0 && !checks_[target].is_finished &&
            SteadyNow() < limit) {
-      over_.WaitUntil(limit);
+      check_finished_.WaitUntil(limit);
     }
     const auto check = checks_.find(target);
-    return check != checks_.end() && check->second.has_ended;
+    return check != checks_.end() && check->second.has_terminated;
   }
-  found->second.begun = now;
-  const net::PortState state = net::CheckPort(loop_, endpoint, kPatience);
+  found->second.started_at = now;
+  const net::PortState state = net::CheckPort(loop_, endpoint, kConnectTimeout);
   Check& check = checks_[target];
-  check.is_over = true;
-  check.has_ended = state == net::PortState::kClosed;
-  const bool has_ended = check.has_ended;
-  over_.NotifyAll();
-  return has_ended;
+  check.is_finished = true;
+  check.has_terminated = state == net::PortState::kClosed;
+  const bool has_terminated = check.has_terminated;
+  check_finished_.NotifyAll();
+  return has_terminated;
 }
 
-void TargetEnds::Forget(TimePoint now) {
+void TerminationDetector::RemoveExpired(TimePoint now) {
   std::erase_if(checks_, [now](const auto& item) {
-    return item.second.is_over && now - item.second.begun > kMemory;
+    return item.second.is_finished &&
+           now - item.second.started_at > kResultRetention;
   });
 }
 
--- a/src/plugins/gateway/target_ends.h
+++ b/src/plugins/gateway/target_ends.h
@@ -19,27 +19,27 @@
 // A connection may break because the target ended, because a rank elsewhere in
 // its group did, or on the way. Only in the first case does nobody listen at
 // its address any more. Belongs to the gateway's loop.
-class TargetEnds {
+class TerminationDetector {
  public:
-  explicit TargetEnds(net::NetworkLoop& loop) : loop_(loop) {}
+  explicit TerminationDetector(net::NetworkLoop& loop) : loop_(loop) {}
 
   // Whether the target, a connection to which has just broken, has ended.
   // Suspends the calling fiber. Those who ask at the same moment share one
   // connection.
-  bool HasEnded(const TargetId& target, const net::Endpoint& endpoint);
+  bool HasTerminated(const TargetId& target, const net::Endpoint& endpoint);
 
  private:
   struct Check {
-    TimePoint begun;
-    bool is_over = false;
-    bool has_ended = false;
+    TimePoint started_at;
+    bool is_finished = false;
+    bool has_terminated = false;
   };
 
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
   net::NetworkLoop& loop_;
   std::map<TargetId, Check> checks_;
-  net::FiberSignal over_;
+  net::FiberSignal check_finished_;
 };
 
 }  // namespace bilberryspool::gateway
--- a/tests/auto/gateway/request_figures_test.cc
+++ b/tests/auto/gateway/request_figures_test.cc
@@ -11,12 +11,12 @@
 
 TEST_CASE("requests are counted by service and outcome") {
   telemetry::Registry registry;
-  RequestFigures figures(registry);
+  RequestStats stats(registry);
   RequestTimes plain;
-  plain.whole = Milliseconds(250);
-  figures.Note(ServiceId("a"), "served", plain);
-  figures.Note(ServiceId("a"), "served", plain);
-  figures.Note(ServiceId("b"), "refused", plain);
+  plain.total = Milliseconds(250);
+  stats.Note(ServiceId("a"), "served", plain);
+  stats.Note(ServiceId("a"), "served", plain);
+  stats.Note(ServiceId("b"), "refused", plain);
   CHECK(Shows(registry,
               "bilberryspool_requests_total{outcome=\"served\",service=\"a\"} "
               "2"));
@@ -31,13 +31,13 @@
 
 TEST_CASE("only requests that had an event count among first events") {
   telemetry::Registry registry;
-  RequestFigures figures(registry);
+  RequestStats stats(registry);
   RequestTimes stream;
-  stream.whole = Seconds(1);
+  stream.total = Seconds(1);
   stream.first_event = Milliseconds(500);
-  stream.longest_pause = Milliseconds(125);
-  figures.Note(ServiceId("a"), "served", stream);
-  figures.Note(ServiceId("a"), "refused", RequestTimes{});
+  stream.max_pause = Milliseconds(125);
+  stats.Note(ServiceId("a"), "served", stream);
+  stats.Note(ServiceId("a"), "refused", RequestTimes{});
   CHECK(Shows(registry,
               "bilberryspool_first_event_seconds_count{service=\"a\"} 1"));
   CHECK(Shows(registry,
