--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -17,14 +17,14 @@
 namespace {
 
 // Where nothing else tells when a place will be free.
-constexpr Duration kComeBack = Milliseconds(1000);
+constexpr Duration kDefaultRetryAfter = Milliseconds(1000);
 
 // What is kept back of a caller's time for the answer: a few ways to the
 // caller, 1 to 3 ms each, and the turn of a busy process.
 constexpr Duration kAnswerTime = Milliseconds(50);
 
 // A request whose caller names no time and whose route is unknown yet.
-constexpr Duration kDefaultPatience = Seconds(8);
+constexpr Duration kDefaultTimeout = Seconds(8);
 
 bool IsEventStream(const net::HttpResponseHead& head) {
   return head.headers.ValueOr("Content-Type", "")
@@ -43,7 +43,7 @@
     : state_(state),
       exchange_(exchange),
       arrived_(SteadyNow()),
-      give_up_at_(arrived_ + kDefaultPatience),
+      deadline_(arrived_ + kDefaultTimeout),
       head_(ReadHead(exchange.request(), state.header_names)),
       routes_(state.routes),
       trace_(state.tracing, exchange.request().headers, state.random),
@@ -52,7 +52,7 @@
 void RelayCall::Run() {
   ++state_.requests_in_progress;
   if (Admit()) {
-    exchange_.WatchCaller([this] { OnCallerLeft(); });
+    exchange_.WatchCaller([this] { OnCallerDisconnected(); });
     Relay();
   }
   --state_.requests_in_progress;
@@ -61,7 +61,7 @@
 // Finds the route; answers where there is none.
 bool RelayCall::Admit() {
   if (routes_ == nullptr) {
-    Refuse(kComeBack, "no configuration yet");
+    Refuse(kDefaultRetryAfter, "no configuration yet");
     return false;
   }
   const auto outcome = routes_->Match(head_.host, head_.path, head_.key);
@@ -74,9 +74,9 @@
     return false;
   }
   match_ = std::get<traffic::RouteMatch>(outcome);
-  give_up_at_ =
+  deadline_ =
       arrived_ + std::min(match_.route->timeout,
-                          head_.patience.value_or(match_.route->timeout));
+                          head_.wait_timeout.value_or(match_.route->timeout));
   service_ = traffic::ChooseService(*match_.route, state_.random.Fraction());
   fingerprint_ = Fingerprint();
   return true;
@@ -102,14 +102,14 @@
       Finish("caller_left", "while the group was forming");
       return;
     }
-    if (!AwaitLeave()) {
+    if (!AwaitRunPermission()) {
       return;
     }
     state_.grants.AcquireGrant(service_, tried_);
     const auto chosen = state_.targets.Choose(service_, tried_, SteadyNow());
-    if (const auto* why = std::get_if<traffic::NoChoice>(&chosen)) {
+    if (const auto* reason = std::get_if<traffic::NoChoice>(&chosen)) {
       EndTrial();
-      AnswerNoTarget(*why);
+      AnswerNoTarget(*reason);
       return;
     }
     const auto& choice = std::get<traffic::Choice>(chosen);
@@ -121,11 +121,12 @@
       Finish("served", "");
       return;
     }
-    if (std::holds_alternative<CallerLeft>(outcome) || caller_left_) {
+    if (std::holds_alternative<CallerDisconnected>(outcome) ||
+        caller_disconnected_) {
       Finish("caller_left", "");
       return;
     }
-    if (std::holds_alternative<BrokenOff>(outcome)) {
+    if (std::holds_alternative<AnswerAborted>(outcome)) {
       exchange_.AbortStream();
       Finish("broken_off", "");
       return;
@@ -133,7 +134,7 @@
     const auto& failed = std::get<NotServed>(outcome);
     const RelayStep step = StepAfter(failed);
     if (step != RelayStep::kSendAgain) {
-      AnswerStep(step, failed.why);
+      AnswerStep(step, failed.reason);
       return;
     }
   }
@@ -145,11 +146,10 @@
   // A group that fails to form is no reason to keep anyone waiting. Two ranks
   // that return one after the other took 1.06 s; of 2,207 requests that waited
   // 1,887 were served and 99 refused, after 0.54 s at most.
-  constexpr Duration kLongestWait = Milliseconds(1200);
+  constexpr Duration kMaxWait = Milliseconds(1200);
   const TimePoint began = SteadyNow();
-  const TimePoint limit =
-      std::min(began + kLongestWait, give_up_at_ - kAnswerTime);
-  while (!caller_left_ && SteadyNow() < limit &&
+  const TimePoint limit = std::min(began + kMaxWait, deadline_ - kAnswerTime);
+  while (!caller_disconnected_ && SteadyNow() < limit &&
          state_.targets.OutlookOf(service_, SteadyNow()) ==
              traffic::Outlook::kForming) {
     state_.update_signal.WaitUntil(
@@ -159,7 +159,7 @@
   if (waited > 0) {
     trail_ += "(waited " + std::to_string(waited) + " ms for the group)";
   }
-  return !caller_left_;
+  return !caller_disconnected_;
 }
 
 RelayStep RelayCall::StepAfter(const NotServed& failed) {
@@ -181,9 +181,9 @@
     relay.allowed_sends = sends_;
   }
   RelayStep step = traffic::NextStep(relay);
-  const bool has_retry = std::exchange(has_retry_, false);
+  const bool is_retry_charged = std::exchange(is_retry_charged_, false);
   if (step == RelayStep::kSendAgain && failed.result != SendResult::kNotSent &&
-      !has_retry && !MayRetry()) {
+      !is_retry_charged && !MayRetry()) {
     trail_ += "(budget)";
     relay.allowed_sends = sends_;
     step = traffic::NextStep(relay);
@@ -207,16 +207,16 @@
   forwarded.target = choice.target.value();
   forwarded.time_left = time_left();
   forwarded.priority = match_.priority;
-  if (has_begun_ && splitter_.last_id().has_value()) {
+  if (has_stream_started_ && splitter_.last_id().has_value()) {
     forwarded.last_event_id = *splitter_.last_id();
   }
   const auto endpoint = net::ParseEndpoint(choice.address);
   if (!endpoint.has_value()) {
-    EndAt(choice, TargetOutcome::kFailed);
+    FinishSend(choice, TargetOutcome::kFailed);
     return NotServed{SendResult::kNotSent, "no address"};
   }
-  asked_ = choice.target;
-  has_left_target_ = false;
+  current_target_ = choice.target;
+  has_abandoned_target_ = false;
   cancellation_ = std::make_shared<net::Cancellation>();
   state_.waiting.insert(this);
   SendOutcome outcome = Send(choice, *endpoint, forwarded);
@@ -232,52 +232,54 @@
       MakeTargetRequest(exchange_.request(), forwarded, state_.header_names);
   trace_.StartSend(request);
   auto opened =
-      state_.client.Open(endpoint, request, patience(), cancellation_);
+      state_.client.Open(endpoint, request, wait_timeout(), cancellation_);
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
-    return Judge(choice, *error);
+    return EvaluateError(choice, *error);
   }
   auto& stream = *std::get<std::unique_ptr<net::HttpClientStream>>(opened);
   open_stream_ = &stream;
-  SendOutcome outcome = JudgeHead(choice, stream.head());
+  SendOutcome outcome = EvaluateHead(choice, stream.head());
   if (const auto* failed = std::get_if<NotServed>(&outcome);
       failed == nullptr) {
     state_.targets.OnFirstByte(choice.target, SteadyNow() - sent_at,
                                SteadyNow());
     const bool is_stream = match_.route->kind == traffic::RequestKind::kStream;
     outcome = is_stream && IsEventStream(stream.head())
-                  ? TakeStream(choice, stream)
-                  : TakeWhole(choice, stream);
+                  ? RelayStream(choice, stream)
+                  : RelayWholeAnswer(choice, stream);
   }
   open_stream_ = nullptr;
   return outcome;
 }
 
 // No head came.
-RelayCall::SendOutcome RelayCall::Judge(const traffic::Choice& choice,
-                                        const net::HttpError& error) {
-  if (caller_left_) {
+RelayCall::SendOutcome RelayCall::EvaluateError(const traffic::Choice& choice,
+                                                const net::HttpError& error) {
+  if (caller_disconnected_) {
     // Its caller's patience says nothing of a target, its own silence does.
     const bool is_silent = state_.targets.IsSuspect(choice.target, SteadyNow());
-    EndAt(choice, is_silent ? TargetOutcome::kFailed : TargetOutcome::kGood);
-    return CallerLeft{};
+    FinishSend(choice,
+               is_silent ? TargetOutcome::kFailed : TargetOutcome::kGood);
+    return CallerDisconnected{};
   }
   if (has_lost_target_) {
-    EndAt(choice, TargetOutcome::kFailed);
+    FinishSend(choice, TargetOutcome::kFailed);
     trail_ += " left:missing";
     return NotServed{SendResult::kUnknown, "the target answers nobody"};
   }
-  if (has_left_target_) {
+  if (has_abandoned_target_) {
     // A slow target has not failed.
-    EndAt(choice, has_retry_ ? TargetOutcome::kGood : TargetOutcome::kFailed);
-    const std::string why = has_retry_ ? "slow" : "silent";
-    trail_ += " left:" + why;
-    return NotServed{SendResult::kUnknown, "left a target that is " + why};
+    FinishSend(choice, is_retry_charged_ ? TargetOutcome::kGood
+                                         : TargetOutcome::kFailed);
+    const std::string reason = is_retry_charged_ ? "slow" : "silent";
+    trail_ += " left:" + reason;
+    return NotServed{SendResult::kUnknown, "left a target that is " + reason};
   }
-  EndAt(choice, TargetOutcome::kFailed);
+  FinishSend(choice, TargetOutcome::kFailed);
   const bool is_unsent = error.kind == net::HttpErrorKind::kConnect;
   const bool has_terminated = HasTerminated(choice, error.kind);
   if (has_terminated) {
-    NoteEnd(choice);
+    ReportTermination(choice);
   }
   trail_ += is_unsent ? " unreachable" : " no_head:" + error.text;
   trail_ += has_terminated ? " ended" : "";
@@ -293,8 +295,9 @@
 }
 
 // Answered{} stands for a head that is fit to be followed by its body.
-RelayCall::SendOutcome RelayCall::JudgeHead(const traffic::Choice& choice,
-                                            const net::HttpResponseHead& head) {
+RelayCall::SendOutcome RelayCall::EvaluateHead(
+    const traffic::Choice& choice,
+    const net::HttpResponseHead& head) {
   const traffic::WireDialect& header_names = state_.header_names;
   const TimePoint now = SteadyNow();
   if (const auto text = head.headers.Find(header_names.load)) {
@@ -302,14 +305,14 @@
       state_.targets.OnLoad(choice.target, load->running, load->waiting, now);
     }
   }
-  HearLimit(choice, head);
+  UpdateDeclaredLimit(choice, head);
   trail_ += " " + std::to_string(head.status);
   const bool is_refusal =
       head.headers.Find(header_names.not_executed).has_value();
   if (head.status == net::status::kMisdirected || is_refusal) {
     const bool is_replaced = head.status == net::status::kMisdirected;
-    EndAt(choice,
-          is_replaced ? TargetOutcome::kReplaced : TargetOutcome::kFull);
+    FinishSend(choice,
+               is_replaced ? TargetOutcome::kReplaced : TargetOutcome::kFull);
     trail_ += " not_executed";
     if (const auto at_fault = head.headers.Find(header_names.at_fault)) {
       trail_ += " at=" + std::string(*at_fault);
@@ -318,51 +321,52 @@
   }
   const auto id = head.headers.Find(header_names.request_id);
   if (id.has_value() && *id != head_.request_id) {
-    EndAt(choice, TargetOutcome::kFailed);
+    FinishSend(choice, TargetOutcome::kFailed);
     trail_ += " other_answer";
     return NotServed{SendResult::kUnknown, "another request's answer"};
   }
   if (net::status::IsSuccess(head.status) &&
       !head.headers.Find(header_names.signature)) {
-    EndAt(choice, TargetOutcome::kFailed);
+    FinishSend(choice, TargetOutcome::kFailed);
     trail_ += " unsigned";
     return NotServed{SendResult::kUnknown, "no signature"};
   }
   return Answered{};
 }
 
-RelayCall::SendOutcome RelayCall::TakeWhole(const traffic::Choice& choice,
-                                            net::HttpClientStream& stream) {
+RelayCall::SendOutcome RelayCall::RelayWholeAnswer(
+    const traffic::Choice& choice,
+    net::HttpClientStream& stream) {
   std::string body;
   while (true) {
-    net::StreamPiece piece = stream.Read(patience());
+    net::StreamPiece piece = stream.Read(wait_timeout());
     if (const auto* bytes = std::get_if<std::string>(&piece)) {
       body += *bytes;
       continue;
     }
     if (const auto* error = std::get_if<net::HttpError>(&piece)) {
-      return Judge(choice, *error);
+      return EvaluateError(choice, *error);
     }
     break;
   }
-  NoteCompleted();
+  ReportCompletion();
   const net::HttpResponseHead& head = stream.head();
   if (head.status >= net::status::kServerError) {
-    EndAt(choice, TargetOutcome::kFailed);
+    FinishSend(choice, TargetOutcome::kFailed);
     failure_ = net::HttpResponse{MakeCallerHead(head), std::move(body)};
     return NotServed{SendResult::kFailed,
                      "target answered " + std::to_string(head.status)};
   }
-  EndAt(choice, TargetOutcome::kGood);
-  if (has_begun_) {
-    return BrokenOff{};
+  FinishSend(choice, TargetOutcome::kGood);
+  if (has_stream_started_) {
+    return AnswerAborted{};
   }
   exchange_.Respond(MakeCallerHead(head), body);
   return Answered{};
 }
 
-void RelayCall::AnswerNoTarget(traffic::NoChoice why) {
-  if (has_begun_) {
+void RelayCall::AnswerNoTarget(traffic::NoChoice reason) {
+  if (has_stream_started_) {
     exchange_.AbortStream();
     Finish("broken_off", "no target to go on at");
     return;
@@ -375,39 +379,39 @@
     Fail(net::status::kBadGateway, "no other target");
     return;
   }
-  switch (why) {
+  switch (reason) {
     case traffic::NoChoice::kNone:
-      Refuse(kComeBack, "no target");
+      Refuse(kDefaultRetryAfter, "no target");
       return;
     case traffic::NoChoice::kFull:
       RefuseFull();
       return;
     case traffic::NoChoice::kResting:
-      Refuse(ComeBackLater(), "all targets failed lately");
+      Refuse(RetryAfter(), "all targets failed lately");
       return;
   }
 }
 
-void RelayCall::AnswerStep(RelayStep step, const std::string& why) {
-  if (has_begun_) {
+void RelayCall::AnswerStep(RelayStep step, const std::string& reason) {
+  if (has_stream_started_) {
     exchange_.AbortStream();
-    Finish("broken_off", why);
+    Finish("broken_off", reason);
     return;
   }
   switch (step) {
     case RelayStep::kPassFailureOn:
       exchange_.Respond(failure_->head, failure_->body);
-      Finish("target_failed", why);
+      Finish("target_failed", reason);
       return;
     case RelayStep::kRefuse:
-      Refuse(ComeBackLater(), why);
+      Refuse(RetryAfter(), reason);
       return;
     case RelayStep::kFailInTime:
-      Fail(net::status::kGatewayTimeout, why);
+      Fail(net::status::kGatewayTimeout, reason);
       return;
     case RelayStep::kFail:
     case RelayStep::kSendAgain:
-      Fail(net::status::kBadGateway, why);
+      Fail(net::status::kBadGateway, reason);
       return;
   }
 }
@@ -415,37 +419,37 @@
 // Callers come back once and honour up to a third of their time. What refuses
 // them now, a group that forms anew or a queue that drains, takes seconds, so
 // they are asked to use most of that third.
-Duration RelayCall::ComeBackLater() {
-  constexpr double kEarliest = 0.3;
-  constexpr double kLatest = 0.33;
+Duration RelayCall::RetryAfter() {
+  constexpr double kMinShare = 0.3;
+  constexpr double kMaxShare = 0.33;
   const double share =
-      kEarliest + (kLatest - kEarliest) * state_.random.Fraction();
-  const Duration patience = head_.patience.value_or(kDefaultPatience);
+      kMinShare + (kMaxShare - kMinShare) * state_.random.Fraction();
+  const Duration wait_timeout = head_.wait_timeout.value_or(kDefaultTimeout);
   const double left = ToSeconds(
-      std::max(patience - (SteadyNow() - arrived_), Duration::zero()));
+      std::max(wait_timeout - (SteadyNow() - arrived_), Duration::zero()));
   constexpr double kMicrosecondsPerSecond = 1e6;
   return Microseconds(
       static_cast<std::int64_t>(left * share * kMicrosecondsPerSecond));
 }
 
-void RelayCall::Refuse(Duration come_back, std::string_view why) {
+void RelayCall::Refuse(Duration retry_after, std::string_view reason) {
   net::HttpResponseHead head;
   head.status = net::status::kUnavailable;
   head.headers.Add("Content-Type", "text/plain");
-  head.headers.Add("Retry-After", ToSecondsText(come_back));
+  head.headers.Add("Retry-After", ToSecondsText(retry_after));
   exchange_.Respond(std::move(head), "not run; come back later\n");
-  Finish("refused", why);
+  Finish("refused", reason);
 }
 
-void RelayCall::Fail(int status, std::string_view why) {
+void RelayCall::Fail(int status, std::string_view reason) {
   net::HttpResponseHead head;
   head.status = status;
   head.headers.Add("Content-Type", "text/plain");
-  exchange_.Respond(std::move(head), std::string(why) + "\n");
-  Finish("failed_" + std::to_string(status), why);
+  exchange_.Respond(std::move(head), std::string(reason) + "\n");
+  Finish("failed_" + std::to_string(status), reason);
 }
 
-void RelayCall::Finish(std::string_view outcome, std::string_view why) {
+void RelayCall::Finish(std::string_view outcome, std::string_view reason) {
   const TimePoint now = SteadyNow();
   state_.stats.Note(service_, outcome, TimesAt(now));
   trace_.End(head_.request_id, std::string(outcome));
@@ -453,7 +457,7 @@
       "Request.",
       {{"id", head_.request_id},
        {"outcome", outcome},
-       {"why", why},
+       {"why", reason},
        {"route", match_.route == nullptr ? "" : match_.route->name},
        {"service", service_.value()},
        {"content", fingerprint_.ToText()},
@@ -482,22 +486,22 @@
 }
 
 Duration RelayCall::time_left() const {
-  return std::max(give_up_at_ - SteadyNow(), Duration::zero());
+  return std::max(deadline_ - SteadyNow(), Duration::zero());
 }
 
 // Silence alone is no reason to end an answer sooner: a group that stands still
 // goes on. ReviewTarget() knows more.
-Duration RelayCall::patience() const {
+Duration RelayCall::wait_timeout() const {
   return std::max(time_left(), Milliseconds(1));
 }
 
 // Runs on the loop's dispatcher, which must not be suspended.
-void RelayCall::OnCallerLeft() {
-  caller_left_ = true;
-  BreakOff();
+void RelayCall::OnCallerDisconnected() {
+  caller_disconnected_ = true;
+  CancelSend();
 }
 
-void RelayCall::BreakOff() {
+void RelayCall::CancelSend() {
   if (open_stream_ != nullptr) {
     open_stream_->Cancel();
     return;
@@ -506,52 +510,54 @@
 }
 
 void RelayCall::ReviewTarget(TimePoint now) {
-  if (!caller_left_ && !has_lost_target_ && IsTargetLost(now)) {
+  if (!caller_disconnected_ && !has_lost_target_ && IsTargetLost(now)) {
     has_lost_target_ = true;
-    BreakOff();
+    CancelSend();
     return;
   }
   const bool may_move_on =
       match_.route->may_repeat() && sends_ < match_.route->attempts;
-  if (!may_move_on || caller_left_ || has_left_target_) {
+  if (!may_move_on || caller_disconnected_ || has_abandoned_target_) {
     return;
   }
   if (IsTargetSilent(now)) {
-    LeaveTarget();
+    AbandonTarget();
     return;
   }
   // A stream that a slow target still serves must not end for want of a retry.
-  if (state_.targets.ShouldBeLeft(asked_, tried_, now) && MayRetry()) {
-    has_retry_ = true;
-    LeaveTarget();
+  if (state_.targets.ShouldBeLeft(current_target_, tried_, now) && MayRetry()) {
+    is_retry_charged_ = true;
+    AbandonTarget();
   }
 }
 
-void RelayCall::LeaveTarget() {
-  has_left_target_ = true;
-  BreakOff();
+void RelayCall::AbandonTarget() {
+  has_abandoned_target_ = true;
+  CancelSend();
 }
 
 bool RelayCall::IsTargetSilent(TimePoint now) const {
-  return state_.targets.IsSuspect(asked_, now) || IsConnectionSilent(now);
+  return state_.targets.IsSuspect(current_target_, now) ||
+         IsConnectionSilent(now);
 }
 
 // The target may be well and only this connection dead: it carries nothing
 // more, and neither end is told. Callers leave after two seconds without an
 // event; going on elsewhere before that saves the stream.
 bool RelayCall::IsConnectionSilent(TimePoint now) const {
-  constexpr Duration kLongestSilence = Milliseconds(1600);
-  return has_begun_ && now - last_event_at_ > kLongestSilence &&
+  constexpr Duration kMaxSilence = Milliseconds(1600);
+  return has_stream_started_ && now - last_event_at_ > kMaxSilence &&
          state_.targets.HasGoneOn(service_, last_event_at_, now);
 }
 
 bool RelayCall::IsTargetLost(TimePoint now) const {
-  const TimePoint waits_since = has_begun_ ? last_event_at_ : arrived_;
+  const TimePoint waits_since = has_stream_started_ ? last_event_at_ : arrived_;
   return traffic::IsTargetLost(
-      {now - waits_since, state_.targets.IsMissing(asked_)});
+      {now - waits_since, state_.targets.IsMissing(current_target_)});
 }
 
-void RelayCall::EndAt(const traffic::Choice& choice, TargetOutcome outcome) {
+void RelayCall::FinishSend(const traffic::Choice& choice,
+                           TargetOutcome outcome) {
   trace_.EndSend(choice.target.value(),
                  outcome == TargetOutcome::kGood ? "" : "not served");
   state_.targets.OnEnded(choice.target, outcome, SteadyNow());
--- a/src/plugins/gateway/relay_call.h
+++ b/src/plugins/gateway/relay_call.h
@@ -35,15 +35,16 @@
   // A target's whole answer that is passed on.
   struct Answered {};
   // The caller has left: nobody is there to answer.
-  struct CallerLeft {};
+  struct CallerDisconnected {};
   // The answer was begun and can't be finished.
-  struct BrokenOff {};
+  struct AnswerAborted {};
   // No success; the failure, if the target gave one, is kept in `failure_`.
   struct NotServed {
     traffic::SendResult result;
-    std::string why;
+    std::string reason;
   };
-  using SendOutcome = std::variant<Answered, CallerLeft, BrokenOff, NotServed>;
+  using SendOutcome =
+      std::variant<Answered, CallerDisconnected, AnswerAborted, NotServed>;
 
   // relay_call.cc
   bool Admit();
@@ -55,57 +56,60 @@
   SendOutcome Send(const traffic::Choice& choice,
                    const net::Endpoint& endpoint,
                    const ForwardedHead& forwarded);
-  SendOutcome Judge(const traffic::Choice& choice, const net::HttpError& error);
+  SendOutcome EvaluateError(const traffic::Choice& choice,
+                            const net::HttpError& error);
   // Whether the target has ended, whose connection broke.
   bool HasTerminated(const traffic::Choice& choice, net::HttpErrorKind kind);
-  SendOutcome JudgeHead(const traffic::Choice& choice,
-                        const net::HttpResponseHead& head);
-  SendOutcome TakeWhole(const traffic::Choice& choice,
-                        net::HttpClientStream& stream);
-  void AnswerNoTarget(traffic::NoChoice why);
-  void AnswerStep(traffic::RelayStep step, const std::string& why);
-  Duration ComeBackLater();
-  void Refuse(Duration come_back, std::string_view why);
-  void Fail(int status, std::string_view why);
-  void Finish(std::string_view outcome, std::string_view why);
+  SendOutcome EvaluateHead(const traffic::Choice& choice,
+                           const net::HttpResponseHead& head);
+  SendOutcome RelayWholeAnswer(const traffic::Choice& choice,
+                               net::HttpClientStream& stream);
+  void AnswerNoTarget(traffic::NoChoice reason);
+  void AnswerStep(traffic::RelayStep step, const std::string& reason);
+  Duration RetryAfter();
+  void Refuse(Duration retry_after, std::string_view reason);
+  void Fail(int status, std::string_view reason);
+  void Finish(std::string_view outcome, std::string_view reason);
   bool MayRetry();
   Duration time_left() const;
   // How long the next sign of a target may take.
-  Duration patience() const;
-  void OnCallerLeft();
-  void BreakOff();
+  Duration wait_timeout() const;
+  void OnCallerDisconnected();
+  void CancelSend();
   bool IsTargetSilent(TimePoint now) const;
   bool IsConnectionSilent(TimePoint now) const;
   // Whether the caller is about to leave a target that can't be told so.
   bool IsTargetLost(TimePoint now) const;
-  void LeaveTarget();
-  void EndAt(const traffic::Choice& choice, traffic::TargetOutcome outcome);
+  void AbandonTarget();
+  void FinishSend(const traffic::Choice& choice,
+                  traffic::TargetOutcome outcome);
   RequestTimes TimesAt(TimePoint now) const;
 
   // relay_call_limits.cc
   // What the answer says of the target's limit for all callers.
-  void HearLimit(const traffic::Choice& choice,
-                 const net::HttpResponseHead& head);
+  void UpdateDeclaredLimit(const traffic::Choice& choice,
+                           const net::HttpResponseHead& head);
   void RefuseFull();
 
   // relay_call_leave.cc
   // Whether the request may be sent now; answers where it may not.
-  bool AwaitLeave();
+  bool AwaitRunPermission();
   void AnswerQuarantined(const quarantine::Judgement& judgement);
-  void AnswerHeldBack(const quarantine::Judgement& judgement);
-  void NoteEnd(const traffic::Choice& choice);
-  void NoteCompleted();
+  void AnswerNotPermitted(const quarantine::Judgement& judgement);
+  void ReportTermination(const traffic::Choice& choice);
+  void ReportCompletion();
   void EndTrial();
 
   // relay_call_streams.cc
-  SendOutcome TakeStream(const traffic::Choice& choice,
-                         net::HttpClientStream& stream);
-  bool PassEvents(const net::HttpResponseHead& head, const std::string& events);
+  SendOutcome RelayStream(const traffic::Choice& choice,
+                          net::HttpClientStream& stream);
+  bool RelayEvents(const net::HttpResponseHead& head,
+                   const std::string& events);
 
   GatewayState& state_;
   net::HttpExchange& exchange_;
   TimePoint arrived_;
-  TimePoint give_up_at_;
+  TimePoint deadline_;
   RequestHead head_;
   // Keeps the route alive when a newer configuration comes.
   std::shared_ptr<const traffic::RouteTable> routes_;
@@ -116,16 +120,16 @@
   std::set<TargetId> tried_;
   std::uint32_t sends_ = 0;
   bool may_have_run_ = false;
-  bool caller_left_ = false;
+  bool caller_disconnected_ = false;
   // The name of the present run where it needed leave; else empty.
   std::string trial_;
   // The target of the present send, and whether it was left for another.
-  TargetId asked_;
-  bool has_left_target_ = false;
+  TargetId current_target_;
+  bool has_abandoned_target_ = false;
   // The present send was given up since its target answers nobody.
   bool has_lost_target_ = false;
   // The retry budget has been asked already for the send that follows.
-  bool has_retry_ = false;
+  bool is_retry_charged_ = false;
   RequestTrace trace_;
   std::shared_ptr<net::Cancellation> cancellation_;
   net::HttpClientStream* open_stream_ = nullptr;
@@ -133,7 +137,7 @@
   std::optional<net::HttpResponse> failure_;
   // Streams.
   traffic::EventSplitter splitter_;
-  bool has_begun_ = false;
+  bool has_stream_started_ = false;
   TimePoint first_event_at_;
   TimePoint last_event_at_;
   Duration max_pause_{};
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -15,10 +15,10 @@
 
 // A run that is under way elsewhere takes longer than this as a rule; what
 // clears a popular request comes sooner.
-constexpr Duration kLongestWait = Milliseconds(400);
+constexpr Duration kMaxWait = Milliseconds(400);
 // Kept back of the caller's time for the answer.
 constexpr Duration kAnswerTime = Milliseconds(50);
-constexpr Duration kBetweenAsks = Milliseconds(100);
+constexpr Duration kPermissionRetryInterval = Milliseconds(100);
 
 std::string Describe(const quarantine::Judgement& judgement) {
   const auto ms = [](Duration duration) {
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-bool RelayCall::AwaitLeave() {
+bool RelayCall::AwaitRunPermission() {
   const TimePoint limit =
-      std::min(SteadyNow() + kLongestWait, give_up_at_ - kAnswerTime);
+      std::min(SteadyNow() + kMaxWait, deadline_ - kAnswerTime);
   while (true) {
     const quarantine::Judgement judgement =
         state_.quarantine.Judge(fingerprint_, SteadyNow());
@@ -57,24 +57,25 @@
       trail_ += "(one at a time)";
       return true;
     }
-    if (caller_left_) {
+    if (caller_disconnected_) {
       Finish("caller_left", "while another run was under way");
       return false;
     }
     if (!is_worth_a_run || SteadyNow() >= limit) {
-      AnswerHeldBack(judgement);
+      AnswerNotPermitted(judgement);
       return false;
     }
-    state_.update_signal.WaitUntil(std::min(limit, SteadyNow() + kBetweenAsks));
+    state_.update_signal.WaitUntil(
+        std::min(limit, SteadyNow() + kPermissionRetryInterval));
   }
 }
 
 // It has run, and no caller is asked to come back: a final answer.
 void RelayCall::AnswerQuarantined(const quarantine::Judgement& judgement) {
-  const std::string why = "quarantined: " + Describe(judgement);
-  if (has_begun_) {
+  const std::string reason = "quarantined: " + Describe(judgement);
+  if (has_stream_started_) {
     exchange_.AbortStream();
-    Finish("broken_off", why);
+    Finish("broken_off", reason);
     return;
   }
   net::HttpResponseHead head;
@@ -83,28 +84,28 @@
   exchange_.Respond(std::move(head),
                     "targets ended when they ran this request; it is refused "
                     "for a while\n");
-  Finish("quarantined", why);
+  Finish("quarantined", reason);
 }
 
-void RelayCall::AnswerHeldBack(const quarantine::Judgement& judgement) {
-  const std::string why = "runs one at a time: " + Describe(judgement);
-  if (has_begun_) {
+void RelayCall::AnswerNotPermitted(const quarantine::Judgement& judgement) {
+  const std::string reason = "runs one at a time: " + Describe(judgement);
+  if (has_stream_started_) {
     exchange_.AbortStream();
-    Finish("broken_off", why);
+    Finish("broken_off", reason);
     return;
   }
   if (failure_.has_value()) {
-    AnswerStep(traffic::RelayStep::kPassFailureOn, why);
+    AnswerStep(traffic::RelayStep::kPassFailureOn, reason);
     return;
   }
   if (may_have_run_ && !match_.route->may_repeat()) {
-    Fail(net::status::kBadGateway, why);
+    Fail(net::status::kBadGateway, reason);
     return;
   }
-  Refuse(ComeBackLater(), why);
+  Refuse(RetryAfter(), reason);
 }
 
-void RelayCall::NoteEnd(const traffic::Choice& choice) {
+void RelayCall::ReportTermination(const traffic::Choice& choice) {
   quarantine::EndObserved end;
   end.request = fingerprint_;
   end.service = service_;
@@ -113,7 +114,7 @@
   state_.quarantine.OnEnd(end, SteadyNow());
 }
 
-void RelayCall::NoteCompleted() {
+void RelayCall::ReportCompletion() {
   state_.quarantine.OnCompleted(fingerprint_, SteadyNow());
 }
 
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -14,14 +14,14 @@
 namespace {
 
 // The earliest that a caller is asked to come back.
-constexpr Duration kSoonest = Milliseconds(100);
+constexpr Duration kMinRetryAfter = Milliseconds(100);
 
 }  // namespace
 
 // An answer that no target signed, or of another target, says nothing of this
 // one's limit.
-void RelayCall::HearLimit(const traffic::Choice& choice,
-                          const net::HttpResponseHead& head) {
+void RelayCall::UpdateDeclaredLimit(const traffic::Choice& choice,
+                                    const net::HttpResponseHead& head) {
   const traffic::WireDialect& header_names = state_.header_names;
   const auto text = head.headers.Find(header_names.limit);
   const bool is_its_own =
@@ -38,9 +38,9 @@
       return;
     }
   }
-  const bool is_news = state_.targets.limits().Hear(
+  const bool is_changed = state_.targets.limits().Hear(
       {choice.target, choice.incarnation}, limit, SteadyNow());
-  if (is_news) {
+  if (is_changed) {
     state_.log.Info("A target's limit changed.",
                     {{"target", choice.target.value()},
                      {"per_second", limit.has_value() ? std::to_string(*limit)
@@ -51,10 +51,10 @@
 void RelayCall::RefuseFull() {
   const auto wait = state_.targets.LimitedFor(service_, SteadyNow());
   if (!wait.has_value()) {
-    Refuse(ComeBackLater(), "all targets full");
+    Refuse(RetryAfter(), "all targets full");
     return;
   }
-  Refuse(std::clamp(*wait, kSoonest, ComeBackLater()),
+  Refuse(std::clamp(*wait, kMinRetryAfter, RetryAfter()),
          "all targets have as much as their limits allow");
 }
 
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -15,51 +15,51 @@
 // target can still give the answer from its beginning. After that, where the
 // stream may be resumed, another target goes on behind the last whole event
 // under the head of the first.
-RelayCall::SendOutcome RelayCall::TakeStream(const traffic::Choice& choice,
-                                             net::HttpClientStream& stream) {
+RelayCall::SendOutcome RelayCall::RelayStream(const traffic::Choice& choice,
+                                              net::HttpClientStream& stream) {
   splitter_.ForgetUnfinished();
   while (true) {
-    net::StreamPiece piece = stream.Read(patience());
+    net::StreamPiece piece = stream.Read(wait_timeout());
     if (const auto* bytes = std::get_if<std::string>(&piece)) {
       state_.targets.OnHeard(choice.target, SteadyNow());
       const std::string events = splitter_.Take(*bytes);
-      if (!events.empty() && !PassEvents(stream.head(), events)) {
+      if (!events.empty() && !RelayEvents(stream.head(), events)) {
         stream.Cancel();
-        EndAt(choice, TargetOutcome::kGood);
-        return CallerLeft{};
+        FinishSend(choice, TargetOutcome::kGood);
+        return CallerDisconnected{};
       }
       continue;
     }
     if (const auto* error = std::get_if<net::HttpError>(&piece)) {
-      return Judge(choice, *error);
+      return EvaluateError(choice, *error);
     }
     break;
   }
-  if (!splitter_.unfinished().empty() || !has_begun_) {
-    EndAt(choice, TargetOutcome::kFailed);
+  if (!splitter_.unfinished().empty() || !has_stream_started_) {
+    FinishSend(choice, TargetOutcome::kFailed);
     trail_ += " torn";
     if (HasTerminated(choice, net::HttpErrorKind::kClosed)) {
-      NoteEnd(choice);
+      ReportTermination(choice);
       trail_ += " ended";
     }
     return NotServed{SendResult::kUnknown, "the stream ended in an event"};
   }
-  NoteCompleted();
-  EndAt(choice, TargetOutcome::kGood);
+  ReportCompletion();
+  FinishSend(choice, TargetOutcome::kGood);
   return exchange_.EndStream() ? SendOutcome(Answered{})
-                               : SendOutcome(CallerLeft{});
+                               : SendOutcome(CallerDisconnected{});
 }
 
 // False where the caller is gone.
-bool RelayCall::PassEvents(const net::HttpResponseHead& head,
-                           const std::string& events) {
+bool RelayCall::RelayEvents(const net::HttpResponseHead& head,
+                            const std::string& events) {
   const TimePoint now = SteadyNow();
-  if (has_begun_) {
+  if (has_stream_started_) {
     max_pause_ = std::max(max_pause_, now - last_event_at_);
   }
   last_event_at_ = now;
-  if (!has_begun_) {
-    has_begun_ = true;
+  if (!has_stream_started_) {
+    has_stream_started_ = true;
     first_event_at_ = now;
     if (!exchange_.BeginStream(MakeCallerHead(head))) {
       return false;
--- a/src/plugins/gateway/request_head.cc
+++ b/src/plugins/gateway/request_head.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // The highest number that an engine takes; 0 goes first.
-constexpr std::uint32_t kLeastUrgent = 9;
+constexpr std::uint32_t kLowestPriority = 9;
 
 std::string WithoutPort(std::string_view host) {
   const std::size_t colon = host.rfind(':');
@@ -49,9 +49,9 @@
   double number = 0.0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  constexpr double kLongestMs = 24.0 * 3600.0 * 1000.0;
+  constexpr double kMaxMs = 24.0 * 3600.0 * 1000.0;
   if (parsed.ec != std::errc() || parsed.ptr != end || !(number >= 0.0) ||
-      number > kLongestMs) {
+      number > kMaxMs) {
     return std::nullopt;
   }
   constexpr double kMicrosecondsPerMs = 1000.0;
@@ -69,7 +69,7 @@
   head.path = request.target.substr(0, request.target.find('?'));
   head.key = std::string(request.headers.ValueOr(header_names.key, ""));
   if (const auto text = request.headers.Find(header_names.deadline_ms)) {
-    head.patience = ReadMilliseconds(*text);
+    head.wait_timeout = ReadMilliseconds(*text);
   }
   return head;
 }
@@ -94,8 +94,9 @@
   forwarded.headers.Set(header_names.expected_target, head.target);
   forwarded.headers.Set(header_names.deadline_ms,
                         std::to_string(head.time_left / Milliseconds(1)));
-  forwarded.headers.Set(header_names.priority,
-                        std::to_string(std::min(head.priority, kLeastUrgent)));
+  forwarded.headers.Set(
+      header_names.priority,
+      std::to_string(std::min(head.priority, kLowestPriority)));
   if (!head.last_event_id.empty()) {
     forwarded.headers.Set("Last-Event-Id", head.last_event_id);
   }
--- a/src/plugins/gateway/request_head.h
+++ b/src/plugins/gateway/request_head.h
@@ -19,7 +19,7 @@
   std::string path;  // without a query
   std::string key;
   // How long the caller waits; nothing where it does not say.
-  std::optional<Duration> patience;
+  std::optional<Duration> wait_timeout;
 };
 
 RequestHead ReadHead(const net::HttpRequest& request,
