--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -218,9 +218,9 @@
   current_target_ = choice.target;
   has_abandoned_target_ = false;
   cancellation_ = std::make_shared<net::Cancellation>();
-  state_.waiting.insert(this);
+  state_.active_calls.insert(this);
   SendOutcome outcome = Send(choice, *endpoint, forwarded);
-  state_.waiting.erase(this);
+  state_.active_calls.erase(this);
   return outcome;
 }
 
@@ -451,7 +451,7 @@
 
 void RelayCall::Finish(std::string_view outcome, std::string_view reason) {
   const TimePoint now = SteadyNow();
-  state_.stats.Note(service_, outcome, TimesAt(now));
+  state_.stats.RecordRequest(service_, outcome, TimesAt(now));
   trace_.End(head_.request_id, std::string(outcome));
   state_.log.Info(
       "Request.",
--- a/src/plugins/gateway/request_figures.cc
+++ b/src/plugins/gateway/request_figures.cc
@@ -23,9 +23,9 @@
   return stats;
 }
 
-void RequestStats::Note(const ServiceId& service,
-                        std::string_view outcome,
-                        const RequestTimes& times) {
+void RequestStats::RecordRequest(const ServiceId& service,
+                                 std::string_view outcome,
+                                 const RequestTimes& times) {
   ServiceStats& stats = StatsOf(service);
   auto counter = stats.outcomes.find(outcome);
   if (counter == stats.outcomes.end()) {
--- a/src/plugins/gateway/request_figures.h
+++ b/src/plugins/gateway/request_figures.h
@@ -27,9 +27,9 @@
  public:
   explicit RequestStats(telemetry::Registry& registry) : registry_(registry) {}
 
-  void Note(const ServiceId& service,
-            std::string_view outcome,
-            const RequestTimes& times);
+  void RecordRequest(const ServiceId& service,
+                     std::string_view outcome,
+                     const RequestTimes& times);
 
  private:
   // Looked up once: a look-up by name costs more than the note.
--- a/tests/auto/gateway/request_figures_test.cc
+++ b/tests/auto/gateway/request_figures_test.cc
@@ -14,9 +14,9 @@
   RequestStats stats(registry);
   RequestTimes plain;
   plain.total = Milliseconds(250);
-  stats.Note(ServiceId("a"), "served", plain);
-  stats.Note(ServiceId("a"), "served", plain);
-  stats.Note(ServiceId("b"), "refused", plain);
+  stats.RecordRequest(ServiceId("a"), "served", plain);
+  stats.RecordRequest(ServiceId("a"), "served", plain);
+  stats.RecordRequest(ServiceId("b"), "refused", plain);
   CHECK(Shows(registry,
               "bilberryspool_requests_total{outcome=\"served\",service=\"a\"} "
               "2"));
@@ -36,8 +36,8 @@
   stream.total = Seconds(1);
   stream.first_event = Milliseconds(500);
   stream.max_pause = Milliseconds(125);
-  stats.Note(ServiceId("a"), "served", stream);
-  stats.Note(ServiceId("a"), "refused", RequestTimes{});
+  stats.RecordRequest(ServiceId("a"), "served", stream);
+  stats.RecordRequest(ServiceId("a"), "refused", RequestTimes{});
   CHECK(Shows(registry,
               "bilberryspool_first_event_seconds_count{service=\"a\"} 1"));
   CHECK(Shows(registry,
