--- a/src/plugins/gateway/gateway_state.h
+++ b/src/plugins/gateway/gateway_state.h
@@ -21,9 +21,9 @@
 #include "libs/traffic/wire_dialect.h"
 #include "plugins/gateway/limit_grants.h"
 #include "plugins/gateway/quarantine_guard.h"
-#include "plugins/gateway/request_figures.h"
+#include "plugins/gateway/request_stats.h"
 #include "plugins/gateway/request_trace.h"
-#include "plugins/gateway/target_ends.h"
+#include "plugins/gateway/termination_detector.h"
 
 namespace bilberryspool::gateway {
 
--- a/src/plugins/gateway/request_figures.h
+++ b/src/plugins/gateway/request_stats.h
@@ -1,7 +1,7 @@
 // What callers wait for, as distributions on the metrics address.
 
-#ifndef PLUGINS_GATEWAY_REQUEST_FIGURES_H_
-#define PLUGINS_GATEWAY_REQUEST_FIGURES_H_
+#ifndef PLUGINS_GATEWAY_REQUEST_STATS_H_
+#define PLUGINS_GATEWAY_REQUEST_STATS_H_
 
 #include <map>
 #include <optional>
@@ -48,4 +48,4 @@
 
 }  // namespace bilberryspool::gateway
 
-#endif  // PLUGINS_GATEWAY_REQUEST_FIGURES_H_
+#endif  // PLUGINS_GATEWAY_REQUEST_STATS_H_
--- a/src/plugins/gateway/target_ends.cc
+++ b/src/plugins/gateway/termination_detector.cc
@@ -1,4 +1,4 @@
-#include "plugins/gateway/target_ends.h"
+#include "plugins/gateway/termination_detector.h"
 
 #include "libs/net/network_loop.h"
 #include "libs/net/port_check.h"
--- a/src/plugins/gateway/target_ends.h
+++ b/src/plugins/gateway/termination_detector.h
@@ -1,7 +1,7 @@
 // Tells a target that has ended from a connection that broke.
 
-#ifndef PLUGINS_GATEWAY_TARGET_ENDS_H_
-#define PLUGINS_GATEWAY_TARGET_ENDS_H_
+#ifndef PLUGINS_GATEWAY_TERMINATION_DETECTOR_H_
+#define PLUGINS_GATEWAY_TERMINATION_DETECTOR_H_
 
 #include <map>
 
@@ -44,4 +44,4 @@
 
 }  // namespace bilberryspool::gateway
 
-#endif  // PLUGINS_GATEWAY_TARGET_ENDS_H_
+#endif  // PLUGINS_GATEWAY_TERMINATION_DETECTOR_H_
--- a/tests/auto/gateway/request_figures_test.cc
+++ b/tests/auto/gateway/request_stats_test.cc
@@ -1,4 +1,4 @@
-#include "plugins/gateway/request_figures.h"
+#include "plugins/gateway/request_stats.h"
 
 #include <doctest/doctest.h>
 
