--- a/src/plugins/callers/admission_desk.cc
+++ b/src/plugins/callers/admission_desk.cc
@@ -12,20 +12,20 @@
 
 namespace {
 
-constexpr Duration kLongestPause = Milliseconds(20);
+constexpr Duration kMaxPause = Milliseconds(20);
 
 }  // namespace
 
-AdmissionDesk::AdmissionDesk(net::NetworkLoop& loop,
-                             limits::AdmissionOptions options,
-                             std::uint64_t seed)
+AdmissionController::AdmissionController(net::NetworkLoop& loop,
+                                         limits::AdmissionOptions options,
+                                         std::uint64_t seed)
     : loop_(loop), admission_(options, seed) {}
 
-void AdmissionDesk::Start() {
+void AdmissionController::Start() {
   loop_.Spawn([this] { Run(); });
 }
 
-void AdmissionDesk::Run() {
+void AdmissionController::Run() {
   while (true) {
     const TimePoint now = SteadyNow();
     const auto due = admission_.next_deadline();
@@ -33,21 +33,22 @@
       Handle(limits::Tick{});
     }
     // Without waiting requests there is nothing to do but to look again.
-    const Duration pause = waiters_.empty() ? Milliseconds(100) : kLongestPause;
+    const Duration pause = waiters_.empty() ? Milliseconds(100) : kMaxPause;
     loop_.SleepFor(pause);
   }
 }
 
-limits::AdmissionId AdmissionDesk::NextId() {
+limits::AdmissionId AdmissionController::NextId() {
   last_id_ = limits::AdmissionId(last_id_.value() + 1);
   return last_id_;
 }
 
-std::vector<limits::WorkspaceDemand> AdmissionDesk::AnnounceDemand() {
+std::vector<limits::WorkspaceDemand> AdmissionController::AnnounceDemand() {
   return admission_.AnnounceDemand(SteadyNow());
 }
 
-std::optional<limits::Refuse> AdmissionDesk::Wait(RequestContext& context) {
+std::optional<limits::Refuse> AdmissionController::Wait(
+    RequestContext& context) {
   limits::RequestArrived arrival;
   arrival.id = context.admission;
   arrival.service = context.service;
@@ -58,45 +59,45 @@
   auto waiter = std::make_shared<Waiter>();
   waiters_[context.admission] = waiter;
   Handle(arrival);
-  while (!waiter->is_settled) {
+  while (!waiter->is_resolved) {
     waiter->signal.Wait();
   }
   waiters_.erase(context.admission);
   return waiter->refusal;
 }
 
-void AdmissionDesk::Abandon(limits::AdmissionId id) {
+void AdmissionController::Abandon(limits::AdmissionId id) {
   if (!waiters_.contains(id)) {
     return;
   }
   Handle(limits::RequestAbandoned{id});
-  Settle(id, std::nullopt);
+  Resolve(id, std::nullopt);
 }
 
-void AdmissionDesk::Finish(const RequestContext& context,
-                           std::uint32_t tokens) {
+void AdmissionController::Finish(const RequestContext& context,
+                                 std::uint32_t tokens) {
   Handle(limits::RequestFinished{context.admission, tokens});
 }
 
-void AdmissionDesk::Handle(const limits::AdmissionEvent& event) {
+void AdmissionController::Handle(const limits::AdmissionEvent& event) {
   for (const auto& action : admission_.Handle(event, SteadyNow())) {
     std::visit(Overloaded{[this](const limits::Admit& admit) {
-                            Settle(admit.id, std::nullopt);
+                            Resolve(admit.id, std::nullopt);
                           },
                           [this](const limits::Refuse& refusal) {
-                            Settle(refusal.id, refusal);
+                            Resolve(refusal.id, refusal);
                           }},
                action);
   }
 }
 
-void AdmissionDesk::Settle(limits::AdmissionId id,
-                           std::optional<limits::Refuse> refusal) {
+void AdmissionController::Resolve(limits::AdmissionId id,
+                                  std::optional<limits::Refuse> refusal) {
   const auto found = waiters_.find(id);
-  if (found == waiters_.end() || found->second->is_settled) {
+  if (found == waiters_.end() || found->second->is_resolved) {
     return;
   }
-  found->second->is_settled = true;
+  found->second->is_resolved = true;
   found->second->refusal = std::move(refusal);
   found->second->signal.NotifyAll();
 }
--- a/src/plugins/callers/admission_desk.h
+++ b/src/plugins/callers/admission_desk.h
@@ -18,11 +18,11 @@
 namespace bilberryspool::callers {
 
 // Runs in the callers loop.
-class AdmissionDesk {
+class AdmissionController {
  public:
-  AdmissionDesk(net::NetworkLoop& loop,
-                limits::AdmissionOptions options,
-                std::uint64_t seed);
+  AdmissionController(net::NetworkLoop& loop,
+                      limits::AdmissionOptions options,
+                      std::uint64_t seed);
 
   // Starts the fiber that ends hopeless waits.
   void Start();
@@ -46,11 +46,11 @@
  private:
   struct Waiter {
     net::FiberSignal signal;
-    bool is_settled = false;
+    bool is_resolved = false;
     std::optional<limits::Refuse> refusal;
   };
 
-  void Settle(limits::AdmissionId id, std::optional<limits::Refuse> refusal);
+  void Resolve(limits::AdmissionId id, std::optional<limits::Refuse> refusal);
   void Run();
 
   net::NetworkLoop& loop_;
--- a/src/plugins/callers/admit_filter.cc
+++ b/src/plugins/callers/admit_filter.cc
@@ -4,9 +4,10 @@
 
 std::optional<FinalAnswer> AdmitFilter::Handle(RequestContext& context,
                                                CallerWatch& watch) {
-  context.admission = desk_.NextId();
-  watch.SetHandler([this, &context] { desk_.Abandon(context.admission); });
-  const auto refusal = desk_.Wait(context);
+  context.admission = admission_controller_.NextId();
+  watch.SetHandler(
+      [this, &context] { admission_controller_.Abandon(context.admission); });
+  const auto refusal = admission_controller_.Wait(context);
   watch.SetHandler(nullptr);
   if (refusal.has_value()) {
     return MakeFinalAnswer(*refusal);
--- a/src/plugins/callers/admit_filter.h
+++ b/src/plugins/callers/admit_filter.h
@@ -13,13 +13,14 @@
 // Holds a request until there is room for it, or refuses it at once.
 class AdmitFilter {
  public:
-  explicit AdmitFilter(AdmissionDesk& desk) : desk_(desk) {}
+  explicit AdmitFilter(AdmissionController& admission_controller)
+      : admission_controller_(admission_controller) {}
 
   std::optional<FinalAnswer> Handle(RequestContext& context,
                                     CallerWatch& watch);
 
  private:
-  AdmissionDesk& desk_;
+  AdmissionController& admission_controller_;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/agent_book.cc
+++ b/src/plugins/callers/agent_book.cc
@@ -12,8 +12,8 @@
 namespace {
 
 // Well below the time for which an agent's gate takes a token.
-constexpr Duration kTokenUse = Seconds(8);
-constexpr Duration kTokenPatience = Milliseconds(700);
+constexpr Duration kMaxTokenAge = Seconds(8);
+constexpr Duration kTokenTimeout = Milliseconds(700);
 
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   std::uint64_t number = 0;
@@ -44,7 +44,7 @@
                         attempts::Epoch(*epoch)};
 }
 
-void AgentBook::Adopt(const std::vector<control::TargetRow>& targets) {
+void AgentRegistry::Adopt(const std::vector<control::TargetRow>& targets) {
   std::map<TargetId, Row> rows;
   for (const control::TargetRow& target : targets) {
     Row& row = rows[target.view.target];
@@ -63,7 +63,7 @@
   rows_ = std::move(rows);
 }
 
-std::optional<net::Endpoint> AgentBook::Find(const TargetId& target) const {
+std::optional<net::Endpoint> AgentRegistry::Find(const TargetId& target) const {
   const auto found = rows_.find(target);
   if (found == rows_.end()) {
     return std::nullopt;
@@ -71,9 +71,9 @@
   return found->second.endpoint;
 }
 
-void AgentBook::LearnToken(const TargetId& target,
-                           std::string_view text,
-                           TimePoint now) {
+void AgentRegistry::RecordToken(const TargetId& target,
+                                std::string_view text,
+                                TimePoint now) {
   const auto found = rows_.find(target);
   const auto token = ParseToken(text);
   if (!token.has_value() || found == rows_.end()) {
@@ -82,36 +82,37 @@
   Row& row = found->second;
   if (!row.token.has_value() || !(*token < *row.token)) {
     row.token = token;
-    row.learned_at = now;
+    row.received_at = now;
   }
 }
 
-std::optional<AdmissionToken> AgentBook::FreshToken(const TargetId& target) {
+std::optional<AdmissionToken> AgentRegistry::FreshToken(
+    const TargetId& target) {
   const auto found = rows_.find(target);
   if (found == rows_.end()) {
     return std::nullopt;
   }
   const Row& row = found->second;
   const bool is_fresh =
-      row.token.has_value() && SteadyNow() - row.learned_at < kTokenUse;
+      row.token.has_value() && SteadyNow() - row.received_at < kMaxTokenAge;
   if (is_fresh) {
     return row.token;
   }
   // A copy: the book may change while this fiber waits.
   const net::Endpoint endpoint = row.endpoint;
-  const auto token = AskForToken(endpoint);
+  const auto token = RequestToken(endpoint);
   const auto present = rows_.find(target);
   if (token.has_value() && present != rows_.end()) {
     present->second.token = token;
-    present->second.learned_at = SteadyNow();
+    present->second.received_at = SteadyNow();
   }
   return token;
 }
 
-std::optional<AdmissionToken> AgentBook::AskForToken(
+std::optional<AdmissionToken> AgentRegistry::RequestToken(
     const net::Endpoint& endpoint) {
   const auto result = client_.Call(endpoint, "attempts.token",
-                                   boost::json::object(), kTokenPatience);
+                                   boost::json::object(), kTokenTimeout);
   const auto* value = std::get_if<boost::json::value>(&result);
   if (value == nullptr) {
     client_.DropIdle(endpoint);
--- a/src/plugins/callers/agent_book.h
+++ b/src/plugins/callers/agent_book.h
@@ -19,15 +19,17 @@
 std::optional<attempts::AdmissionToken> ParseToken(std::string_view text);
 
 // Runs in the callers loop.
-class AgentBook {
+class AgentRegistry {
  public:
-  explicit AgentBook(links::LinkClient& client) : client_(client) {}
+  explicit AgentRegistry(links::LinkClient& client) : client_(client) {}
 
   void Adopt(const std::vector<control::TargetRow>& targets);
   std::optional<net::Endpoint> Find(const TargetId& target) const;
 
   // Notes the token on an agent's answer.
-  void LearnToken(const TargetId& target, std::string_view text, TimePoint now);
+  void RecordToken(const TargetId& target,
+                   std::string_view text,
+                   TimePoint now);
   // A token that is still good for some time; asks the agent where there is
   // none. Nothing where the agent doesn't answer.
   std::optional<attempts::AdmissionToken> FreshToken(const TargetId& target);
@@ -37,10 +39,10 @@
     net::Endpoint endpoint;
     Incarnation incarnation;
     std::optional<attempts::AdmissionToken> token;
-    TimePoint learned_at;
+    TimePoint received_at;
   };
 
-  std::optional<attempts::AdmissionToken> AskForToken(
+  std::optional<attempts::AdmissionToken> RequestToken(
       const net::Endpoint& endpoint);
 
   links::LinkClient& client_;
--- a/src/plugins/callers/caller_state.cc
+++ b/src/plugins/callers/caller_state.cc
@@ -64,7 +64,7 @@
   return targets;
 }
 
-void CallerState::LearnLoad(const TargetId& target, std::string_view text) {
+void CallerState::RecordLoad(const TargetId& target, std::string_view text) {
   routing::LoadReport load;
   std::uint32_t* const fields[] = {&load.running, &load.queued, &load.limit};
   const char* at = text.data();
@@ -79,9 +79,9 @@
   router.Handle(routing::LoadReported{target, load}, net::SteadyNow());
 }
 
-void CallerState::LearnToken(const TargetId& target, std::string_view text) {
+void CallerState::RecordToken(const TargetId& target, std::string_view text) {
   const TimePoint now = net::SteadyNow();
-  agents.LearnToken(target, text, now);
+  agents.RecordToken(target, text, now);
   const auto token = ParseToken(text);
   if (token.has_value() && stall.Observe(target, *token, now)) {
     for (RequestRunner* runner : runners) {
--- a/src/plugins/callers/caller_state.h
+++ b/src/plugins/callers/caller_state.h
@@ -41,9 +41,9 @@
   // stood still, all open requests are told.
   void Beat();
   // Notes the token on an answer of the target's agent.
-  void LearnToken(const TargetId& target, std::string_view text);
+  void RecordToken(const TargetId& target, std::string_view text);
   // Notes the load on an answer, "RUNNING/QUEUED/LIMIT".
-  void LearnLoad(const TargetId& target, std::string_view text);
+  void RecordLoad(const TargetId& target, std::string_view text);
 
   // An agent has refused work because its target leaves, which membership may
   // not know: it is passed over for a while, or each request would spend a
@@ -61,10 +61,10 @@
   // Takes what operators may ask about; may be empty.
   std::function<void(control::CallerReport&&)> report;
   links::LinkClient links;
-  AgentBook agents;
+  AgentRegistry agents;
   ServiceTable services;
   routing::Router router;
-  AdmissionDesk admission;
+  AdmissionController admission;
   limits::RetryBudget retries;
   attempts::RosterHistory rosters;
   std::map<NodeId, net::Endpoint> holder_addresses;
--- a/src/plugins/callers/callers_service.cc
+++ b/src/plugins/callers/callers_service.cc
@@ -24,11 +24,11 @@
 constexpr std::size_t kFeedCapacity = 64;
 constexpr Duration kCapacityInterval = Milliseconds(100);
 constexpr Duration kDemandInterval = Seconds(1);
-constexpr Duration kDemandPatience = Milliseconds(500);
-constexpr Duration kHolderInterval = Milliseconds(50);
-constexpr Duration kHolderPatience = Milliseconds(400);
-constexpr Duration kDrainPoll = Milliseconds(20);
-constexpr Duration kLastAnswers = Milliseconds(500);
+constexpr Duration kDemandTimeout = Milliseconds(500);
+constexpr Duration kHolderPollInterval = Milliseconds(50);
+constexpr Duration kHolderTimeout = Milliseconds(400);
+constexpr Duration kDrainPollInterval = Milliseconds(20);
+constexpr Duration kFinalAnswerTimeout = Milliseconds(500);
 
 net::HttpServerOptions MakeServerOptions(
     const settings::EntrySettings& settings) {
@@ -109,7 +109,7 @@
       AnnounceDemand();
     }
   });
-  loop_.Spawn([this] { AskHolders(); });
+  loop_.Spawn([this] { PollHolders(); });
   state_.log.Info("Started.",
                   {{"listen", settings_.callers_listen.ToString()}});
   return "";
@@ -201,7 +201,7 @@
       {"entry", state_.self.value()}, {"demands", std::move(rows)}};
   for (const auto& [node, endpoint] : entries_) {
     loop_.Spawn([this, params, to = endpoint] {
-      state_.links.Call(to, "limits.demand", params, kDemandPatience);
+      state_.links.Call(to, "limits.demand", params, kDemandTimeout);
     });
   }
 }
@@ -264,30 +264,30 @@
   return !is_draining_ && readiness_.IsReady(SteadyNow());
 }
 
-void CallersService::AskHolders() {
+void CallersService::PollHolders() {
   while (!readiness_.IsReady(SteadyNow())) {
     LogReadiness();
-    for (const NodeId& holder : readiness_.Unheard()) {
-      loop_.Spawn([this, holder] { AskHolder(holder); });
+    for (const NodeId& holder : readiness_.HoldersWithoutVote()) {
+      loop_.Spawn([this, holder] { PollHolder(holder); });
     }
-    loop_.SleepFor(kHolderInterval);
+    loop_.SleepFor(kHolderPollInterval);
   }
   LogReadiness();
-  state_.log.Info("Ready.", {{"lacks", ToString(readiness_.LackOf())}});
+  state_.log.Info("Ready.", {{"lacks", ToString(readiness_.FirstMissing())}});
 }
 
-void CallersService::AskHolder(const NodeId& holder) {
+void CallersService::PollHolder(const NodeId& holder) {
   const auto address = state_.holder_addresses.find(holder);
   if (address == state_.holder_addresses.end() ||
-      !asked_holders_.insert(holder).second) {
+      !polled_holders_.insert(holder).second) {
     return;
   }
   const net::Endpoint endpoint = address->second;
   const attempts::RosterVersion version = readiness_.roster();
   const auto result = state_.links.Call(
       endpoint, "claims.votes",
-      boost::json::object{{"roster", version.value()}}, kHolderPatience);
-  asked_holders_.erase(holder);
+      boost::json::object{{"roster", version.value()}}, kHolderTimeout);
+  polled_holders_.erase(holder);
   const auto* answer = std::get_if<boost::json::value>(&result);
   if (answer == nullptr) {
     state_.links.DropIdle(endpoint);
@@ -297,19 +297,19 @@
 }
 
 void CallersService::LogReadiness() {
-  const Lack lack = readiness_.LackOf();
-  if (logged_lack_ == lack) {
+  const MissingInput missing = readiness_.FirstMissing();
+  if (logged_missing_ == missing) {
     return;
   }
-  logged_lack_ = lack;
-  boost::json::array unheard;
-  for (const NodeId& holder : readiness_.Unheard()) {
-    unheard.emplace_back(holder.value());
+  logged_missing_ = missing;
+  boost::json::array without_vote;
+  for (const NodeId& holder : readiness_.HoldersWithoutVote()) {
+    without_vote.emplace_back(holder.value());
   }
   state_.log.Info("What the entry lacks before it is ready.",
-                  {{"lacks", ToString(lack)},
+                  {{"lacks", ToString(missing)},
                    {"roster", readiness_.roster().value()},
-                   {"holders_unheard", boost::json::serialize(unheard)}});
+                   {"holders_unheard", boost::json::serialize(without_vote)}});
 }
 
 void CallersService::Handle(net::HttpExchange& exchange) {
@@ -355,18 +355,18 @@
   // The platform's balancer looks at the health call first.
   const TimePoint noticed = SteadyNow() + std::min(limit / 4, Seconds(2));
   while (SteadyNow() < noticed) {
-    loop_.SleepFor(kDrainPoll);
+    loop_.SleepFor(kDrainPollInterval);
   }
   server_.Drain();
   while (server_.counts().requests_in_progress > 0 && SteadyNow() < deadline) {
-    loop_.SleepFor(kDrainPoll);
+    loop_.SleepFor(kDrainPollInterval);
   }
   for (RequestRunner* runner : state_.runners) {
     runner->Stop();
   }
-  const TimePoint last = SteadyNow() + kLastAnswers;
+  const TimePoint last = SteadyNow() + kFinalAnswerTimeout;
   while (server_.counts().requests_in_progress > 0 && SteadyNow() < last) {
-    loop_.SleepFor(kDrainPoll);
+    loop_.SleepFor(kDrainPollInterval);
   }
   state_.log.Info("Stopped.", {{"cut", server_.counts().requests_in_progress}});
 }
--- a/src/plugins/callers/callers_service.h
+++ b/src/plugins/callers/callers_service.h
@@ -57,8 +57,8 @@
   void UpdateCapacity();
   bool is_ready();
   // Asks the holders of claims until the entry is ready.
-  void AskHolders();
-  void AskHolder(const NodeId& holder);
+  void PollHolders();
+  void PollHolder(const NodeId& holder);
   void LogReadiness();
 
   net::NetworkLoop& loop_;
@@ -74,8 +74,8 @@
   std::map<TargetId, routing::TargetView> views_;
   EntryReadiness readiness_{EntryReadinessOptions{}};
   // Those that are being asked whether they vote.
-  std::set<NodeId> asked_holders_;
-  std::optional<Lack> logged_lack_;
+  std::set<NodeId> polled_holders_;
+  std::optional<MissingInput> logged_missing_;
   bool is_draining_ = false;
 };
 
--- a/src/plugins/callers/entry_readiness.cc
+++ b/src/plugins/callers/entry_readiness.cc
@@ -5,17 +5,17 @@
 
 namespace bilberryspool::callers {
 
-std::string_view ToString(Lack lack) {
-  switch (lack) {
-    case Lack::kNothing:
+std::string_view ToString(MissingInput missing) {
+  switch (missing) {
+    case MissingInput::kNothing:
       return "nothing";
-    case Lack::kConfiguration:
+    case MissingInput::kConfiguration:
       return "configuration";
-    case Lack::kTargets:
+    case MissingInput::kTargets:
       return "targets";
-    case Lack::kRoster:
+    case MissingInput::kRoster:
       return "roster";
-    case Lack::kVotes:
+    case MissingInput::kVotes:
       return "votes";
   }
   return "";
@@ -46,14 +46,14 @@
   }
 }
 
-std::vector<NodeId> EntryReadiness::Unheard() const {
-  std::vector<NodeId> unheard;
+std::vector<NodeId> EntryReadiness::HoldersWithoutVote() const {
+  std::vector<NodeId> without_vote;
   for (const attempts::RosterMember& member : roster_.members) {
     if (!voting_.contains(member.node)) {
-      unheard.push_back(member.node);
+      without_vote.push_back(member.node);
     }
   }
-  return unheard;
+  return without_vote;
 }
 
 // Each key has up to three holders, of different failure domains where there
@@ -77,28 +77,28 @@
   return (is_spread ? silent_domains.size() : silent) <= spare;
 }
 
-Lack EntryReadiness::LackOf() const {
+MissingInput EntryReadiness::FirstMissing() const {
   if (!configured_at_.has_value()) {
-    return Lack::kConfiguration;
+    return MissingInput::kConfiguration;
   }
   const bool are_targets_known =
       served_.has_value() && std::includes(served_->begin(), served_->end(),
                                            allowed_.begin(), allowed_.end());
   if (!are_targets_known) {
-    return Lack::kTargets;
+    return MissingInput::kTargets;
   }
   if (roster_.members.empty()) {
-    return Lack::kRoster;
+    return MissingInput::kRoster;
   }
-  return AreAllKeysClaimable() ? Lack::kNothing : Lack::kVotes;
+  return AreAllKeysClaimable() ? MissingInput::kNothing : MissingInput::kVotes;
 }
 
 bool EntryReadiness::IsReady(TimePoint now) {
-  const Lack lack = LackOf();
-  const bool is_patience_over = configured_at_.has_value() &&
-                                served_.has_value() &&
-                                now - *configured_at_ >= options_.patience;
-  is_ready_ = is_ready_ || lack == Lack::kNothing || is_patience_over;
+  const MissingInput missing = FirstMissing();
+  const bool has_timed_out = configured_at_.has_value() &&
+                             served_.has_value() &&
+                             now - *configured_at_ >= options_.max_wait;
+  is_ready_ = is_ready_ || missing == MissingInput::kNothing || has_timed_out;
   return is_ready_;
 }
 
--- a/src/plugins/callers/entry_readiness.h
+++ b/src/plugins/callers/entry_readiness.h
@@ -25,11 +25,11 @@
 struct EntryReadinessOptions {
   // Since the configuration is known. Gossip tells of the targets of other
   // failure domains within a few rounds of 0.7 s each.
-  Duration patience = Seconds(5);
+  Duration max_wait = Seconds(5);
 };
 
 // What the entry lacks first.
-enum class Lack {
+enum class MissingInput {
   kNothing,
   kConfiguration,
   kTargets,
@@ -37,7 +37,7 @@
   kVotes,
 };
 
-std::string_view ToString(Lack lack);
+std::string_view ToString(MissingInput missing);
 
 class EntryReadiness {
  public:
@@ -54,11 +54,11 @@
                attempts::RosterVersion version,
                bool votes);
 
-  Lack LackOf() const;
+  MissingInput FirstMissing() const;
   // Once ready it stays so: what fails later is no reason to lose the rest.
   bool IsReady(TimePoint now);
   // The holders that have not said yet that they vote.
-  std::vector<NodeId> Unheard() const;
+  std::vector<NodeId> HoldersWithoutVote() const;
   attempts::RosterVersion roster() const { return roster_.version; }
 
  private:
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -388,10 +388,10 @@
 void RequestRunner::LearnFrom(const TargetId& target,
                               const net::HttpResponseHead& head) {
   if (const auto token = head.headers.Find(links::kTokenHeader)) {
-    state_.LearnToken(target, *token);
+    state_.RecordToken(target, *token);
   }
   if (const auto load = head.headers.Find(links::kLoadHeader)) {
-    state_.LearnLoad(target, *load);
+    state_.RecordLoad(target, *load);
   }
 }
 
--- a/src/plugins/callers/request_runner_calls.cc
+++ b/src/plugins/callers/request_runner_calls.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Duration kHolderPatience = Milliseconds(400);
-constexpr Duration kSettlePatience = Milliseconds(700);
+constexpr Duration kHolderTimeout = Milliseconds(400);
+constexpr Duration kSettleTimeout = Milliseconds(700);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
                      endpoint = address->second] {
     const auto result = self->state_.links.Call(
         endpoint, "claims.claim", attempts::ToJson(action.request),
-        kHolderPatience);
+        kHolderTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer = value != nullptr
                             ? attempts::FromJson<attempts::ClaimAnswer>(*value)
@@ -69,7 +69,7 @@
                      endpoint = address->second] {
     const auto result = self->state_.links.Call(
         endpoint, "claims.release", attempts::ToJson(action.release),
-        kHolderPatience);
+        kHolderTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer =
         value != nullptr ? attempts::FromJson<attempts::ReleaseAnswer>(*value)
@@ -89,7 +89,7 @@
   // which refuses more than it must but nothing that it mustn't.
   state_.loop.Spawn([&state = state_, endpoint = address->second,
                      params = attempts::ToJson(action.finish)] {
-    state.links.Call(endpoint, "claims.finish", params, kHolderPatience);
+    state.links.Call(endpoint, "claims.finish", params, kHolderTimeout);
   });
 }
 
@@ -107,7 +107,7 @@
     self->state_.links.DropIdle(*endpoint);
     const auto result =
         self->state_.links.Call(*endpoint, "attempts.settle",
-                                attempts::ToJson(request), kSettlePatience);
+                                attempts::ToJson(request), kSettleTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer = value != nullptr
                             ? attempts::FromJson<attempts::SettleAnswer>(*value)
@@ -132,7 +132,7 @@
   }
   state_.loop.Spawn([&state = state_, endpoint, id = action.attempt.attempt] {
     state.links.Call(*endpoint, "attempts.cancel",
-                     json::object{{"attempt", id.value()}}, kSettlePatience);
+                     json::object{{"attempt", id.value()}}, kSettleTimeout);
   });
 }
 
--- a/tests/auto/callers/entry_readiness_test.cc
+++ b/tests/auto/callers/entry_readiness_test.cc
@@ -28,7 +28,7 @@
 
 const Roster kThree = MakeRoster(3, {{"a", "x"}, {"b", "y"}, {"c", "z"}});
 
-EntryReadiness Informed(const Roster& roster) {
+EntryReadiness ReadinessWith(const Roster& roster) {
   EntryReadiness readiness{EntryReadinessOptions{}};
   readiness.SetAllowed({kEngine, kOrders}, TimeAt(Seconds(1)));
   readiness.SetServed({kEngine, kOrders});
@@ -40,41 +40,41 @@
 TEST_CASE("an entry says ready once nothing is lacking, in any order") {
   EntryReadiness readiness{EntryReadinessOptions{}};
   const TimePoint now = TimeAt(Seconds(1));
-  CHECK(readiness.LackOf() == Lack::kConfiguration);
+  CHECK(readiness.FirstMissing() == MissingInput::kConfiguration);
   readiness.SetServed({kEngine, kOrders});
   CHECK_FALSE(readiness.IsReady(now));
   readiness.SetAllowed({kEngine, kOrders}, now);
-  CHECK(readiness.LackOf() == Lack::kRoster);
+  CHECK(readiness.FirstMissing() == MissingInput::kRoster);
   readiness.SetRoster(kThree);
-  CHECK(readiness.LackOf() == Lack::kVotes);
+  CHECK(readiness.FirstMissing() == MissingInput::kVotes);
   readiness.SetVote(NodeId("a"), RosterVersion(3), true);
   CHECK_FALSE(readiness.IsReady(now));
   readiness.SetVote(NodeId("b"), RosterVersion(3), true);
-  CHECK(readiness.LackOf() == Lack::kNothing);
+  CHECK(readiness.FirstMissing() == MissingInput::kNothing);
   CHECK(readiness.IsReady(now));
 }
 
 // Guards against the first order meeting an entry that has heard of no target
 // in another failure domain.
 TEST_CASE("an entry that knows no target of a service is not ready") {
-  EntryReadiness readiness = Informed(kThree);
+  EntryReadiness readiness = ReadinessWith(kThree);
   for (const char* holder : {"a", "b", "c"}) {
     readiness.SetVote(NodeId(holder), RosterVersion(3), true);
   }
   readiness.SetServed({kEngine});
-  CHECK(readiness.LackOf() == Lack::kTargets);
+  CHECK(readiness.FirstMissing() == MissingInput::kTargets);
   CHECK_FALSE(readiness.IsReady(TimeAt(Seconds(2))));
 }
 
 // Guards against orders that are refused as the holders know a newer roster.
 TEST_CASE("votes under an older roster do not count") {
-  EntryReadiness readiness = Informed(kThree);
+  EntryReadiness readiness = ReadinessWith(kThree);
   readiness.SetRoster(MakeRoster(4, {{"a", "x"}, {"b", "y"}, {"c", "z"}}));
   for (const char* holder : {"a", "b", "c"}) {
     readiness.SetVote(NodeId(holder), RosterVersion(3), true);
   }
-  CHECK(readiness.LackOf() == Lack::kVotes);
-  CHECK(readiness.Unheard().size() == 3);
+  CHECK(readiness.FirstMissing() == MissingInput::kVotes);
+  CHECK(readiness.HoldersWithoutVote().size() == 3);
   readiness.SetRoster(kThree);
   CHECK(readiness.roster() == RosterVersion(4));
 }
@@ -82,15 +82,15 @@
 // Guards against an entry that is cut off from a failure domain and serves
 // nobody for that.
 TEST_CASE("an entry that lacks something for long serves what it can") {
-  EntryReadiness readiness = Informed(kThree);
-  const Duration patience = EntryReadinessOptions{}.patience;
-  CHECK_FALSE(readiness.IsReady(TimeAt(Seconds(1)) + patience / 2));
-  CHECK(readiness.IsReady(TimeAt(Seconds(1)) + patience));
-  CHECK(readiness.LackOf() == Lack::kVotes);
+  EntryReadiness readiness = ReadinessWith(kThree);
+  const Duration max_wait = EntryReadinessOptions{}.max_wait;
+  CHECK_FALSE(readiness.IsReady(TimeAt(Seconds(1)) + max_wait / 2));
+  CHECK(readiness.IsReady(TimeAt(Seconds(1)) + max_wait));
+  CHECK(readiness.FirstMissing() == MissingInput::kVotes);
 }
 
 TEST_CASE("an entry that was ready stays so") {
-  EntryReadiness readiness = Informed(kThree);
+  EntryReadiness readiness = ReadinessWith(kThree);
   for (const char* holder : {"a", "b"}) {
     readiness.SetVote(NodeId(holder), RosterVersion(3), true);
   }
@@ -124,11 +124,12 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    EntryReadiness readiness = Informed(row.roster);
+    EntryReadiness readiness = ReadinessWith(row.roster);
     for (const std::string& holder : row.voting) {
       readiness.SetVote(NodeId(holder), RosterVersion(2), true);
     }
-    CHECK((readiness.LackOf() == Lack::kNothing) == row.is_enough);
+    CHECK((readiness.FirstMissing() == MissingInput::kNothing) ==
+          row.is_enough);
   }
 }
 
