--- a/src/plugins/callers/admit_filter.cc
+++ b/src/plugins/callers/admit_filter.cc
@@ -12,8 +12,8 @@
   if (refusal.has_value()) {
     return MakeFinalAnswer(*refusal);
   }
-  context.has_caller_left = watch.has_left();
-  context.is_admitted = !context.has_caller_left;
+  context.has_caller_disconnected = watch.has_disconnected();
+  context.is_admitted = !context.has_caller_disconnected;
   return std::nullopt;
 }
 
--- a/src/plugins/callers/authenticate_filter.cc
+++ b/src/plugins/callers/authenticate_filter.cc
@@ -38,7 +38,7 @@
   const auto* workspace =
       configuration->Find<config::WorkspaceSpec>(context.key.workspace);
   if (workspace == nullptr) {
-    return MakeBadRequest(net::status::kForbidden, "unknown-workspace");
+    return MakeRejection(net::status::kForbidden, "unknown-workspace");
   }
   if (!workspace->credential_hash.has_value()) {
     return std::nullopt;
@@ -46,7 +46,7 @@
   const auto authorization =
       context.exchange.request().headers.ValueOr("Authorization", "");
   if (!authorization.starts_with(kBearer)) {
-    return MakeBadRequest(net::status::kUnauthorized, "credential-missing");
+    return MakeRejection(net::status::kUnauthorized, "credential-missing");
   }
   const std::string hash = HashCredential(authorization.substr(kBearer.size()));
   const std::string& expected = *workspace->credential_hash;
@@ -54,7 +54,7 @@
       hash.size() == expected.size() &&
       sodium_memcmp(hash.data(), expected.data(), hash.size()) == 0;
   if (!is_equal) {
-    return MakeBadRequest(net::status::kUnauthorized, "credential-wrong");
+    return MakeRejection(net::status::kUnauthorized, "credential-wrong");
   }
   return std::nullopt;
 }
--- a/src/plugins/callers/caller_state.cc
+++ b/src/plugins/callers/caller_state.cc
@@ -42,20 +42,20 @@
   }
   log.Warn("Stood still.", {{"open", runners.size()}});
   for (RequestRunner* runner : runners) {
-    runner->NoteStall();
+    runner->OnStall();
   }
 }
 
-void CallerState::NoteLeaving(const TargetId& target) {
+void CallerState::RecordLeavingTarget(const TargetId& target) {
   refused_leaving[target] = net::SteadyNow();
 }
 
 std::vector<TargetId> CallerState::LeavingTargets() {
   // A target that was started again is offered after this time.
-  static constexpr Duration kPassedOver = Seconds(3);
+  static constexpr Duration kLeavingCooldown = Seconds(3);
   const TimePoint now = net::SteadyNow();
   std::erase_if(refused_leaving, [now](const auto& row) {
-    return now - row.second >= kPassedOver;
+    return now - row.second >= kLeavingCooldown;
   });
   std::vector<TargetId> targets;
   for (const auto& [target, refused_at] : refused_leaving) {
@@ -85,7 +85,7 @@
   const auto token = ParseToken(text);
   if (token.has_value() && stall.Observe(target, *token, now)) {
     for (RequestRunner* runner : runners) {
-      runner->NoteStall();
+      runner->OnStall();
     }
   }
 }
--- a/src/plugins/callers/caller_state.h
+++ b/src/plugins/callers/caller_state.h
@@ -48,7 +48,7 @@
   // An agent has refused work because its target leaves, which membership may
   // not know: it is passed over for a while, or each request would spend a
   // retry on it until the budget is used up.
-  void NoteLeaving(const TargetId& target);
+  void RecordLeavingTarget(const TargetId& target);
   // Targets to pass over now.
   std::vector<TargetId> LeavingTargets();
 
--- a/src/plugins/callers/caller_watch.h
+++ b/src/plugins/callers/caller_watch.h
@@ -10,20 +10,20 @@
 class CallerWatch {
  public:
   // Called by the connection.
-  void NoteLeft() {
-    has_left_ = true;
+  void OnCallerDisconnected() {
+    has_disconnected_ = true;
     if (handler_) {
       handler_();
     }
   }
-  bool has_left() const { return has_left_; }
+  bool has_disconnected() const { return has_disconnected_; }
   // Replaces the handler; an empty one detaches.
   void SetHandler(std::function<void()> handler) {
     handler_ = std::move(handler);
   }
 
  private:
-  bool has_left_ = false;
+  bool has_disconnected_ = false;
   std::function<void()> handler_;
 };
 
--- a/src/plugins/callers/callers_service.cc
+++ b/src/plugins/callers/callers_service.cc
@@ -142,7 +142,7 @@
   state_.holder_addresses = update.addresses;
   readiness_.SetRoster(update.roster);
   for (RequestRunner* runner : state_.runners) {
-    runner->NoteRoster();
+    runner->OnRosterChanged();
   }
 }
 
--- a/src/plugins/callers/classify_filter.cc
+++ b/src/plugins/callers/classify_filter.cc
@@ -20,7 +20,7 @@
 std::optional<FinalAnswer> ClassifyFilter::Handle(RequestContext& context) {
   if (services_.configuration() == nullptr) {
     FinalAnswer answer =
-        MakeBadRequest(net::status::kUnavailable, "no-configuration");
+        MakeRejection(net::status::kUnavailable, "no-configuration");
     answer.retry_after = kConfigRetry;
     return answer;
   }
@@ -29,11 +29,12 @@
       std::string_view(target).substr(0, target.find('?'));
   const config::ServiceSpec* service = services_.Find(path, context.model);
   if (service == nullptr) {
-    return MakeBadRequest(net::status::kNotFound, "unknown-service");
+    return MakeRejection(net::status::kNotFound, "unknown-service");
   }
   context.service = service->id;
-  context.is_idempotent = context.idempotent_mark.value_or(service->idempotent);
-  const Duration wanted = context.deadline_after.value_or(
+  context.is_idempotent =
+      context.requested_idempotent.value_or(service->idempotent);
+  const Duration wanted = context.requested_timeout.value_or(
       service->deadline > Duration::zero() ? service->deadline
                                            : options_.default_deadline);
   context.deadline = context.arrived + std::min(wanted, options_.max_deadline);
@@ -43,8 +44,8 @@
 
 limits::Priority ClassifyFilter::PriorityOf(
     const RequestContext& context) const {
-  if (context.priority_mark.has_value()) {
-    return *context.priority_mark;
+  if (context.requested_priority.has_value()) {
+    return *context.requested_priority;
   }
   const auto* workspace =
       services_.configuration()->Find<config::WorkspaceSpec>(
--- a/src/plugins/callers/filter_chain.cc
+++ b/src/plugins/callers/filter_chain.cc
@@ -14,9 +14,9 @@
 // that was told "not run" of an order that its first send carried out.
 bool MayHaveRunBefore(const RequestContext& context) {
   const bool is_idempotent = context.service.value().empty()
-                                 ? context.idempotent_mark.value_or(false)
+                                 ? context.requested_idempotent.value_or(false)
                                  : context.is_idempotent;
-  return context.has_own_id && !context.is_first_send && !is_idempotent;
+  return context.has_caller_id && !context.is_first_send && !is_idempotent;
 }
 
 }  // namespace
@@ -38,8 +38,8 @@
   RequestContext context(exchange);
   context.arrived = SteadyNow();
   auto watch = std::make_shared<CallerWatch>();
-  exchange.WatchCaller([watch] { watch->NoteLeft(); });
-  auto answer = Pass(context, *watch);
+  exchange.WatchCaller([watch] { watch->OnCallerDisconnected(); });
+  auto answer = RunFilters(context, *watch);
   if (answer.has_value() && MayHaveRunBefore(context)) {
     answer->kind = attempts::FinalKind::kUnknown;
   }
@@ -48,7 +48,7 @@
     context.reason = answer->reason;
     context.status = answer->status;
     Respond(exchange, *answer);
-  } else if (context.has_caller_left) {
+  } else if (context.has_caller_disconnected) {
     context.outcome = ToString(attempts::FinalKind::kNotRun);
     context.reason = "caller-left";
     exchange.AbortStream();
@@ -71,8 +71,8 @@
   }
 }
 
-std::optional<FinalAnswer> FilterChain::Pass(RequestContext& context,
-                                             CallerWatch& watch) {
+std::optional<FinalAnswer> FilterChain::RunFilters(RequestContext& context,
+                                                   CallerWatch& watch) {
   if (auto answer = parse_.Handle(context)) {
     return answer;
   }
--- a/src/plugins/callers/filter_chain.h
+++ b/src/plugins/callers/filter_chain.h
@@ -28,7 +28,8 @@
 
  private:
   // The final answer where a filter gives one.
-  std::optional<FinalAnswer> Pass(RequestContext& context, CallerWatch& watch);
+  std::optional<FinalAnswer> RunFilters(RequestContext& context,
+                                        CallerWatch& watch);
 
   CallerState& state_;
   ParseFilter parse_;
--- a/src/plugins/callers/final_answer.cc
+++ b/src/plugins/callers/final_answer.cc
@@ -40,7 +40,7 @@
   }
 }
 
-std::string_view Advise(FinalKind kind) {
+std::string_view MessageFor(FinalKind kind) {
   switch (kind) {
     case FinalKind::kAnswered:
       return "The request was answered.";
@@ -118,7 +118,7 @@
   return final_answer;
 }
 
-FinalAnswer MakeBadRequest(int status, std::string reason) {
+FinalAnswer MakeRejection(int status, std::string reason) {
   FinalAnswer final_answer;
   final_answer.status = status;
   final_answer.reason = std::move(reason);
@@ -134,7 +134,7 @@
   head.headers.Add(std::string(kReasonHeader), answer.reason);
   json::object error{{"outcome", ToString(answer.kind)},
                      {"reason", answer.reason},
-                     {"message", Advise(answer.kind)}};
+                     {"message", MessageFor(answer.kind)}};
   if (answer.retry_after > Duration::zero()) {
     // The field counts whole seconds; the finer one is for our own clients.
     const auto seconds =
--- a/src/plugins/callers/final_answer.h
+++ b/src/plugins/callers/final_answer.h
@@ -29,7 +29,7 @@
 FinalAnswer MakeFinalAnswer(const attempts::AnswerCaller& answer);
 FinalAnswer MakeFinalAnswer(const limits::Refuse& refusal);
 // The request itself is at fault; it was not run.
-FinalAnswer MakeBadRequest(int status, std::string reason);
+FinalAnswer MakeRejection(int status, std::string reason);
 
 // Writes the answer, whole; false where the caller is gone.
 bool Respond(net::HttpExchange& exchange, const FinalAnswer& answer);
--- a/src/plugins/callers/parse_filter.cc
+++ b/src/plugins/callers/parse_filter.cc
@@ -91,31 +91,31 @@
   const net::HttpHeaders& headers = context.exchange.request().headers;
   const auto workspace = headers.ValueOr(kWorkspaceHeader, "default");
   if (!IsId(workspace)) {
-    return MakeBadRequest(net::status::kBadRequest, "bad-workspace");
+    return MakeRejection(net::status::kBadRequest, "bad-workspace");
   }
   context.key.workspace = Workspace(std::string(workspace));
   const auto id = headers.Find(kRequestIdHeader);
-  context.has_own_id = id.has_value();
+  context.has_caller_id = id.has_value();
   if (id.has_value() && !IsId(*id)) {
-    return MakeBadRequest(net::status::kBadRequest, "bad-idempotency-key");
+    return MakeRejection(net::status::kBadRequest, "bad-idempotency-key");
   }
   context.key.request =
       RequestId(id.has_value() ? std::string(*id)
                                : entry_.value() + "-" +
                                      std::to_string(random_.Below(~0ULL)) +
-                                     "-" + std::to_string(++own_ids_));
+                                     "-" + std::to_string(++generated_ids_));
   if (const auto mark = headers.Find(kIdempotentHeader)) {
-    context.idempotent_mark = ParseBool(*mark);
-    if (!context.idempotent_mark.has_value()) {
-      return MakeBadRequest(net::status::kBadRequest, "bad-idempotent-mark");
+    context.requested_idempotent = ParseBool(*mark);
+    if (!context.requested_idempotent.has_value()) {
+      return MakeRejection(net::status::kBadRequest, "bad-idempotent-mark");
     }
   }
   context.is_first_send =
-      !context.has_own_id || headers.ValueOr(kFirstSendHeader, "") == "true";
+      !context.has_caller_id || headers.ValueOr(kFirstSendHeader, "") == "true";
   if (const auto priority = headers.Find(kPriorityHeader)) {
-    context.priority_mark = ParsePriority(*priority);
-    if (!context.priority_mark.has_value()) {
-      return MakeBadRequest(net::status::kBadRequest, "bad-priority");
+    context.requested_priority = ParsePriority(*priority);
+    if (!context.requested_priority.has_value()) {
+      return MakeRejection(net::status::kBadRequest, "bad-priority");
     }
   }
   if (const auto deadline = headers.Find(kDeadlineHeader)) {
@@ -123,9 +123,9 @@
     const bool is_valid = milliseconds.has_value() && *milliseconds > 0 &&
                           *milliseconds <= kMaxDeadlineMs;
     if (!is_valid) {
-      return MakeBadRequest(net::status::kBadRequest, "bad-deadline");
+      return MakeRejection(net::status::kBadRequest, "bad-deadline");
     }
-    context.deadline_after =
+    context.requested_timeout =
         Milliseconds(static_cast<std::int64_t>(*milliseconds));
   }
   return std::nullopt;
--- a/src/plugins/callers/parse_filter.h
+++ b/src/plugins/callers/parse_filter.h
@@ -29,7 +29,7 @@
   NodeId entry_;
   std::uint32_t trace_permille_;
   Random random_;
-  std::uint64_t own_ids_ = 0;
+  std::uint64_t generated_ids_ = 0;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/request_context.h
+++ b/src/plugins/callers/request_context.h
@@ -27,11 +27,11 @@
   // From the parse filter.
   attempts::RequestKey key;
   attempts::Fingerprint fingerprint;
-  bool has_own_id = false;
+  bool has_caller_id = false;
   bool is_first_send = false;
-  std::optional<bool> idempotent_mark;
-  std::optional<Duration> deadline_after;
-  std::optional<limits::Priority> priority_mark;
+  std::optional<bool> requested_idempotent;
+  std::optional<Duration> requested_timeout;
+  std::optional<limits::Priority> requested_priority;
   telemetry::TraceContext trace;
   std::optional<telemetry::SpanId> parent_span;
   std::string model;
@@ -55,7 +55,7 @@
   std::string reason;
   int status = 0;
   std::uint64_t bytes = 0;
-  bool has_caller_left = false;
+  bool has_caller_disconnected = false;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -55,19 +55,19 @@
   state_.runners.insert(this);
   watch_->SetHandler(
       [self = shared_from_this()] { self->Push(attempts::CallerLeft{}); });
-  if (watch_->has_left()) {
+  if (watch_->has_disconnected()) {
     Push(attempts::CallerLeft{});
   }
-  Feed(attempts::RequestStarted{});
+  HandleEvent(attempts::RequestStarted{});
   while (!machine_.done()) {
-    Feed(NextEvent());
+    HandleEvent(NextEvent());
   }
   context_.attempts = machine_.attempts();
   watch_->SetHandler(nullptr);
   state_.runners.erase(this);
-  is_over_ = true;
+  is_finished_ = true;
   events_.clear();
-  taken_.NotifyAll();
+  event_taken_.NotifyAll();
   for (const auto& [attempt, cancellation] : cancellations_) {
     cancellation->Cancel();
   }
@@ -77,13 +77,13 @@
   Push(attempts::StopLimit{});
 }
 
-void RequestRunner::NoteStall() {
+void RequestRunner::OnStall() {
   // Ahead of what is queued, which may be from before.
   events_.push_front(attempts::EntryStalled{});
-  changed_.NotifyAll();
+  event_added_.NotifyAll();
 }
 
-void RequestRunner::NoteRoster() {
+void RequestRunner::OnRosterChanged() {
   if (!context_.is_idempotent) {
     Push(attempts::HoldersChanged{
         state_.rosters.HoldersOf(context_.key, SteadyNow())});
@@ -91,16 +91,16 @@
 }
 
 void RequestRunner::Push(Event event) {
-  if (is_over_) {
+  if (is_finished_) {
     return;
   }
   events_.push_back(std::move(event));
-  changed_.NotifyAll();
+  event_added_.NotifyAll();
 }
 
 void RequestRunner::PushBounded(Event event) {
-  while (!is_over_ && events_.size() >= kMaxQueuedEvents) {
-    taken_.Wait();
+  while (!is_finished_ && events_.size() >= kMaxQueuedEvents) {
+    event_taken_.Wait();
   }
   Push(std::move(event));
 }
@@ -110,28 +110,28 @@
     state_.Beat();
     const auto deadline = machine_.next_deadline();
     if (!deadline.has_value()) {
-      changed_.Wait();
+      event_added_.Wait();
       continue;
     }
     if (SteadyNow() >= *deadline) {
       return attempts::RequestTick{};
     }
-    changed_.WaitUntil(*deadline);
+    event_added_.WaitUntil(*deadline);
   }
   state_.Beat();
   Event event = std::move(events_.front());
   events_.pop_front();
-  taken_.NotifyAll();
+  event_taken_.NotifyAll();
   return event;
 }
 
-void RequestRunner::Feed(const Event& event) {
+void RequestRunner::HandleEvent(const Event& event) {
   for (const auto& action : machine_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void RequestRunner::Carry(const attempts::RequestAction& action) {
+void RequestRunner::Execute(const attempts::RequestAction& action) {
   std::visit([this](const auto& typed) { On(typed); }, action);
 }
 
@@ -167,7 +167,7 @@
 
 attempts::RequestEvent RequestRunner::ChooseTarget(
     std::vector<TargetId> excluded) {
-  if (is_over_) {
+  if (is_finished_) {
     return attempts::NoTarget{};
   }
   const bool is_first = excluded.empty();
@@ -192,7 +192,7 @@
   Duration retry_after{};
   for (std::size_t i = 0; i < kMaxTokenTries; ++i) {
     const auto choice = state_.router.Choose(request, SteadyNow());
-    if (!is_over_) {
+    if (!is_finished_) {
       ReportChoice(choice);
     }
     if (const auto* none = std::get_if<routing::NoTarget>(&choice)) {
@@ -237,8 +237,8 @@
 void RequestRunner::RunAttempt(const attempts::StartAttempt& start) {
   const AttemptId& id = start.attempt.attempt;
   const auto endpoint = state_.agents.Find(start.attempt.target);
-  if (!endpoint.has_value() || is_over_) {
-    EndOfAttempt(id, routing::AttemptOutcome::kDisconnected);
+  if (!endpoint.has_value() || is_finished_) {
+    ReportAttemptEnd(id, routing::AttemptOutcome::kDisconnected);
     Push(attempts::AttemptRefused{
         id, attempts::RefusalReason::kStopped, true, {}});
     return;
@@ -251,7 +251,7 @@
                         [this, &id] { Push(attempts::AttemptAlive{id}); });
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
     state_.links.DropIdle(*endpoint);
-    EndOfAttempt(id, routing::AttemptOutcome::kDisconnected);
+    ReportAttemptEnd(id, routing::AttemptOutcome::kDisconnected);
     // Without a connection no byte of the attempt left this process.
     if (error->kind == net::HttpErrorKind::kConnect) {
       Push(attempts::AttemptRefused{
@@ -304,7 +304,7 @@
   cancellation->SetHandler(nullptr);
 }
 
-std::optional<attempts::RequestEvent> RequestRunner::JudgeHead(
+std::optional<attempts::RequestEvent> RequestRunner::EvaluateHead(
     const attempts::AttemptRef& attempt,
     const net::HttpResponseHead& head) {
   const auto refusal_text = head.headers.Find(links::kRefusalHeader);
@@ -314,7 +314,7 @@
     const auto refusal =
         error ? std::nullopt
               : attempts::FromJson<attempts::AttemptRefusal>(value);
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kRefusedBusy);
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kRefusedBusy);
     if (!refusal.has_value()) {
       return attempts::LinkLost{attempt.attempt};
     }
@@ -322,7 +322,7 @@
         refusal->reason == attempts::RefusalReason::kLeaving ||
         refusal->reason == attempts::RefusalReason::kStopped;
     if (is_leaving) {
-      state_.NoteLeaving(attempt.target);
+      state_.RecordLeavingTarget(attempt.target);
     }
     return attempts::AttemptRefused{attempt.attempt, refusal->reason,
                                     refusal->never_ran, refusal->retry_after};
@@ -333,12 +333,12 @@
   if (head.status == net::status::kUnauthorized &&
       !head.headers.Find(links::kTokenHeader).has_value()) {
     // The agent refused this entry's key before it looked at the attempt.
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kFailed);
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kFailed);
     return attempts::AttemptRefused{
         attempt.attempt, attempts::RefusalReason::kStopped, true, {}};
   }
   if (head.status >= net::status::kServerError) {
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kFailed);
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kFailed);
     return attempts::AttemptFailed{attempt.attempt};
   }
   return std::nullopt;
@@ -347,15 +347,15 @@
 void RequestRunner::ReadAnswer(const attempts::AttemptRef& attempt,
                                net::HttpClientStream& stream,
                                std::uint64_t offset) {
-  LearnFrom(attempt.target, stream.head());
-  if (auto event = JudgeHead(attempt, stream.head())) {
+  RecordAgentHeaders(attempt.target, stream.head());
+  if (auto event = EvaluateHead(attempt, stream.head())) {
     Push(std::move(*event));
     return;
   }
   answer_headers_ = stream.head().headers;
   Push(attempts::AttemptHead{attempt.attempt, stream.head().status});
   bool is_first = true;
-  while (!is_over_) {
+  while (!is_finished_) {
     // A silent stream is the machine's to judge; this bound only ends the
     // fiber should it judge otherwise.
     net::StreamPiece piece =
@@ -372,21 +372,21 @@
       continue;
     }
     if (std::holds_alternative<net::StreamEnd>(piece)) {
-      EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kSucceeded);
+      ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kSucceeded);
       PushBounded(attempts::AttemptFinished{attempt.attempt, offset});
       return;
     }
-    EndOfAttempt(attempt.attempt, is_over_
-                                      ? routing::AttemptOutcome::kCancelled
-                                      : routing::AttemptOutcome::kDisconnected);
+    ReportAttemptEnd(attempt.attempt,
+                     is_finished_ ? routing::AttemptOutcome::kCancelled
+                                  : routing::AttemptOutcome::kDisconnected);
     PushBounded(attempts::LinkLost{attempt.attempt});
     return;
   }
-  EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kCancelled);
+  ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kCancelled);
 }
 
-void RequestRunner::LearnFrom(const TargetId& target,
-                              const net::HttpResponseHead& head) {
+void RequestRunner::RecordAgentHeaders(const TargetId& target,
+                                       const net::HttpResponseHead& head) {
   if (const auto token = head.headers.Find(links::kTokenHeader)) {
     state_.RecordToken(target, *token);
   }
@@ -395,8 +395,8 @@
   }
 }
 
-void RequestRunner::EndOfAttempt(const AttemptId& attempt,
-                                 routing::AttemptOutcome outcome) {
+void RequestRunner::ReportAttemptEnd(const AttemptId& attempt,
+                                     routing::AttemptOutcome outcome) {
   state_.router.Handle(routing::AttemptFinished{attempt, outcome, std::nullopt},
                        SteadyNow());
 }
@@ -417,7 +417,7 @@
   head.headers.Set(telemetry::kTraceparentHeader,
                    telemetry::FormatTraceparent(context_.trace));
   context_.status = action.status;
-  NoteWrite(context_.exchange.BeginStream(std::move(head)));
+  OnWritten(context_.exchange.BeginStream(std::move(head)));
 }
 
 void RequestRunner::On(const attempts::RelayChunk& action) {
@@ -425,14 +425,14 @@
     context_.first_byte = SteadyNow();
   }
   context_.bytes += action.data.size();
-  NoteWrite(context_.exchange.WritePiece(action.data));
+  OnWritten(context_.exchange.WritePiece(action.data));
 }
 
-void RequestRunner::NoteWrite(bool is_written) {
-  if (is_written || has_noted_left_) {
+void RequestRunner::OnWritten(bool is_written) {
+  if (is_written || has_reported_disconnect_) {
     return;
   }
-  has_noted_left_ = true;
+  has_reported_disconnect_ = true;
   Push(attempts::CallerLeft{});
 }
 
@@ -446,18 +446,18 @@
     head.headers.Set(kOutcomeHeader, std::string(ToString(action.kind)));
     head.headers.Set(kReasonHeader, std::string(ToString(action.reason)));
     context_.status = head.status;
-    NoteWrite(
+    OnWritten(
         exchange.Respond(std::move(head), action.outcome->body.value_or("")));
     return;
   }
   if (!exchange.has_responded()) {
     const FinalAnswer answer = MakeFinalAnswer(action);
     context_.status = answer.status;
-    NoteWrite(Respond(exchange, answer));
+    OnWritten(Respond(exchange, answer));
     return;
   }
   if (action.kind == attempts::FinalKind::kAnswered) {
-    NoteWrite(exchange.EndStream());
+    OnWritten(exchange.EndStream());
     return;
   }
   exchange.AbortStream();
--- a/src/plugins/callers/request_runner.h
+++ b/src/plugins/callers/request_runner.h
@@ -30,9 +30,9 @@
   // The stated limit of a planned stop is reached.
   void Stop();
   // This entry stood still; see attempts::StallDetector.
-  void NoteStall();
+  void OnStall();
   // The entry has learned of another roster of holders.
-  void NoteRoster();
+  void OnRosterChanged();
 
  private:
   using Event = attempts::RequestEvent;
@@ -42,8 +42,8 @@
   // gives.
   void PushBounded(Event event);
   Event NextEvent();
-  void Feed(const Event& event);
-  void Carry(const attempts::RequestAction& action);
+  void HandleEvent(const Event& event);
+  void Execute(const attempts::RequestAction& action);
 
   void On(const attempts::SendClaim& action);
   void On(const attempts::Route& action);
@@ -66,27 +66,29 @@
                   net::HttpClientStream& stream,
                   std::uint64_t offset);
   // The end of the attempt where the head shows that there is no answer.
-  std::optional<Event> JudgeHead(const attempts::AttemptRef& attempt,
-                                 const net::HttpResponseHead& head);
+  std::optional<Event> EvaluateHead(const attempts::AttemptRef& attempt,
+                                    const net::HttpResponseHead& head);
   net::HttpRequest MakeAttemptRequest(
       const attempts::StartAttempt& start) const;
-  void LearnFrom(const TargetId& target, const net::HttpResponseHead& head);
-  void EndOfAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
-  void NoteWrite(bool is_written);
+  void RecordAgentHeaders(const TargetId& target,
+                          const net::HttpResponseHead& head);
+  void ReportAttemptEnd(const AttemptId& attempt,
+                        routing::AttemptOutcome outcome);
+  void OnWritten(bool is_written);
 
   CallerState& state_;
   RequestContext& context_;
   std::shared_ptr<CallerWatch> watch_;
   attempts::RequestMachine machine_;
   std::deque<Event> events_;
-  net::FiberSignal changed_;
-  net::FiberSignal taken_;
+  net::FiberSignal event_added_;
+  net::FiberSignal event_taken_;
   // Copied, since fibers may outlive the context.
   net::HttpRequest request_;
   net::HttpHeaders answer_headers_;
   std::map<AttemptId, std::shared_ptr<net::Cancellation>> cancellations_;
-  bool is_over_ = false;
-  bool has_noted_left_ = false;
+  bool is_finished_ = false;
+  bool has_reported_disconnect_ = false;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/request_runner_calls.cc
+++ b/src/plugins/callers/request_runner_calls.cc
@@ -125,7 +125,7 @@
   if (found != cancellations_.end()) {
     found->second->Cancel();
   }
-  EndOfAttempt(action.attempt.attempt, routing::AttemptOutcome::kCancelled);
+  ReportAttemptEnd(action.attempt.attempt, routing::AttemptOutcome::kCancelled);
   const auto endpoint = state_.agents.Find(action.attempt.target);
   if (!endpoint.has_value()) {
     return;
--- a/tests/auto/callers/parse_filter_test.cc
+++ b/tests/auto/callers/parse_filter_test.cc
@@ -72,10 +72,10 @@
   REQUIRE_FALSE(filter.Handle(context).has_value());
   CHECK(context.key.workspace == Workspace("kiln"));
   CHECK(context.key.request == RequestId("order-1"));
-  CHECK(context.idempotent_mark == false);
+  CHECK(context.requested_idempotent == false);
   CHECK_FALSE(context.is_first_send);
-  CHECK(context.priority_mark == limits::Priority::kHigh);
-  CHECK(context.deadline_after == Milliseconds(1500));
+  CHECK(context.requested_priority == limits::Priority::kHigh);
+  CHECK(context.requested_timeout == Milliseconds(1500));
   CHECK(context.model == "m");
   CHECK(context.expected_tokens == 7);
 }
