--- a/src/plugins/callers/admission_desk.cc
+++ b/src/plugins/callers/admission_controller.cc
@@ -1,4 +1,4 @@
-#include "plugins/callers/admission_desk.h"
+#include "plugins/callers/admission_controller.h"
 
 #include <algorithm>
 
--- a/src/plugins/callers/admission_desk.h
+++ b/src/plugins/callers/admission_controller.h
@@ -1,7 +1,7 @@
 // Joins the admission decision with the fibers of the requests that wait.
 
-#ifndef PLUGINS_CALLERS_ADMISSION_DESK_H_
-#define PLUGINS_CALLERS_ADMISSION_DESK_H_
+#ifndef PLUGINS_CALLERS_ADMISSION_CONTROLLER_H_
+#define PLUGINS_CALLERS_ADMISSION_CONTROLLER_H_
 
 #include <memory>
 #include <optional>
@@ -61,4 +61,4 @@
 
 }  // namespace bilberryspool::callers
 
-#endif  // PLUGINS_CALLERS_ADMISSION_DESK_H_
+#endif  // PLUGINS_CALLERS_ADMISSION_CONTROLLER_H_
--- a/src/plugins/callers/admit_filter.h
+++ b/src/plugins/callers/admit_filter.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "plugins/callers/admission_desk.h"
+#include "plugins/callers/admission_controller.h"
 #include "plugins/callers/caller_watch.h"
 #include "plugins/callers/final_answer.h"
 #include "plugins/callers/request_context.h"
--- a/src/plugins/callers/agent_book.cc
+++ b/src/plugins/callers/agent_registry.cc
@@ -1,4 +1,4 @@
-#include "plugins/callers/agent_book.h"
+#include "plugins/callers/agent_registry.h"
 
 #include <charconv>
 
--- a/src/plugins/callers/agent_book.h
+++ b/src/plugins/callers/agent_registry.h
@@ -1,7 +1,7 @@
 // How to reach the agents, and the admission tokens they issued.
 
-#ifndef PLUGINS_CALLERS_AGENT_BOOK_H_
-#define PLUGINS_CALLERS_AGENT_BOOK_H_
+#ifndef PLUGINS_CALLERS_AGENT_REGISTRY_H_
+#define PLUGINS_CALLERS_AGENT_REGISTRY_H_
 
 #include <map>
 #include <optional>
@@ -51,4 +51,4 @@
 
 }  // namespace bilberryspool::callers
 
-#endif  // PLUGINS_CALLERS_AGENT_BOOK_H_
+#endif  // PLUGINS_CALLERS_AGENT_REGISTRY_H_
--- a/src/plugins/callers/caller_state.h
+++ b/src/plugins/callers/caller_state.h
@@ -16,8 +16,8 @@
 #include "libs/links/link_client.h"
 #include "libs/routing/router.h"
 #include "libs/telemetry/log.h"
-#include "plugins/callers/admission_desk.h"
-#include "plugins/callers/agent_book.h"
+#include "plugins/callers/admission_controller.h"
+#include "plugins/callers/agent_registry.h"
 #include "plugins/callers/service_table.h"
 
 namespace bilberryspool::telemetry {
--- a/tests/auto/callers/parse_token_test.cc
+++ b/tests/auto/callers/parse_token_test.cc
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "plugins/callers/agent_book.h"
+#include "plugins/callers/agent_registry.h"
 
 namespace bilberryspool::callers {
 namespace {
