--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -25,7 +25,7 @@
 
 constexpr Duration kProbeInterval = Milliseconds(250);
 // After the last attempt has ended, entries get the rest of its answer.
-constexpr Duration kStopPoll = Milliseconds(20);
+constexpr Duration kStopPollInterval = Milliseconds(20);
 
 net::Endpoint ToEndpoint(const settings::SocketAddress& address) {
   return {address.ip, address.port};
@@ -72,7 +72,7 @@
                         {{"peer", peer}, {"reason", net::Describe(refusal)}});
             }) {
     if (settings.group_place.has_value()) {
-      MakeRank(*settings.group_place);
+      CreateRankDriver(*settings.group_place);
     }
   }
 
@@ -89,7 +89,7 @@
       Incarnation incarnation);
   static net::HttpServerOptions MakeServerOptions(
       const settings::AgentSettings& settings);
-  void MakeRank(const settings::GroupPlace& place);
+  void CreateRankDriver(const settings::GroupPlace& place);
   static spread::SpreaderOptions MakeSpreaderOptions(
       const settings::CommonSettings& common);
   spreading::SpreadHooks MakeSpreadHooks();
@@ -214,7 +214,7 @@
   return "";
 }
 
-void AgentProcess::MakeRank(const settings::GroupPlace& place) {
+void AgentProcess::CreateRankDriver(const settings::GroupPlace& place) {
   RankDriverOptions options;
   options.group = place.group;
   options.rank = place.rank;
@@ -271,18 +271,18 @@
   const TimePoint earliest =
       started + attempts::AttemptGateOptions().leaving_grace;
   while (SteadyNow() < limit) {
-    const bool is_told =
+    const bool may_stop =
         announcer_.leaving_confirmed() || SteadyNow() >= earliest;
-    if (is_told && attempts_.running() == 0) {
+    if (may_stop && attempts_.running() == 0) {
       break;
     }
-    loop_.SleepFor(kStopPoll);
+    loop_.SleepFor(kStopPollInterval);
   }
   attempts_.StopNewWork();
   server_.Drain();
   const TimePoint last = SteadyNow() + Seconds(1);
   while (server_.counts().requests_in_progress > 0 && SteadyNow() < last) {
-    loop_.SleepFor(kStopPoll);
+    loop_.SleepFor(kStopPollInterval);
   }
   log_.Info("Stopped.", {{"cut", attempts_.running()}});
 }
--- a/src/plugins/agent/announce_driver.cc
+++ b/src/plugins/agent/announce_driver.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr Duration kCallPatience = Milliseconds(800);
-constexpr Duration kLongestPause = Milliseconds(200);
+constexpr Duration kCallTimeout = Milliseconds(800);
+constexpr Duration kMaxPause = Milliseconds(200);
 
 }  // namespace
 
@@ -35,19 +35,18 @@
   while (!announcer_.identity_lost()) {
     Handle(membership::AnnouncerTick{});
     const TimePoint now = SteadyNow();
-    const TimePoint due =
-        announcer_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+    const TimePoint due = announcer_.next_deadline().value_or(now + kMaxPause);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxPause));
   }
 }
 
 void AnnounceDriver::Handle(const membership::AnnouncerEvent& event) {
   for (const auto& action : announcer_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void AnnounceDriver::Carry(const membership::AnnouncerAction& action) {
+void AnnounceDriver::Execute(const membership::AnnouncerAction& action) {
   std::visit(Overloaded{[this](const membership::SendAnnouncement& send) {
                           Send(send.entry, "membership.announce",
                                membership::ToJson(send.announcement));
@@ -70,7 +69,7 @@
     return;
   }
   loop_.Spawn([this, entry, endpoint, method, params] {
-    auto result = client_.Call(*endpoint, method, params, kCallPatience);
+    auto result = client_.Call(*endpoint, method, params, kCallTimeout);
     if (const auto* error = std::get_if<links::LinkError>(&result)) {
       log_.Debug("Entry did not answer.",
                  {{"entry", entry}, {"error", error->text}});
--- a/src/plugins/agent/announce_driver.h
+++ b/src/plugins/agent/announce_driver.h
@@ -35,7 +35,7 @@
 
  private:
   void Run();
-  void Carry(const membership::AnnouncerAction& action);
+  void Execute(const membership::AnnouncerAction& action);
   void Send(const std::string& entry,
             const std::string& method,
             const boost::json::value& params);
--- a/src/plugins/agent/attempt_service.cc
+++ b/src/plugins/agent/attempt_service.cc
@@ -206,27 +206,28 @@
       .CounterFor({"bilberryspool_attempts_started_total",
                    "Attempts handed to the engine"})
       .Add();
-  const std::uint64_t began = net::WallNanoseconds();
+  const std::uint64_t started_wall_ns = net::WallNanoseconds();
   const TimePoint started = SteadyNow();
   const std::size_t in_flight = gate_.running();
   auto opened = engine_.Open(options_.engine, attempt->request,
-                             options_.engine_patience, attempt->cancellation);
+                             options_.engine_timeout, attempt->cancellation);
   if (auto* error = std::get_if<net::HttpError>(&opened)) {
     log_.Warn("Engine gave no answer.",
               {{"attempt", attempt->start.attempt.attempt.value()},
                {"error", error->text}});
-    const bool never_left = error->kind == net::HttpErrorKind::kConnect;
+    const bool never_sent = error->kind == net::HttpErrorKind::kConnect;
     EndAttempt(attempt,
-               never_left ? AttemptPhase::kWithdrawn : AttemptPhase::kFailed);
+               never_sent ? AttemptPhase::kWithdrawn : AttemptPhase::kFailed);
   } else {
     limit_.Observe(SteadyNow() - started, in_flight, SteadyNow());
     ReadAnswer(attempt,
                *std::get<std::unique_ptr<net::HttpClientStream>>(opened));
   }
-  WriteSpan(*attempt, began);
+  WriteSpan(*attempt, started_wall_ns);
 }
 
-void AttemptService::WriteSpan(const Attempt& attempt, std::uint64_t began) {
+void AttemptService::WriteSpan(const Attempt& attempt,
+                               std::uint64_t started_wall_ns) {
   if (spans_ == nullptr) {
     return;
   }
@@ -235,13 +236,13 @@
   if (!parent.has_value()) {
     return;
   }
-  Random random(began);
+  Random random(started_wall_ns);
   telemetry::Span span;
   span.name = "engine";
   span.context = telemetry::ChildOf(*parent, random);
   span.parent = parent->span_id;
   span.kind = telemetry::SpanKind::kClient;
-  span.start = telemetry::WallTime(began);
+  span.start = telemetry::WallTime(started_wall_ns);
   span.end = telemetry::WallTime(net::WallNanoseconds());
   if (attempt.log.phase() != AttemptPhase::kFinished) {
     span.error = "engine failed";
@@ -255,7 +256,7 @@
   attempt->log.SetHead(stream.head());
   AttemptPhase phase = AttemptPhase::kRunning;
   while (phase == AttemptPhase::kRunning) {
-    net::StreamPiece piece = stream.Read(options_.engine_patience);
+    net::StreamPiece piece = stream.Read(options_.engine_timeout);
     std::visit(
         Overloaded{
             [&](std::string& bytes) { attempt->log.Append(std::move(bytes)); },
@@ -282,7 +283,7 @@
   }
   attempt->log.Finish(phase);
   loop_.Spawn([this, attempt] {
-    loop_.SleepFor(options_.keep_finished);
+    loop_.SleepFor(options_.finished_retention);
     attempts_.erase(attempt->start.attempt.attempt);
   });
 }
@@ -295,7 +296,7 @@
       WaitForHead(exchange, attempt) && StreamLog(exchange, attempt, offset);
   attempt->log.RemoveFollower();
   if (!is_answered) {
-    LeaveFollower(attempt);
+    CancelIfOrphaned(attempt);
   }
 }
 
@@ -315,7 +316,7 @@
       return true;
     }
     const bool is_changed =
-        attempt->log.WaitForChange(SteadyNow() + options_.sign_of_life);
+        attempt->log.WaitForChange(SteadyNow() + options_.keepalive_interval);
     if (!is_changed && !exchange.SendProcessing()) {
       return false;
     }
@@ -355,14 +356,14 @@
       exchange.AbortStream();
       return true;
     }
-    attempt->log.WaitForChange(SteadyNow() + options_.engine_patience);
+    attempt->log.WaitForChange(SteadyNow() + options_.engine_timeout);
   }
 }
 
 // Nobody may be left to want the answer. The entry may also be about to follow
 // it over a new connection, so idempotent work gets a grace; other work runs to
 // its end, since its effects are wanted once.
-void AttemptService::LeaveFollower(const AttemptPointer& attempt) {
+void AttemptService::CancelIfOrphaned(const AttemptPointer& attempt) {
   if (!attempt->is_idempotent || attempt->log.followers() > 0) {
     return;
   }
--- a/src/plugins/agent/attempt_service.h
+++ b/src/plugins/agent/attempt_service.h
@@ -33,13 +33,13 @@
   // Answer bytes kept of one attempt for entries that follow it again.
   std::size_t max_log_bytes = 1U << 20U;
   // How long a finished attempt's answer is kept.
-  Duration keep_finished = Seconds(5);
+  Duration finished_retention = Seconds(5);
   // Idempotent work that nobody follows any more is cancelled after this time.
   Duration orphan_grace = Seconds(4);
   // How often an entry that waits gets a sign of life.
-  Duration sign_of_life = Milliseconds(500);
+  Duration keepalive_interval = Milliseconds(500);
   // An engine that shows nothing for this long has failed the attempt.
-  Duration engine_patience = Seconds(60);
+  Duration engine_timeout = Seconds(60);
 };
 
 // Runs in the agent's loop. Each attempt has one fiber that reads from the
@@ -89,7 +89,7 @@
   void EndAttempt(const AttemptPointer& attempt, AttemptPhase phase);
   // Tells an entry that an attempt never reached the engine.
   void RefuseWithdrawn(net::HttpExchange& exchange, const Attempt& attempt);
-  void WriteSpan(const Attempt& attempt, std::uint64_t began);
+  void WriteSpan(const Attempt& attempt, std::uint64_t started_wall_ns);
   void Follow(net::HttpExchange& exchange,
               const AttemptPointer& attempt,
               std::uint64_t offset);
@@ -97,7 +97,7 @@
   bool StreamLog(net::HttpExchange& exchange,
                  const AttemptPointer& attempt,
                  std::uint64_t offset);
-  void LeaveFollower(const AttemptPointer& attempt);
+  void CancelIfOrphaned(const AttemptPointer& attempt);
   void AddAgentHeaders(net::HttpHeaders& headers) const;
 
   net::NetworkLoop& loop_;
--- a/src/plugins/agent/engine_orders.cc
+++ b/src/plugins/agent/engine_orders.cc
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Duration kRetryPause = Milliseconds(200);
-constexpr Duration kResetPatience = Seconds(5);
-constexpr Duration kFetchPatience = Seconds(30);
-constexpr Duration kShortPatience = Seconds(1);
+constexpr Duration kRetryDelay = Milliseconds(200);
+constexpr Duration kResetTimeout = Seconds(5);
+constexpr Duration kFetchTimeout = Seconds(30);
+constexpr Duration kShortTimeout = Seconds(1);
 // Longer than any stall that an engine gets over by itself.
-constexpr Duration kStepPatience = Seconds(60);
+constexpr Duration kStepTimeout = Seconds(60);
 
 json::object ToJson(const placement::ExpertKey& key) {
   return {{"layer", key.layer.value()}, {"expert", key.expert.value()}};
@@ -53,7 +53,7 @@
   });
 }
 
-void EngineOrders::Tell(const groups::RankEvent& event) {
+void EngineOrders::Report(const groups::RankEvent& event) {
   if (!is_closed_) {
     on_event_(event);
   }
@@ -61,14 +61,14 @@
 
 std::optional<json::object> EngineOrders::Post(const std::string& path,
                                                json::object body,
-                                               Duration patience) {
+                                               Duration timeout) {
   body["incarnation"] = incarnation_.value();
   net::HttpRequest request;
   request.method = "POST";
   request.target = path;
   request.headers.Add("Content-Type", "application/json");
   request.body = json::serialize(body);
-  auto result = client_.Send(engine_, request, patience);
+  auto result = client_.Send(engine_, request, timeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr) {
     client_.DropIdle(engine_);
@@ -86,10 +86,10 @@
 // own orders that say what is resident.
 void EngineOrders::Reset() {
   Enqueue([this] {
-    while (!is_closed_ && !Post("/v1/reset", {}, kResetPatience)) {
-      loop_.SleepFor(kRetryPause);
+    while (!is_closed_ && !Post("/v1/reset", {}, kResetTimeout)) {
+      loop_.SleepFor(kRetryDelay);
     }
-    Tell(groups::EngineReset{});
+    Report(groups::EngineReset{});
   });
 }
 
@@ -97,10 +97,10 @@
   Enqueue([this, key] {
     json::object body = ToJson(key);
     body["action"] = "fetch";
-    if (Post("/v1/weights", std::move(body), kFetchPatience)) {
-      Tell(groups::WeightsFetched{key});
+    if (Post("/v1/weights", std::move(body), kFetchTimeout)) {
+      Report(groups::WeightsFetched{key});
     } else {
-      Tell(groups::FetchFailed{key});
+      Report(groups::FetchFailed{key});
     }
   });
 }
@@ -113,12 +113,12 @@
   Enqueue([this, experts = std::move(experts)] {
     // Where it fails the weights only take up room until the next reset.
     Post("/v1/weights", {{"action", "drop"}, {"experts", experts}},
-         kShortPatience);
+         kShortTimeout);
   });
 }
 
 void EngineOrders::Start(const groups::StartStep& start) {
-  running_ = start.step;
+  running_step_ = start.step;
   loop_.Spawn([self = shared_from_this(), start] { self->RunStep(start); });
 }
 
@@ -129,8 +129,8 @@
                             {"sequence", step.view.sequence},
                             {"number", step.number},
                             {"map_version", start.map_version.value()}},
-                           kStepPatience);
-  running_.reset();
+                           kStepTimeout);
+  running_step_.reset();
   const auto* finished = answer ? answer->if_contains("finished") : nullptr;
   if (finished == nullptr || !finished->is_bool()) {
     if (!is_closed_) {
@@ -139,17 +139,17 @@
     return;
   }
   if (finished->as_bool()) {
-    Tell(groups::StepFinished{step});
+    Report(groups::StepFinished{step});
   } else {
-    Tell(groups::StepAborted{step});
+    Report(groups::StepAborted{step});
   }
 }
 
 void EngineOrders::Abort(const groups::StepId& step) {
   loop_.Spawn([self = shared_from_this(), step] {
-    while (!self->is_closed_ && self->running_ == step) {
-      self->Post("/v1/steps/abort", {}, kShortPatience);
-      self->loop_.SleepFor(kRetryPause);
+    while (!self->is_closed_ && self->running_step_ == step) {
+      self->Post("/v1/steps/abort", {}, kShortTimeout);
+      self->loop_.SleepFor(kRetryDelay);
     }
   });
 }
--- a/src/plugins/agent/engine_orders.h
+++ b/src/plugins/agent/engine_orders.h
@@ -29,7 +29,7 @@
   using OnEvent = std::function<void(const groups::RankEvent&)>;
   // The engine lost a step or no longer knows of the reset: what it holds is
   // unknown, as after a restart.
-  using OnLost = std::function<void(const std::string& why)>;
+  using OnLost = std::function<void(const std::string& reason)>;
 
   EngineOrders(net::NetworkLoop& loop,
                net::Endpoint engine,
@@ -52,11 +52,11 @@
   using Job = std::function<void()>;
 
   void Enqueue(Job job);
-  void Tell(const groups::RankEvent& event);
+  void Report(const groups::RankEvent& event);
   // The answer, or nothing where the engine failed or refused.
   std::optional<boost::json::object> Post(const std::string& path,
                                           boost::json::object body,
-                                          Duration patience);
+                                          Duration timeout);
   void RunStep(const groups::StartStep& start);
 
   net::NetworkLoop& loop_;
@@ -68,7 +68,7 @@
   bool is_closed_ = false;
   bool is_busy_ = false;
   std::deque<Job> jobs_;
-  std::optional<groups::StepId> running_;
+  std::optional<groups::StepId> running_step_;
 };
 
 }  // namespace bilberryspool::agent
--- a/src/plugins/agent/expert_probe.cc
+++ b/src/plugins/agent/expert_probe.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration kInterval = Seconds(1);
-constexpr Duration kPatience = Seconds(1);
+constexpr Duration kTimeout = Seconds(1);
 
 std::uint64_t NumberOf(const json::value& value) {
   boost::system::error_code error;
@@ -39,7 +39,7 @@
   loop_.Spawn([this] {
     std::optional<Totals> before;
     while (true) {
-      std::optional<Totals> after = Ask();
+      std::optional<Totals> after = Poll();
       if (before.has_value() && after.has_value()) {
         Report(*before, *after);
       }
@@ -51,9 +51,9 @@
 
 // Totals that went back are those of a restarted engine.
 void ExpertProbe::Report(const Totals& before, const Totals& after) {
-  const bool has_shape =
+  const bool has_same_shape =
       before.layers == after.layers && before.experts == after.experts;
-  if (!has_shape || before.tokens.size() != after.tokens.size()) {
+  if (!has_same_shape || before.tokens.size() != after.tokens.size()) {
     return;
   }
   groups::ExpertCounts counts;
@@ -69,10 +69,10 @@
   on_counts_(std::move(counts));
 }
 
-std::optional<ExpertProbe::Totals> ExpertProbe::Ask() {
+std::optional<ExpertProbe::Totals> ExpertProbe::Poll() {
   net::HttpRequest request;
   request.target = "/load";
-  auto result = client_.Send(engine_, request, kPatience);
+  auto result = client_.Send(engine_, request, kTimeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr || response->head.status != 200) {
     return std::nullopt;
--- a/src/plugins/agent/expert_probe.h
+++ b/src/plugins/agent/expert_probe.h
@@ -36,7 +36,7 @@
     std::vector<std::uint64_t> tokens;
   };
 
-  std::optional<Totals> Ask();
+  std::optional<Totals> Poll();
   void Report(const Totals& before, const Totals& after);
 
   net::NetworkLoop& loop_;
--- a/src/plugins/agent/load_probe.cc
+++ b/src/plugins/agent/load_probe.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration kPatience = Seconds(1);
+constexpr Duration kTimeout = Seconds(1);
 
 std::uint32_t ReadCount(const json::object& report, const char* key) {
   const json::value* value = report.if_contains(key);
@@ -35,16 +35,16 @@
 void LoadProbe::Start() {
   loop_.Spawn([this] {
     while (true) {
-      on_load_(Ask());
+      on_load_(Poll());
       loop_.SleepFor(interval_);
     }
   });
 }
 
-std::optional<membership::LoadReport> LoadProbe::Ask() {
+std::optional<membership::LoadReport> LoadProbe::Poll() {
   net::HttpRequest request;
   request.target = "/load";
-  auto result = client_.Send(engine_, request, kPatience);
+  auto result = client_.Send(engine_, request, kTimeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr || response->head.status != 200) {
     return std::nullopt;
--- a/src/plugins/agent/load_probe.h
+++ b/src/plugins/agent/load_probe.h
@@ -31,7 +31,7 @@
   void Start();
 
  private:
-  std::optional<membership::LoadReport> Ask();
+  std::optional<membership::LoadReport> Poll();
 
   net::NetworkLoop& loop_;
   net::Endpoint engine_;
--- a/src/plugins/agent/rank_driver.cc
+++ b/src/plugins/agent/rank_driver.cc
@@ -14,8 +14,8 @@
 namespace {
 
 // Messages are repeated, so a late one is worth nothing.
-constexpr Duration kCallPatience = Milliseconds(300);
-constexpr Duration kLongestPause = Milliseconds(20);
+constexpr Duration kCallTimeout = Milliseconds(300);
+constexpr Duration kMaxPause = Milliseconds(20);
 
 }  // namespace
 
@@ -44,7 +44,7 @@
 }
 
 void RankDriver::Start() {
-  BeginAnew();
+  Restart();
   loop_.Spawn([this] { Run(); });
   probe_.Start();
 }
@@ -53,12 +53,12 @@
   while (true) {
     const TimePoint now = SteadyNow();
     const TimePoint due = machine_->next_deadline().value_or(now);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxPause));
     Handle(groups::RankTick{});
   }
 }
 
-void RankDriver::BeginAnew() {
+void RankDriver::Restart() {
   if (engine_ != nullptr) {
     engine_->Close();
     incarnation_ = incarnation_.Next();
@@ -68,7 +68,7 @@
       [this](const groups::RankEvent& event) { Handle(event); },
       [this](const std::string& why) {
         log_.Warn("Engine lost.", {{"why", why}});
-        BeginAnew();
+        Restart();
       });
   groups::RankOptions options;
   options.group = options_.group;
@@ -76,54 +76,54 @@
   options.incarnation = incarnation_;
   machine_.emplace(options);
   on_serving_(false);
-  Carry(machine_->Start(SteadyNow()));
+  ExecuteAll(machine_->Start(SteadyNow()));
 }
 
 void RankDriver::Handle(const groups::RankEvent& event) {
-  Carry(machine_->Handle(event, SteadyNow()));
+  ExecuteAll(machine_->Handle(event, SteadyNow()));
 }
 
 // Nothing here calls back into the machine at once: answers come by fibers.
-void RankDriver::Carry(const std::vector<groups::RankAction>& actions) {
+void RankDriver::ExecuteAll(const std::vector<groups::RankAction>& actions) {
   for (const groups::RankAction& action : actions) {
-    std::visit([this](const auto& each) { CarryOut(each); }, action);
+    std::visit([this](const auto& each) { Execute(each); }, action);
   }
 }
 
-void RankDriver::CarryOut(const groups::ResetEngine&) {
+void RankDriver::Execute(const groups::ResetEngine&) {
   engine_->Reset();
 }
 
-void RankDriver::CarryOut(const groups::FetchWeights& action) {
+void RankDriver::Execute(const groups::FetchWeights& action) {
   engine_->Fetch(action.key);
 }
 
-void RankDriver::CarryOut(const groups::DropWeights& action) {
+void RankDriver::Execute(const groups::DropWeights& action) {
   engine_->Drop(action.keys);
 }
 
-void RankDriver::CarryOut(const groups::StartStep& action) {
+void RankDriver::Execute(const groups::StartStep& action) {
   engine_->Start(action);
 }
 
-void RankDriver::CarryOut(const groups::AbortStep& action) {
+void RankDriver::Execute(const groups::AbortStep& action) {
   engine_->Abort(action.step);
 }
 
-void RankDriver::CarryOut(const groups::SendStatus& action) {
+void RankDriver::Execute(const groups::SendStatus& action) {
   Send(contacts_.controller, "group.status",
        json::object{{"target", options_.target.value()},
                     {"status", groups::ToJson(action.status)}});
 }
 
-void RankDriver::CarryOut(const groups::SendToRank& action) {
+void RankDriver::Execute(const groups::SendToRank& action) {
   const auto found = contacts_.ranks.find(action.rank);
   if (found != contacts_.ranks.end()) {
     Send(found->second, "group.rank_message", groups::ToJson(action.message));
   }
 }
 
-void RankDriver::CarryOut(const groups::RankStateChanged& action) {
+void RankDriver::Execute(const groups::RankStateChanged& action) {
   log_.Info("Rank state.",
             {{"why", action.why}, {"incarnation", incarnation_.value()}});
   on_serving_(action.state == groups::GroupState::kServing ||
@@ -146,7 +146,7 @@
     return;
   }
   loop_.Spawn([this, endpoint, method, params] {
-    const auto result = client_.Call(*endpoint, method, params, kCallPatience);
+    const auto result = client_.Call(*endpoint, method, params, kCallTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       // An idle connection that leads nowhere must not be used again.
       client_.DropIdle(*endpoint);
--- a/src/plugins/agent/rank_driver.h
+++ b/src/plugins/agent/rank_driver.h
@@ -52,17 +52,17 @@
   using Json = boost::json::value;
 
   void Run();
-  void BeginAnew();
+  void Restart();
   void Handle(const groups::RankEvent& event);
-  void Carry(const std::vector<groups::RankAction>& actions);
-  void CarryOut(const groups::ResetEngine& action);
-  void CarryOut(const groups::FetchWeights& action);
-  void CarryOut(const groups::DropWeights& action);
-  void CarryOut(const groups::StartStep& action);
-  void CarryOut(const groups::AbortStep& action);
-  void CarryOut(const groups::SendStatus& action);
-  void CarryOut(const groups::SendToRank& action);
-  void CarryOut(const groups::RankStateChanged& action);
+  void ExecuteAll(const std::vector<groups::RankAction>& actions);
+  void Execute(const groups::ResetEngine& action);
+  void Execute(const groups::FetchWeights& action);
+  void Execute(const groups::DropWeights& action);
+  void Execute(const groups::StartStep& action);
+  void Execute(const groups::AbortStep& action);
+  void Execute(const groups::SendStatus& action);
+  void Execute(const groups::SendToRank& action);
+  void Execute(const groups::RankStateChanged& action);
   void SendCounts(groups::ExpertCounts counts);
   void Send(const std::string& address,
             const std::string& method,
