--- a/src/plugins/gateway/control_follower.cc
+++ b/src/plugins/gateway/control_follower.cc
@@ -14,20 +14,22 @@
 
 namespace {
 
-// An answer that takes longer than the node may hold it is lost: the node is
-// dead, cut off, or the connection has gone silent.
+// A node delays its answer by kLongestWatch at most. After this timeout the
+// node is dead or disconnected, or the connection has gone silent.
 constexpr Duration kWatchTimeout = traffic::kLongestWatch + Milliseconds(600);
-// While a text is wanted, how often a node is asked anew whether it has it.
-// With 39 gateways and 6 nodes that is 780 questions a second while it lasts.
+// Interval between queries to a node while a newer configuration is known but
+// not fetched. With 39 gateways and 6 nodes this is 780 queries a second.
 constexpr Duration kFetchPollInterval = Milliseconds(300);
 constexpr Duration kCallAllTimeout = Milliseconds(500);
-// A request waits for the answer.
+// Short, as a request waits for the answer.
 constexpr Duration kCallOneTimeout = Milliseconds(200);
 constexpr Duration kRetryDelay = Milliseconds(150);
-// Without a word from the leader the newest configuration heard of counts
-// after this time, so that a failure domain that is cut off goes on serving.
+// If the leader does not answer for this time after the start, the newest
+// configuration received is served, so that a failure domain that is cut off
+// keeps serving.
 constexpr Duration kLeaderWaitTimeout = Seconds(3);
-// A node that no other lists any more and that does not answer is let go.
+// A node that does not answer and that no other node lists as a member is no
+// longer followed after this time.
 constexpr Duration kNodeRetention = Seconds(20);
 
 }  // namespace
@@ -92,7 +94,7 @@
         SteadyNow() - node->last_response_at > kNodeRetention &&
         members_.count(node->endpoint) == 0 && !reachable_.empty();
     if (should_unfollow) {
-      log_.Info("Following a control node no more.",
+      log_.Info("Stopped following a control node.",
                 {{"node", node->endpoint.ToString()}});
       followed_.erase(node->endpoint);
       return;
@@ -170,14 +172,14 @@
   return std::nullopt;
 }
 
-// Each node tells of a new configuration at about the same moment. With the
-// text in each answer it would cross the links once for each control node.
+// All nodes report a new configuration at about the same moment. If each answer
+// contained the text, it would cross the links once for each control node.
 void ControlFollower::FetchConfiguration(Node& node) {
   if (node.reported_version <= version_in_force()) {
     return;
   }
   const traffic::ToldText reported{node.reported_version, node.reported_bytes,
-                                   state_.gateways, is_home_node(node)};
+                                   state_.gateway_count, is_home_node(node)};
   if (configuration_fetch_.ShouldStart(reported, version_in_force(),
                                        SteadyNow()) &&
       !SendWatchQuery(node, /*wants_configuration=*/true)) {
@@ -190,7 +192,7 @@
   query.asker = name_;
   query.boot = node.boot;
   query.revision = node.revision;
-  // What the node has told already is no news again.
+  // A version that the node has reported already does not count as a change.
   query.version = wants_configuration
                       ? version_in_force()
                       : std::max(version_in_force(), node.reported_version);
@@ -200,8 +202,8 @@
   query.quarantine_revision = node.quarantine_revision;
   query.limits_revision = node.limits_revision;
   query.limits = state_.targets.limits().Statements(SteadyNow());
-  // While a text is on its way to another fiber, this one looks again soon, in
-  // case it does not arrive.
+  // While another fiber fetches the configuration, this fiber queries again
+  // soon in case that fetch fails.
   const bool lacks_configuration = node.reported_version > version_in_force();
   query.wait = wants_configuration   ? Duration::zero()
                : lacks_configuration ? kFetchPollInterval
@@ -218,7 +220,7 @@
                            ? traffic::UnpackTargets(answer->targets)
                            : std::nullopt;
   if (!targets.has_value()) {
-    log_.Warn("Can't read a control node's answer.",
+    log_.Warn("The answer of a control node is malformed.",
               {{"node", node.endpoint.ToString()}});
     return false;
   }
@@ -269,7 +271,8 @@
   Follow(members);
 }
 
-// Never goes back: an answer that was overtaken is older than what is served.
+// The version in force never decreases: an answer that arrives late may be
+// older than the configuration in force.
 void ControlFollower::AdoptConfiguration(const traffic::WatchAnswer& answer) {
   if (!answer.configuration.has_value() ||
       answer.version <= version_in_force()) {
--- a/src/plugins/gateway/control_follower.h
+++ b/src/plugins/gateway/control_follower.h
@@ -1,4 +1,5 @@
-// Follows all control nodes: configuration, targets, and the nodes themselves.
+// Receives the configuration, the targets and the list of control nodes from
+// all control nodes.
 
 #ifndef PLUGINS_GATEWAY_CONTROL_FOLLOWER_H_
 #define PLUGINS_GATEWAY_CONTROL_FOLLOWER_H_
@@ -21,7 +22,8 @@
 
 namespace bilberryspool::gateway {
 
-// Runs in the gateway's loop; one fiber for each control node that is known.
+// Keeps a long-polling query open at each known control node. Runs in the
+// gateway's loop, with one fiber per control node.
 class ControlFollower {
  public:
   ControlFollower(net::NetworkLoop& loop,
@@ -30,20 +32,24 @@
                   std::string name,
                   traffic::ConfigurationReader read_configuration);
 
-  // Adds control nodes to follow; those that are followed already go on.
+  // Starts to follow the control nodes that are not followed yet.
   void Follow(const std::vector<net::Endpoint>& nodes);
 
-  // Whether the configuration in force is known not to be an old one: a
-  // process that starts anew must not serve by less than was in force before.
+  // Whether the configuration in force may be served. A process that has just
+  // started must not serve an older configuration than the one that was in
+  // force before, so it waits for an answer of the leader or for
+  // kLeaderWaitTimeout.
   bool is_current(TimePoint now) const;
   std::size_t reachable_nodes() const { return reachable_.size(); }
 
-  // Calls all control nodes that can be reached; does not wait for them. Each
-  // is called once more where it does not answer.
+  // Calls all reachable control nodes and returns without waiting for them. A
+  // call that fails is repeated once.
   void CallAll(const std::string& method, const boost::json::value& params);
-  // Calls one, the same for the same `key` at all gateways that reach the same
-  // nodes, or else the next; nothing where neither answers. `make_params` gets
-  // the rank of the node that is asked, from 0.
+  // Calls the reachable control node that ranks first for `key`, and the second
+  // one if the first does not answer. Gateways that reach the same nodes choose
+  // the same node. Returns nothing if neither answers. `make_params` is called
+  // with the rank of the called node, starting at 0. Suspends the calling
+  // fiber.
   std::optional<boost::json::value> CallOne(
       const std::string& key,
       const std::string& method,
@@ -54,9 +60,9 @@
     net::Endpoint endpoint;
     std::uint64_t boot = 0;
     std::uint64_t revision = 0;
-    // The newest configuration that the node has told of.
+    // The newest configuration version that the node has reported.
     std::uint64_t reported_version = 0;
-    std::uint64_t reported_bytes = 0;  // of its text
+    std::uint64_t reported_bytes = 0;  // size of its text
     bool is_leader = false;
     std::uint64_t slow_revision = 0;
     std::uint64_t quarantine_revision = 0;
@@ -66,24 +72,30 @@
   };
 
   void Run(const std::shared_ptr<Node>& node);
-  // False where the node did not answer.
+  // Sends one "control.watch" query and applies the answer. Returns false if
+  // the node did not answer.
   bool SendWatchQuery(Node& node, bool wants_configuration);
-  // Asks the node for the text of the configuration that it told of, where it
-  // is the one to ask.
+  // Fetches the configuration that the node has reported, if this node is the
+  // one to fetch it from.
   void FetchConfiguration(Node& node);
-  // Of the nodes that this gateway reaches, the one for its own texts; another
-  // one for each gateway.
+  // Whether the node is the home node of this gateway: the reachable node from
+  // which it fetches configurations by preference. Gateways have different home
+  // nodes.
   bool is_home_node(const Node& node) const;
-  // The reachable nodes that are best for `key`, best first.
+  // The `count` reachable nodes that rank highest for `key`, highest first.
   std::vector<net::Endpoint> RankReachable(std::string_view key,
                                            std::size_t count) const;
+  // Returns false if the node did not answer.
   bool CallNode(const net::Endpoint& node,
                 const std::string& method,
                 const boost::json::value& params);
   std::uint64_t version_in_force() const;
+  // Applies the answer of a control node to the gateway's state.
   void Adopt(Node& node,
              const traffic::WatchAnswer& answer,
              const std::vector<traffic::TargetRecord>& targets);
+  // Puts the configuration of the answer in force if it is newer than the
+  // present one.
   void AdoptConfiguration(const traffic::WatchAnswer& answer);
 
   net::NetworkLoop& loop_;
--- a/src/plugins/gateway/gateway_process.cc
+++ b/src/plugins/gateway/gateway_process.cc
@@ -24,10 +24,11 @@
 
 namespace {
 
-// The platform's balancer needs two failed questions, a second apart, to send
-// callers elsewhere; new connections are taken until then.
+// The platform's load balancer sends callers elsewhere after two failed health
+// checks that are one second apart. New connections are accepted until then.
 constexpr Duration kBalancerDelay = Milliseconds(2500);
-// Before the platform ends the process.
+// Time between the end of the drain and the moment at which the platform ends
+// the process.
 constexpr Duration kExitMargin = Milliseconds(400);
 constexpr Duration kDrainPollInterval = Milliseconds(50);
 constexpr Duration kSettingsPollInterval = Seconds(1);
@@ -202,7 +203,8 @@
     exchange.Respond(std::move(head), state_.metrics.ToPrometheusText());
   }
 
-  // Quantiles on the metrics address follow the present.
+  // Keeps the quantiles on the metrics address to recent requests, and advances
+  // the quarantine and the declared limits.
   void RotateMetricWindows() {
     constexpr Duration kWindow = Seconds(10);
     while (true) {
@@ -213,7 +215,7 @@
     }
   }
 
-  // Requests at targets that have fallen silent or turned slow go on elsewhere.
+  // Lets calls move to another target when theirs has become silent or slow.
   void WatchTargets() {
     constexpr Duration kPollInterval = Milliseconds(100);
     while (true) {
@@ -229,7 +231,8 @@
 
   using Stamp = std::tuple<std::int64_t, std::int64_t, std::int64_t>;
 
-  // Changes when the file is written anew or replaced.
+  // Modification time and size of the settings file; changes when the file is
+  // rewritten or replaced.
   Stamp FileStamp() const {
     struct stat status {};
     if (stat(settings_path_.c_str(), &status) != 0) {
@@ -238,7 +241,7 @@
     return {status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size};
   }
 
-  // The file may change without a signal.
+  // Reloads the settings when the file has changed without a reload signal.
   void WatchSettings() {
     while (true) {
       loop_.SleepFor(kSettingsPollInterval);
@@ -250,8 +253,8 @@
     }
   }
 
-  // Only the control nodes to ask can change while the process runs; all else
-  // counts at the next start. A bad file changes nothing.
+  // Applies the control nodes of the settings file. All other settings take
+  // effect at the next start. An invalid file changes nothing.
   void Reload() {
     const auto loaded = settings::Load(settings_path_);
     const auto* settings = std::get_if<settings::Settings>(&loaded);
@@ -260,10 +263,10 @@
             ? nullptr
             : std::get_if<settings::GatewaySettings>(&settings->role);
     if (gateway == nullptr) {
-      log_.Warn("The changed settings can't be used; going on without them.");
+      log_.Warn("The changed settings are invalid; keeping the present ones.");
       return;
     }
-    log_.Info("Settings read again.", {{"seeds", gateway->seeds.size()}});
+    log_.Info("Reloaded the settings.", {{"seeds", gateway->seeds.size()}});
     FollowSeeds(gateway->seeds);
   }
 
--- a/src/plugins/gateway/gateway_process.h
+++ b/src/plugins/gateway/gateway_process.h
@@ -1,4 +1,5 @@
-// A gateway: an entry that calls the targets itself and keeps nothing on disk.
+// The gateway process: an entry that calls the targets itself and stores
+// nothing on disk.
 
 #ifndef PLUGINS_GATEWAY_GATEWAY_PROCESS_H_
 #define PLUGINS_GATEWAY_GATEWAY_PROCESS_H_
@@ -11,15 +12,16 @@
 
 namespace bilberryspool::gateway {
 
-// What callers and operators speak; decided where the program is put together.
+// The header names towards callers and the format of the configuration. The
+// main program supplies them.
 struct GatewayInterface {
   traffic::WireDialect header_names;
   traffic::ConfigurationReader read_configuration;
 };
 
-// Runs until a stop signal and the drain after it. Returns the exit status: 1
-// where it can't start. `settings_path` is read again on a reload signal and
-// when the file changes.
+// Runs until a stop signal and the drain that follows it. Returns exit status 1
+// if the gateway cannot start. `settings_path` is read again on a reload signal
+// and when the file changes.
 int RunGateway(const settings::CommonSettings& common,
                const settings::GatewaySettings& settings,
                const std::string& settings_path,
--- a/src/plugins/gateway/gateway_state.cc
+++ b/src/plugins/gateway/gateway_state.cc
@@ -6,19 +6,19 @@
 
 namespace {
 
-// The retry budget holds for all gateways together. Until a control node has
-// told how many there are, each takes the share of one in this many.
+// The retry budget is shared by all gateways. This number of gateways is
+// assumed until a control node has reported it.
 constexpr std::uint64_t kAssumedGateways = 24;
-// A few may have been missed, or come later.
+// The reported number may miss some gateways, and others may start later.
 constexpr double kShareMargin = 1.25;
-// Part of the ratio that is used, so that a window that begins in the middle
-// of a burst of failures holds as well.
+// Only this part of the configured ratio is used, so that the budget also holds
+// in a window that starts in the middle of a burst of failures.
 constexpr double kUsedRatio = 0.7;
 
-// A connection is used once: a request that can't be repeated must not meet a
-// kept connection that its target has just closed, and bytes that follow an
-// answer must not be taken for the next one. A connection costs a target about
-// a millisecond.
+// Connections are not reused: a request that must not be repeated must not be
+// sent on an idle connection that its target has just closed, and bytes that
+// follow an answer must not be read as the next answer. A new connection costs
+// a target about 1 ms.
 net::HttpClientOptions MakeClientOptions() {
   net::HttpClientOptions options;
   options.connect_timeout = Milliseconds(500);
@@ -73,7 +73,7 @@
   }
   gateway_count = count;
   targets.limits().SetGateways(count);
-  // Shares get smaller; a new budget starts with the smaller one.
+  // The share of each gateway becomes smaller, and only new budgets use it.
   budgets.clear();
 }
 
--- a/src/plugins/gateway/gateway_state.h
+++ b/src/plugins/gateway/gateway_state.h
@@ -1,4 +1,4 @@
-// What the requests of one gateway share.
+// State that all requests of a gateway share.
 
 #ifndef PLUGINS_GATEWAY_GATEWAY_STATE_H_
 #define PLUGINS_GATEWAY_GATEWAY_STATE_H_
@@ -29,7 +29,7 @@
 
 class RelayCall;
 
-// Belongs to the gateway's loop.
+// Used in the gateway's loop only.
 struct GatewayState {
   GatewayState(net::NetworkLoop& loop,
                const settings::CommonSettings& common,
@@ -37,8 +37,10 @@
                traffic::WireDialect names,
                std::uint64_t seed);
 
+  // The retry budget of the service, as the share of this gateway.
   limits::RetryBudget& BudgetOf(const ServiceId& service);
-  // How many gateways a control node has heard of.
+  // Records the number of gateways that a control node reports. Only an
+  // increase has an effect.
   void SetGatewayCount(std::uint64_t count);
 
   traffic::WireDialect header_names;
@@ -51,17 +53,19 @@
   TerminationDetector termination_detector;
   QuarantineGuard quarantine;
   Random random;
-  // Wakes those who wait for something that control nodes tell.
+  // Notified after each answer of a control node.
   net::FiberSignal update_signal;
-  // Requests whose target has not answered yet, or is in the middle of it.
+  // Calls with a send in progress: the target has not answered yet, or not
+  // completely.
   std::set<RelayCall*> active_calls;
   telemetry::Logger log;
   telemetry::Registry metrics;
   RequestStats stats;
   Tracing tracing;
   std::uint64_t requests_in_progress = 0;
-  // The most that were heard of: a control node that is cut off hears fewer,
-  // and shares that are too large would break the bound for all.
+  // The largest number of gateways reported so far. A control node that is cut
+  // off knows fewer gateways, and the larger shares that follow from a smaller
+  // number would exceed the budget of all gateways together.
   std::uint64_t gateway_count = 0;
   std::map<ServiceId, limits::RetryBudget> budgets;
 };
--- a/src/plugins/gateway/limit_grants.h
+++ b/src/plugins/gateway/limit_grants.h
@@ -1,4 +1,4 @@
-// Gets grants for targets that declare a limit from the control nodes.
+// Requests grants from the control nodes for targets that declare a limit.
 
 #ifndef PLUGINS_GATEWAY_LIMIT_GRANTS_H_
 #define PLUGINS_GATEWAY_LIMIT_GRANTS_H_
@@ -15,11 +15,11 @@
 
 namespace bilberryspool::gateway {
 
-// Belongs to the gateway's loop.
+// Used in the gateway's loop only.
 class LimitGrants {
  public:
-  // Asks the control node that grants for the service, or the next; nothing
-  // where none answers. Suspends the fiber.
+  // Sends the grant request to the control node that grants for the service, or
+  // to the next one. Returns nothing if neither answers. Suspends the fiber.
   using GrantCall = std::function<std::optional<boost::json::value>(
       const ServiceId& service,
       declared_limits::GrantRequest request)>;
@@ -28,8 +28,9 @@
 
   void Connect(GrantCall ask) { call_granter_ = std::move(ask); }
 
-  // Before a target of `service` is chosen: gets what a request needs there,
-  // as far as there is any. Suspends the fiber where it asks.
+  // Ensures, as far as possible, that a grant for a target of `service` outside
+  // `tried` is available. To be called before a target is chosen. Suspends the
+  // fiber while a request for grants is in progress.
   void AcquireGrant(const ServiceId& service, const std::set<TargetId>& tried);
 
  private:
--- a/src/plugins/gateway/quarantine_guard.cc
+++ b/src/plugins/gateway/quarantine_guard.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// The requests of one target break within this time.
+// The connections of all requests at a terminated target break within this
+// time; their observations are reported together.
 constexpr Duration kReportDelay = Milliseconds(3);
 
 quarantine::QuarantineViewOptions MakeOptions() {
--- a/src/plugins/gateway/quarantine_guard.h
+++ b/src/plugins/gateway/quarantine_guard.h
@@ -1,4 +1,5 @@
-// A gateway's part in keeping requests that end targets from the targets.
+// The gateway's side of the quarantine, which keeps requests that terminate
+// targets away from the targets.
 
 #ifndef PLUGINS_GATEWAY_QUARANTINE_GUARD_H_
 #define PLUGINS_GATEWAY_QUARANTINE_GUARD_H_
@@ -17,17 +18,18 @@
 
 namespace bilberryspool::gateway {
 
-// Belongs to the gateway's loop.
+// Used in the gateway's loop only.
 class QuarantineGuard {
  public:
-  // Ways to the control nodes.
+  // Calls to the control nodes.
   struct Links {
-    // Tells all that can be reached; does not wait for them.
+    // Calls all reachable control nodes and does not wait for them.
     std::function<void(const std::string& method,
                        const boost::json::value& params)>
         call_all;
-    // Asks one, the same for the same key at all gateways that reach the same
-    // nodes; nothing where none answers. Suspends the fiber.
+    // Calls one control node, the same for the same key at all gateways that
+    // reach the same nodes. Returns nothing if none answers. Suspends the
+    // fiber.
     std::function<std::optional<boost::json::value>(
         const std::string& key,
         const std::string& method,
@@ -39,20 +41,23 @@
 
   void Connect(Links links) { links_ = std::move(links); }
 
+  // A target terminated while it ran the request.
   void OnEnd(const quarantine::EndObserved& end, TimePoint now);
   void OnCompleted(const quarantine::RequestFingerprint& request,
                    TimePoint now);
+  // The run for which TryTrial() gave permission to `requester` is over.
   void OnTrialOver(const quarantine::RequestFingerprint& request,
                    const std::string& requester);
+  // Whether the request may be sent now.
   quarantine::Judgement Judge(const quarantine::RequestFingerprint& request,
                               TimePoint now) const {
     return view_.Judge(request, now);
   }
-  // Leave for one run. Suspends the fiber.
+  // Requests permission for a single run. Suspends the fiber.
   bool TryTrial(const quarantine::RequestFingerprint& request,
                 const std::string& requester);
 
-  // What a control node tells.
+  // Applies the records that the control node `source` reports.
   void Adopt(const std::string& source,
              const std::vector<quarantine::QuarantineRecord>& records,
              bool is_whole,
@@ -60,12 +65,14 @@
   void SetReachable(const std::string& source, bool is_reachable) {
     view_.SetReachable(source, is_reachable);
   }
-  // A control node has started anew and knows nothing.
+  // Reports the terminations seen here again, for a control node that has
+  // restarted and lost its state.
   void ReportTerminationsAgain(TimePoint now);
   void Tick(TimePoint now) { view_.Tick(now); }
 
  private:
-  // Tells the control nodes in a moment, with what else comes until then.
+  // Sends the observation to the control nodes after kReportDelay, together
+  // with those that follow until then.
   void Report(quarantine::Observation observation);
 
   net::NetworkLoop& loop_;
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -16,14 +16,14 @@
 
 namespace {
 
-// Where nothing else tells when a place will be free.
+// Used if it is not known when a target will have capacity.
 constexpr Duration kDefaultRetryAfter = Milliseconds(1000);
 
-// What is kept back of a caller's time for the answer: a few ways to the
-// caller, 1 to 3 ms each, and the turn of a busy process.
+// Part of the caller's time that is reserved for the answer: several
+// transmissions of 1 to 3 ms each, and the scheduling delay of a busy process.
 constexpr Duration kAnswerTime = Milliseconds(50);
 
-// A request whose caller names no time and whose route is unknown yet.
+// Timeout of a request that names none and whose route is not known yet.
 constexpr Duration kDefaultTimeout = Seconds(8);
 
 bool IsEventStream(const net::HttpResponseHead& head) {
@@ -58,7 +58,6 @@
   --state_.requests_in_progress;
 }
 
-// Finds the route; answers where there is none.
 bool RelayCall::Admit() {
   if (routes_ == nullptr) {
     Refuse(kDefaultRetryAfter, "no configuration yet");
@@ -140,12 +139,12 @@
   }
 }
 
-// Callers of a group that is about to form wait for it: refused now, they would
-// come back seconds later. False where the caller has left.
+// Callers wait for a group that is about to form: if they were refused now,
+// they would retry only seconds later.
 bool RelayCall::AwaitGroup() {
-  // A group that fails to form is no reason to keep anyone waiting. Two ranks
-  // that return one after the other took 1.06 s; of 2,207 requests that waited
-  // 1,887 were served and 99 refused, after 0.54 s at most.
+  // Bounded, as callers should not wait for a group that fails to form. Two
+  // ranks that returned one after the other took 1.06 s; of 2,207 requests that
+  // waited, 1,887 were served and 99 were refused, after 0.54 s at most.
   constexpr Duration kMaxWait = Milliseconds(1200);
   const TimePoint began = SteadyNow();
   const TimePoint limit = std::min(began + kMaxWait, deadline_ - kAnswerTime);
@@ -170,7 +169,7 @@
   relay.sends = sends_;
   relay.allowed_sends = match_.route->attempts;
   relay.time_left = time_left();
-  // All ranks of a broken group refuse alike.
+  // All ranks of a broken group refuse requests alike.
   if (failed.result == SendResult::kNotExecuted &&
       state_.targets.OutlookOf(service_, SteadyNow()) ==
           traffic::Outlook::kBroken) {
@@ -252,11 +251,11 @@
   return outcome;
 }
 
-// No head came.
 RelayCall::SendOutcome RelayCall::EvaluateError(const traffic::Choice& choice,
                                                 const net::HttpError& error) {
   if (caller_disconnected_) {
-    // Its caller's patience says nothing of a target, its own silence does.
+    // That the caller has disconnected is no sign of a failed target; the
+    // silence of the target is.
     const bool is_silent = state_.targets.IsSuspect(choice.target, SteadyNow());
     FinishSend(choice,
                is_silent ? TargetOutcome::kFailed : TargetOutcome::kGood);
@@ -294,7 +293,6 @@
          state_.termination_detector.HasTerminated(choice.target, *endpoint);
 }
 
-// Answered{} stands for a head that is fit to be followed by its body.
 RelayCall::SendOutcome RelayCall::EvaluateHead(
     const traffic::Choice& choice,
     const net::HttpResponseHead& head) {
@@ -416,9 +414,9 @@
   }
 }
 
-// Callers come back once and honour up to a third of their time. What refuses
-// them now, a group that forms anew or a queue that drains, takes seconds, so
-// they are asked to use most of that third.
+// Callers retry once and accept a delay of up to a third of their time. The
+// reasons for a refusal, such as a group that forms again or a queue that
+// drains, last for seconds, so most of that third is used.
 Duration RelayCall::RetryAfter() {
   constexpr double kMinShare = 0.3;
   constexpr double kMaxShare = 0.33;
@@ -489,8 +487,9 @@
   return std::max(deadline_ - SteadyNow(), Duration::zero());
 }
 
-// Silence alone is no reason to end an answer sooner: a group that stands still
-// goes on. ReviewTarget() knows more.
+// Only the time of the caller bounds the wait: a silent target may be part of a
+// group that is stalled and will continue. ReviewTarget() cancels the send
+// where it knows more.
 Duration RelayCall::wait_timeout() const {
   return std::max(time_left(), Milliseconds(1));
 }
@@ -524,7 +523,8 @@
     AbandonTarget();
     return;
   }
-  // A stream that a slow target still serves must not end for want of a retry.
+  // A stream that a slow target still serves must not end because the retry
+  // budget is used up.
   if (state_.targets.ShouldBeLeft(current_target_, tried_, now) && MayRetry()) {
     is_retry_charged_ = true;
     AbandonTarget();
@@ -541,9 +541,9 @@
          IsConnectionSilent(now);
 }
 
-// The target may be well and only this connection dead: it carries nothing
-// more, and neither end is told. Callers leave after two seconds without an
-// event; going on elsewhere before that saves the stream.
+// The target may be healthy and only this connection dead: no more data arrives
+// and neither end is notified. Callers give up after 2 s without an event;
+// moving to another target before that saves the stream.
 bool RelayCall::IsConnectionSilent(TimePoint now) const {
   constexpr Duration kMaxSilence = Milliseconds(1600);
   return has_stream_started_ && now - last_event_at_ > kMaxSilence &&
--- a/src/plugins/gateway/relay_call.h
+++ b/src/plugins/gateway/relay_call.h
@@ -1,5 +1,5 @@
-// The life of one caller's request: route, choose a target, send, and either
-// pass the answer on or decide what follows.
+// Serves one request of a caller: finds its route, chooses a target, sends the
+// request, and relays the answer or decides how to proceed.
 
 #ifndef PLUGINS_GATEWAY_RELAY_CALL_H_
 #define PLUGINS_GATEWAY_RELAY_CALL_H_
@@ -27,18 +27,19 @@
 
   void Run();
 
-  // Breaks the present send off where another target may be asked and the
-  // present one has fallen silent, or is slow while another has room.
+  // Cancels the present send if the request may be sent to another target and
+  // the present one is silent, or is slow while another one has capacity. Also
+  // gives up a target that is lost.
   void ReviewTarget(TimePoint now);
 
  private:
-  // A target's whole answer that is passed on.
+  // The answer of a target was relayed completely.
   struct Answered {};
-  // The caller has left: nobody is there to answer.
+  // The caller has disconnected and gets no answer.
   struct CallerDisconnected {};
-  // The answer was begun and can't be finished.
+  // The answer was started and cannot be completed.
   struct AnswerAborted {};
-  // No success; the failure, if the target gave one, is kept in `failure_`.
+  // The send failed. An error answer of the target is kept in `failure_`.
   struct NotServed {
     traffic::SendResult result;
     std::string reason;
@@ -47,62 +48,79 @@
       std::variant<Answered, CallerDisconnected, AnswerAborted, NotServed>;
 
   // relay_call.cc
+  // Finds the route and the service. Answers the caller and returns false if
+  // there is none.
   bool Admit();
+  // The identity of the request for the quarantine.
   quarantine::RequestFingerprint Fingerprint() const;
   void Relay();
+  // Waits while the group of the service is forming. Returns false if the
+  // caller has disconnected.
   bool AwaitGroup();
+  // The next step after a failed send.
   traffic::RelayStep StepAfter(const NotServed& failed);
   SendOutcome SendTo(const traffic::Choice& choice);
   SendOutcome Send(const traffic::Choice& choice,
                    const net::Endpoint& endpoint,
                    const ForwardedHead& forwarded);
+  // The outcome of a send that ended with a connection error.
   SendOutcome EvaluateError(const traffic::Choice& choice,
                             const net::HttpError& error);
-  // Whether the target has ended, whose connection broke.
+  // Whether the target has terminated, after its connection broke.
   bool HasTerminated(const traffic::Choice& choice, net::HttpErrorKind kind);
+  // The outcome that the head of an answer implies; Answered if its body is to
+  // be relayed.
   SendOutcome EvaluateHead(const traffic::Choice& choice,
                            const net::HttpResponseHead& head);
   SendOutcome RelayWholeAnswer(const traffic::Choice& choice,
                                net::HttpClientStream& stream);
   void AnswerNoTarget(traffic::NoChoice reason);
   void AnswerStep(traffic::RelayStep step, const std::string& reason);
+  // The delay after which a refused caller is asked to retry.
   Duration RetryAfter();
   void Refuse(Duration retry_after, std::string_view reason);
   void Fail(int status, std::string_view reason);
   void Finish(std::string_view outcome, std::string_view reason);
   bool MayRetry();
   Duration time_left() const;
-  // How long the next sign of a target may take.
+  // How long to wait for the next bytes of a target.
   Duration wait_timeout() const;
   void OnCallerDisconnected();
   void CancelSend();
   bool IsTargetSilent(TimePoint now) const;
   bool IsConnectionSilent(TimePoint now) const;
-  // Whether the caller is about to leave a target that can't be told so.
+  // Whether the target is unresponsive and the caller is close to its timeout.
   bool IsTargetLost(TimePoint now) const;
   void AbandonTarget();
+  // Reports the outcome of a send to the trace and to the target pool.
   void FinishSend(const traffic::Choice& choice,
                   traffic::TargetOutcome outcome);
   RequestTimes TimesAt(TimePoint now) const;
 
   // relay_call_limits.cc
-  // What the answer says of the target's limit for all callers.
+  // Reads the limit that the target declares for all callers from its answer.
   void UpdateDeclaredLimit(const traffic::Choice& choice,
                            const net::HttpResponseHead& head);
+  // Refuses a request because all targets are full or have reached their
+  // limits.
   void RefuseFull();
 
   // relay_call_leave.cc
-  // Whether the request may be sent now; answers where it may not.
+  // Waits until the quarantine lets the request run. Answers the caller and
+  // returns false if it may not run.
   bool AwaitRunPermission();
   void AnswerQuarantined(const quarantine::Judgement& judgement);
+  // Answers a request that got no permission for a run in time.
   void AnswerNotPermitted(const quarantine::Judgement& judgement);
   void ReportTermination(const traffic::Choice& choice);
   void ReportCompletion();
+  // Returns the permission for the present run, if there is one.
   void EndTrial();
 
   // relay_call_streams.cc
   SendOutcome RelayStream(const traffic::Choice& choice,
                           net::HttpClientStream& stream);
+  // Writes events to the caller. Returns false if the caller has disconnected.
   bool RelayEvents(const net::HttpResponseHead& head,
                    const std::string& events);
 
@@ -111,37 +129,39 @@
   TimePoint arrived_;
   TimePoint deadline_;
   RequestHead head_;
-  // Keeps the route alive when a newer configuration comes.
+  // Keeps the matched route valid after a newer configuration is in force.
   std::shared_ptr<const traffic::RouteTable> routes_;
   traffic::RouteMatch match_;
   ServiceId service_;
-  // Which request it is, whatever its id.
+  // Identifies requests of equal content, independent of the request id.
   quarantine::RequestFingerprint fingerprint_;
   std::set<TargetId> tried_;
   std::uint32_t sends_ = 0;
   bool may_have_run_ = false;
   bool caller_disconnected_ = false;
-  // The name of the present run where it needed leave; else empty.
+  // The id of the present run if it needed permission from the quarantine, else
+  // empty.
   std::string trial_;
-  // The target of the present send, and whether it was left for another.
+  // The target of the present send, and whether that send was cancelled to try
+  // another target.
   TargetId current_target_;
   bool has_abandoned_target_ = false;
-  // The present send was given up since its target answers nobody.
+  // The present send was cancelled because its target is unresponsive.
   bool has_lost_target_ = false;
-  // The retry budget has been asked already for the send that follows.
+  // The retry budget has already been charged for the next send.
   bool is_retry_charged_ = false;
   RequestTrace trace_;
   std::shared_ptr<net::Cancellation> cancellation_;
   net::HttpClientStream* open_stream_ = nullptr;
-  // A failure that a target answered, to be passed on as it is.
+  // An error answer of a target, to be forwarded unchanged.
   std::optional<net::HttpResponse> failure_;
-  // Streams.
+  // State of a streamed answer.
   traffic::EventSplitter splitter_;
   bool has_stream_started_ = false;
   TimePoint first_event_at_;
   TimePoint last_event_at_;
   Duration max_pause_{};
-  // What the log line tells of each send.
+  // Description of each send for the log.
   std::string trail_;
 };
 
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -1,4 +1,5 @@
-// RelayCall: requests that end the targets that run them.
+// The part of RelayCall for requests that terminate the targets that run them:
+// run permissions and quarantine.
 
 #include <algorithm>
 
@@ -13,10 +14,11 @@
 
 namespace {
 
-// A run that is under way elsewhere takes longer than this as a rule; what
-// clears a popular request comes sooner.
+// A run in progress elsewhere usually takes longer than this, so waiting longer
+// is of no use; the completion that clears a popular request is reported
+// sooner.
 constexpr Duration kMaxWait = Milliseconds(400);
-// Kept back of the caller's time for the answer.
+// Part of the caller's time that is reserved for the answer.
 constexpr Duration kAnswerTime = Milliseconds(50);
 constexpr Duration kPermissionRetryInterval = Milliseconds(100);
 
@@ -47,7 +49,7 @@
       AnswerQuarantined(judgement);
       return false;
     }
-    // In a broken group a run would say nothing of the request.
+    // A run in a broken group would yield no information about the request.
     const bool is_worth_a_run =
         state_.targets.OutlookOf(service_, SteadyNow()) ==
         traffic::Outlook::kOpen;
@@ -70,7 +72,8 @@
   }
 }
 
-// It has run, and no caller is asked to come back: a final answer.
+// A final answer without Retry-After: the request has run, and the caller is
+// not asked to retry.
 void RelayCall::AnswerQuarantined(const quarantine::Judgement& judgement) {
   const std::string reason = "quarantined: " + Describe(judgement);
   if (has_stream_started_) {
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -1,4 +1,4 @@
-// RelayCall: limits that targets declare for all callers.
+// The part of RelayCall for limits that targets declare for all callers.
 
 #include <algorithm>
 
@@ -13,13 +13,13 @@
 
 namespace {
 
-// The earliest that a caller is asked to come back.
+// Lower bound of the delay after which a caller is asked to retry.
 constexpr Duration kMinRetryAfter = Milliseconds(100);
 
 }  // namespace
 
-// An answer that no target signed, or of another target, says nothing of this
-// one's limit.
+// An answer that is unsigned or from another target says nothing about the
+// limit of this target.
 void RelayCall::UpdateDeclaredLimit(const traffic::Choice& choice,
                                     const net::HttpResponseHead& head) {
   const traffic::WireDialect& header_names = state_.header_names;
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -1,4 +1,4 @@
-// RelayCall: answers that come as a series of events.
+// The part of RelayCall for answers that are event streams.
 
 #include <algorithm>
 
@@ -11,10 +11,10 @@
 using traffic::SendResult;
 using traffic::TargetOutcome;
 
-// The head goes to the caller with the first whole event: until then another
-// target can still give the answer from its beginning. After that, where the
-// stream may be resumed, another target goes on behind the last whole event
-// under the head of the first.
+// The head is sent to the caller with the first complete event: until then
+// another target can serve the answer from its beginning. After that, if the
+// stream may be resumed, another target continues behind the last complete
+// event and its own head is dropped.
 RelayCall::SendOutcome RelayCall::RelayStream(const traffic::Choice& choice,
                                               net::HttpClientStream& stream) {
   splitter_.ForgetUnfinished();
@@ -50,7 +50,6 @@
                                : SendOutcome(CallerDisconnected{});
 }
 
-// False where the caller is gone.
 bool RelayCall::RelayEvents(const net::HttpResponseHead& head,
                             const std::string& events) {
   const TimePoint now = SteadyNow();
--- a/src/plugins/gateway/request_head.cc
+++ b/src/plugins/gateway/request_head.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The highest number that an engine takes; 0 goes first.
+// The largest number that an engine accepts; 0 is the most urgent.
 constexpr std::uint32_t kLowestPriority = 9;
 
 std::string WithoutPort(std::string_view host) {
@@ -21,7 +21,8 @@
   return name;
 }
 
-// Header fields that a Connection field names concern one connection alone.
+// The header fields that a Connection field names; they apply to one connection
+// only.
 std::vector<std::string> NominatedFields(const net::HttpHeaders& headers) {
   std::vector<std::string> names;
   for (const net::HttpHeader& field : headers) {
--- a/src/plugins/gateway/request_head.h
+++ b/src/plugins/gateway/request_head.h
@@ -1,4 +1,4 @@
-// The head of a caller's request, read once, and the heads that are passed on.
+// Reads the head of a caller's request and makes the heads to forward.
 
 #ifndef PLUGINS_GATEWAY_REQUEST_HEAD_H_
 #define PLUGINS_GATEWAY_REQUEST_HEAD_H_
@@ -18,35 +18,38 @@
   std::string host;  // without a port
   std::string path;  // without a query
   std::string key;
-  // How long the caller waits; nothing where it does not say.
+  // How long the caller waits; empty if it does not say.
   std::optional<Duration> wait_timeout;
 };
 
 RequestHead ReadHead(const net::HttpRequest& request,
                      const traffic::WireDialect& header_names);
 
-// What the gateway sets on a request to a target.
+// Header values that the gateway sets on a request to a target.
 struct ForwardedHead {
   std::string workspace;  // empty: anonymous
   std::string target;
   Duration time_left{};
   std::uint32_t priority = 0;
-  // Where the stream goes on; empty: as the caller said.
+  // Event after which the stream is resumed; empty: as sent by the caller.
   std::string last_event_id;
 };
 
+// The request to a target: the request of the caller without credentials and
+// connection fields, with the fields of `head`.
 net::HttpRequest MakeTargetRequest(const net::HttpRequest& request,
                                    const ForwardedHead& head,
                                    const traffic::WireDialect& header_names);
 
-// A target's head without what concerns its connection alone.
+// The head of a target's answer without the fields that concern only its
+// connection.
 net::HttpResponseHead MakeCallerHead(const net::HttpResponseHead& head);
 
 struct ReportedLoad {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
 };
-// "RUNNING,WAITING,SLOTS"; nothing where `text` is something else.
+// Parses "RUNNING,WAITING,SLOTS". Returns nothing if `text` is malformed.
 std::optional<ReportedLoad> ReadLoad(std::string_view text);
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/request_stats.h
+++ b/src/plugins/gateway/request_stats.h
@@ -1,4 +1,4 @@
-// What callers wait for, as distributions on the metrics address.
+// Request times, as distributions on the metrics address.
 
 #ifndef PLUGINS_GATEWAY_REQUEST_STATS_H_
 #define PLUGINS_GATEWAY_REQUEST_STATS_H_
@@ -14,15 +14,15 @@
 
 namespace bilberryspool::gateway {
 
-// How one request went, as its caller saw it.
+// Times of one request as its caller saw them.
 struct RequestTimes {
   Duration total{};
-  // Of a stream: until its first event, and the longest pause after that.
+  // For streams: the time until the first event and the longest pause after it.
   std::optional<Duration> first_event;
   Duration max_pause{};
 };
 
-// Belongs to the gateway's loop.
+// Used in the gateway's loop only.
 class RequestStats {
  public:
   explicit RequestStats(telemetry::Registry& registry) : registry_(registry) {}
@@ -32,7 +32,7 @@
                      const RequestTimes& times);
 
  private:
-  // Looked up once: a look-up by name costs more than the note.
+  // Cached, as a look-up by name costs more than recording the request.
   struct ServiceStats {
     telemetry::Distribution* total = nullptr;
     telemetry::Distribution* first_event = nullptr;
--- a/src/plugins/gateway/request_trace.h
+++ b/src/plugins/gateway/request_trace.h
@@ -14,24 +14,26 @@
 
 namespace bilberryspool::gateway {
 
-// Where spans go and how many requests are traced; shared by all requests.
+// Destination and sampling rate of the spans, shared by all requests.
 struct Tracing {
   std::optional<telemetry::SpanWriter> spans;  // none: no traces
-  // Of 1000 requests that arrive without a trace.
+  // Number of sampled requests out of 1000 that arrive without a trace.
   std::uint32_t sample_permille = 0;
 };
 
+// Writes the spans of one request.
 class RequestTrace {
  public:
-  // Goes on with the caller's trace where the request carries one.
+  // Continues the caller's trace if the request carries one.
   RequestTrace(Tracing& tracing,
                const net::HttpHeaders& headers,
                Random& random);
 
-  // Starts the span of a send and puts it on the request.
+  // Starts the span of a send and adds its traceparent to the request.
   void StartSend(net::HttpRequest& request);
-  // Empty `error`: the send went well.
+  // Ends the span of the present send. An empty `error` means success.
   void EndSend(const std::string& target, const std::string& error);
+  // Ends the span of the request.
   void End(const std::string& request_id, const std::string& outcome);
 
  private:
--- a/src/plugins/gateway/termination_detector.cc
+++ b/src/plugins/gateway/termination_detector.cc
@@ -10,10 +10,11 @@
 
 namespace {
 
-// The request waits for it before it is sent on.
+// Short, as the request waits for the result before it is sent again.
 constexpr Duration kConnectTimeout = Milliseconds(100);
-// The requests of one target break within this time of each other. Shorter
-// than any start of a process takes, which would listen again.
+// The connections of all requests at a target break within this time of each
+// other. Shorter than any start of the process, after which the address is
+// listened on again.
 constexpr Duration kResultRetention = Milliseconds(500);
 
 }  // namespace
--- a/src/plugins/gateway/termination_detector.h
+++ b/src/plugins/gateway/termination_detector.h
@@ -1,4 +1,4 @@
-// Tells a target that has ended from a connection that broke.
+// Distinguishes a terminated target from a broken connection.
 
 #ifndef PLUGINS_GATEWAY_TERMINATION_DETECTOR_H_
 #define PLUGINS_GATEWAY_TERMINATION_DETECTOR_H_
@@ -16,16 +16,17 @@
 
 namespace bilberryspool::gateway {
 
-// A connection may break because the target ended, because a rank elsewhere in
-// its group did, or on the way. Only in the first case does nobody listen at
-// its address any more. Belongs to the gateway's loop.
+// A connection breaks because its target terminated, because a rank elsewhere
+// in its group did, or because of the network. Only in the first case nothing
+// listens at the address of the target any more. Used in the gateway's loop
+// only.
 class TerminationDetector {
  public:
   explicit TerminationDetector(net::NetworkLoop& loop) : loop_(loop) {}
 
-  // Whether the target, a connection to which has just broken, has ended.
-  // Suspends the calling fiber. Those who ask at the same moment share one
-  // connection.
+  // Whether the target has terminated, given that a connection to it has just
+  // broken. Suspends the calling fiber. Concurrent calls for a target share one
+  // probe connection.
   bool HasTerminated(const TargetId& target, const net::Endpoint& endpoint);
 
  private:
--- a/tests/auto/gateway/request_stats_test.cc
+++ b/tests/auto/gateway/request_stats_test.cc
@@ -29,7 +29,7 @@
       Shows(registry, "bilberryspool_request_seconds_sum{service=\"a\"} 0.5"));
 }
 
-TEST_CASE("only requests that had an event count among first events") {
+TEST_CASE("only requests with an event are recorded as first events") {
   telemetry::Registry registry;
   RequestStats stats(registry);
   RequestTimes stream;
--- a/tests/auto/gateway/request_trace_test.cc
+++ b/tests/auto/gateway/request_trace_test.cc
@@ -17,7 +17,7 @@
   return std::move(*opened);
 }
 
-TEST_CASE("without a file of spans a request goes on as it came") {
+TEST_CASE("without a span file a request keeps its traceparent") {
   Tracing tracing;
   Random random(1);
   net::HttpRequest request;
