--- a/src/plugins/callers/account_filter.h
+++ b/src/plugins/callers/account_filter.h
@@ -10,12 +10,13 @@
 
 namespace bilberryspool::callers {
 
-// Counts a finished request and writes its span.
+// Records the metrics of a finished request and writes its span.
 class AccountFilter {
  public:
   AccountFilter(telemetry::Registry& metrics, telemetry::SpanWriter* spans)
       : metrics_(metrics), spans_(spans) {}
 
+  // `wall_nanoseconds` is the time of day at `now`, for the span.
   void Handle(const RequestContext& context,
               TimePoint now,
               std::uint64_t wall_nanoseconds);
--- a/src/plugins/callers/admission_controller.cc
+++ b/src/plugins/callers/admission_controller.cc
@@ -32,7 +32,8 @@
     if (due.has_value() && *due <= now) {
       Handle(limits::Tick{});
     }
-    // Without waiting requests there is nothing to do but to look again.
+    // Without waiting requests there is nothing to do, so the next check may
+    // come later.
     const Duration pause = waiters_.empty() ? Milliseconds(100) : kMaxPause;
     loop_.SleepFor(pause);
   }
--- a/src/plugins/callers/admission_controller.h
+++ b/src/plugins/callers/admission_controller.h
@@ -1,4 +1,5 @@
-// Joins the admission decision with the fibers of the requests that wait.
+// Connects limits::Admission with the fibers of the requests that wait for
+// admission.
 
 #ifndef PLUGINS_CALLERS_ADMISSION_CONTROLLER_H_
 #define PLUGINS_CALLERS_ADMISSION_CONTROLLER_H_
@@ -17,27 +18,28 @@
 
 namespace bilberryspool::callers {
 
-// Runs in the callers loop.
+// Used in the callers loop only.
 class AdmissionController {
  public:
   AdmissionController(net::NetworkLoop& loop,
                       limits::AdmissionOptions options,
                       std::uint64_t seed);
 
-  // Starts the fiber that ends hopeless waits.
+  // Starts the fiber that refuses waiting requests once they have expired.
   void Start();
 
-  // Waits until the request may run. The refusal, or nothing where it is
-  // admitted or its caller left.
+  // Suspends the fiber until the request may run. Returns the refusal, or
+  // nothing if the request was admitted or its caller disconnected.
   std::optional<limits::Refuse> Wait(RequestContext& context);
-  // The caller of a waiting request left.
+  // Ends the wait of a request whose caller has disconnected.
   void Abandon(limits::AdmissionId id);
-  // The admitted request ended.
+  // To be called when an admitted request has ended.
   void Finish(const RequestContext& context, std::uint32_t tokens);
-  // Hands an event to the decision and wakes whom it concerns.
+  // Passes an event to the admission and wakes the fibers of the requests that
+  // it admits or refuses.
   void Handle(const limits::AdmissionEvent& event);
 
-  // What this entry's callers ask for, for the other entries.
+  // The demand of the callers of this entry, to be sent to the other entries.
   std::vector<limits::WorkspaceDemand> AnnounceDemand();
 
   limits::AdmissionId NextId();
--- a/src/plugins/callers/admit_filter.h
+++ b/src/plugins/callers/admit_filter.h
@@ -10,7 +10,7 @@
 
 namespace bilberryspool::callers {
 
-// Holds a request until there is room for it, or refuses it at once.
+// Lets a request wait until there is capacity for it, or refuses it.
 class AdmitFilter {
  public:
   explicit AdmitFilter(AdmissionController& admission_controller)
--- a/src/plugins/callers/agent_registry.cc
+++ b/src/plugins/callers/agent_registry.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Well below the time for which an agent's gate takes a token.
+// Well below the time for which an agent's gate accepts a token.
 constexpr Duration kMaxTokenAge = Seconds(8);
 constexpr Duration kTokenTimeout = Milliseconds(700);
 
@@ -48,8 +48,9 @@
   std::map<TargetId, Row> rows;
   for (const control::TargetRow& target : targets) {
     Row& row = rows[target.view.target];
-    // An agent that was started again can't vouch for what is sent under a
-    // token of the one before, so that would end as unknown.
+    // A restarted agent cannot assert that work sent under a token of the
+    // process before it has not run; such an attempt would end with its outcome
+    // unknown.
     const auto known = rows_.find(target.view.target);
     const bool is_same = known != rows_.end() &&
                          known->second.endpoint == target.agent &&
@@ -98,7 +99,7 @@
   if (is_fresh) {
     return row.token;
   }
-  // A copy: the book may change while this fiber waits.
+  // A copy, as the registry may change while this fiber waits.
   const net::Endpoint endpoint = row.endpoint;
   const auto token = RequestToken(endpoint);
   const auto present = rows_.find(target);
--- a/src/plugins/callers/agent_registry.h
+++ b/src/plugins/callers/agent_registry.h
@@ -1,4 +1,4 @@
-// How to reach the agents, and the admission tokens they issued.
+// The addresses of the agents and the admission tokens that they issued.
 
 #ifndef PLUGINS_CALLERS_AGENT_REGISTRY_H_
 #define PLUGINS_CALLERS_AGENT_REGISTRY_H_
@@ -15,23 +15,28 @@
 
 namespace bilberryspool::callers {
 
-// Reads "INCARNATION.GENERATION.EPOCH".
+// Parses "INCARNATION.GENERATION.EPOCH". Returns nothing if `text` is
+// malformed.
 std::optional<attempts::AdmissionToken> ParseToken(std::string_view text);
 
-// Runs in the callers loop.
+// Used in the callers loop only.
 class AgentRegistry {
  public:
   explicit AgentRegistry(links::LinkClient& client) : client_(client) {}
 
+  // Replaces the known targets. Tokens of targets whose agent is unchanged are
+  // kept.
   void Adopt(const std::vector<control::TargetRow>& targets);
   std::optional<net::Endpoint> Find(const TargetId& target) const;
 
-  // Notes the token on an agent's answer.
+  // Records the token of an answer of the target's agent, unless a newer one is
+  // known.
   void RecordToken(const TargetId& target,
                    std::string_view text,
                    TimePoint now);
-  // A token that is still good for some time; asks the agent where there is
-  // none. Nothing where the agent doesn't answer.
+  // A token that remains valid for some time. Requests one from the agent if
+  // none is known; returns nothing if the agent does not answer. Suspends the
+  // fiber.
   std::optional<attempts::AdmissionToken> FreshToken(const TargetId& target);
 
  private:
--- a/src/plugins/callers/authenticate_filter.h
+++ b/src/plugins/callers/authenticate_filter.h
@@ -9,9 +9,9 @@
 
 namespace bilberryspool::callers {
 
-// Lets a request act for its workspace: with the bearer credential where the
-// workspace is declared with one. Where workspaces are declared at all, others
-// are refused.
+// Checks that a request may use its workspace. A workspace that is declared
+// with a credential requires it as a bearer credential. Once any workspace is
+// declared, undeclared ones are refused.
 class AuthenticateFilter {
  public:
   explicit AuthenticateFilter(const ServiceTable& services)
@@ -23,7 +23,7 @@
   const ServiceTable& services_;
 };
 
-// Hexadecimal hash of a credential, as workspaces are declared with.
+// The hash of a credential in hexadecimal, as it is declared for a workspace.
 std::string HashCredential(std::string_view credential);
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/caller_state.cc
+++ b/src/plugins/callers/caller_state.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// As long as the holders' ledgers remember a key.
+// As long as the holders' ledgers keep a key.
 constexpr Duration kClaimWindow = Seconds(600);
 
 }  // namespace
@@ -40,7 +40,7 @@
   if (!stall.Beat(net::SteadyNow())) {
     return;
   }
-  log.Warn("Stood still.", {{"open", runners.size()}});
+  log.Warn("The process was stalled.", {{"open", runners.size()}});
   for (RequestRunner* runner : runners) {
     runner->OnStall();
   }
@@ -51,7 +51,7 @@
 }
 
 std::vector<TargetId> CallerState::LeavingTargets() {
-  // A target that was started again is offered after this time.
+  // A restarted target gets work again after this time.
   static constexpr Duration kLeavingCooldown = Seconds(3);
   const TimePoint now = net::SteadyNow();
   std::erase_if(refused_leaving, [now](const auto& row) {
--- a/src/plugins/callers/caller_state.h
+++ b/src/plugins/callers/caller_state.h
@@ -1,4 +1,4 @@
-// What all requests of one entry share.
+// State that all requests of an entry share.
 
 #ifndef PLUGINS_CALLERS_CALLER_STATE_H_
 #define PLUGINS_CALLERS_CALLER_STATE_H_
@@ -28,6 +28,7 @@
 
 class RequestRunner;
 
+// Used in the callers loop only.
 struct CallerState {
   CallerState(net::NetworkLoop& network_loop,
               std::shared_ptr<const net::LinkAuthenticator> authenticator,
@@ -37,19 +38,21 @@
               telemetry::Registry& registry,
               std::uint64_t seed);
 
-  // To be called before anything that was read is handled: where this process
-  // stood still, all open requests are told.
+  // To be called before any received data is handled. If this process was
+  // stalled since the last call, all open requests are notified.
   void Beat();
-  // Notes the token on an answer of the target's agent.
+  // Records the token of an answer of the target's agent.
   void RecordToken(const TargetId& target, std::string_view text);
-  // Notes the load on an answer, "RUNNING/QUEUED/LIMIT".
+  // Records the load of an answer of the target's agent,
+  // "RUNNING/QUEUED/LIMIT".
   void RecordLoad(const TargetId& target, std::string_view text);
 
-  // An agent has refused work because its target leaves, which membership may
-  // not know: it is passed over for a while, or each request would spend a
-  // retry on it until the budget is used up.
+  // Records that an agent refused work because its target is leaving, which
+  // membership may not know yet. Such a target is excluded for
+  // kLeavingCooldown; otherwise each request would spend a retry on it until
+  // the retry budget is used up.
   void RecordLeavingTarget(const TargetId& target);
-  // Targets to pass over now.
+  // The targets that are excluded for now.
   std::vector<TargetId> LeavingTargets();
 
   net::NetworkLoop& loop;
@@ -58,7 +61,7 @@
   Incarnation incarnation;
   telemetry::Registry& metrics;
   telemetry::Logger log;
-  // Takes what operators may ask about; may be empty.
+  // Receives the reports that operators may query; may be empty.
   std::function<void(control::CallerReport&&)> report;
   links::LinkClient links;
   AgentRegistry agents;
--- a/src/plugins/callers/caller_watch.h
+++ b/src/plugins/callers/caller_watch.h
@@ -6,7 +6,7 @@
 
 namespace bilberryspool::callers {
 
-// Tells whichever stage a request is in that its caller left.
+// Notifies the stage that a request is in when its caller disconnects.
 class CallerWatch {
  public:
   // Called by the connection.
@@ -17,7 +17,7 @@
     }
   }
   bool has_disconnected() const { return has_disconnected_; }
-  // Replaces the handler; an empty one detaches.
+  // Replaces the handler; an empty handler removes it.
   void SetHandler(std::function<void()> handler) {
     handler_ = std::move(handler);
   }
--- a/src/plugins/callers/callers_service.cc
+++ b/src/plugins/callers/callers_service.cc
@@ -46,7 +46,8 @@
   return {settings.limits.default_deadline, settings.limits.max_deadline};
 }
 
-// Whether an operator's statement drains the target, its failure domain or all.
+// Whether an operator has drained the target, its failure domain or all
+// targets.
 bool IsDrained(const config::Configuration* configuration,
                const routing::TargetView& view) {
   if (configuration == nullptr) {
@@ -185,7 +186,7 @@
   state_.admission.Handle(limits::PeerDemand{update.entry, update.demands});
 }
 
-// A quiet entry says so once and is then silent.
+// An entry without demand sends that once and then nothing more.
 void CallersService::AnnounceDemand() {
   const auto demands = state_.admission.AnnounceDemand();
   if (demands.empty() && !has_announced_demand_) {
@@ -206,7 +207,6 @@
   }
 }
 
-// Hands routing the targets and what the configuration lets them serve.
 void CallersService::UpdateRouting() {
   const TimePoint now = SteadyNow();
   const config::Configuration* configuration = state_.services.configuration();
@@ -352,7 +352,8 @@
   is_draining_ = true;
   const TimePoint deadline = SteadyNow() + limit;
   state_.log.Info("Draining.", {{"running", state_.runners.size()}});
-  // The platform's balancer looks at the health call first.
+  // Leaves the platform's load balancer time to notice the failing health
+  // check.
   const TimePoint noticed = SteadyNow() + std::min(limit / 4, Seconds(2));
   while (SteadyNow() < noticed) {
     loop_.SleepFor(kDrainPollInterval);
--- a/src/plugins/callers/callers_service.h
+++ b/src/plugins/callers/callers_service.h
@@ -1,4 +1,4 @@
-// The callers thread of an entry: HTTP server, filters, routing, relaying.
+// The callers thread of an entry: HTTP server, filters, routing and relaying.
 
 #ifndef PLUGINS_CALLERS_CALLERS_SERVICE_H_
 #define PLUGINS_CALLERS_CALLERS_SERVICE_H_
@@ -16,7 +16,7 @@
 
 namespace bilberryspool::callers {
 
-// Runs in its loop's thread; TakeFeed() is for the control thread.
+// Used in the thread of its loop, except for TakeFeed().
 class CallersService {
  public:
   CallersService(net::NetworkLoop& loop,
@@ -26,19 +26,21 @@
                  telemetry::Registry& metrics,
                  telemetry::SpanWriter* spans);
 
-  // Empty, or why it can't start.
+  // Returns an error message, or an empty string on success.
   std::string Start();
 
-  // Where reports for operators go; before Start().
+  // Sets the receiver of reports for operators. To be called before Start().
   void SetReporter(std::function<void(control::CallerReport&&)> reporter) {
     state_.report = std::move(reporter);
   }
 
-  // From the control thread. False where the ring is full.
+  // Hands over an update; called by the control thread. Returns false if the
+  // ring is full.
   bool TakeFeed(control::ControlFeed&& feed);
 
-  // Fails the health call, ends idle connections, and waits until all
-  // requests have ended; those left at the limit get their final answer.
+  // Fails the health check, closes idle connections, and waits until all
+  // requests have ended. Requests that remain at the limit get their final
+  // answer.
   void Drain(Duration limit);
 
  private:
@@ -51,13 +53,17 @@
   void Adopt(const control::ConfigUpdate& update);
   void Adopt(const control::EntriesUpdate& update);
   void Adopt(const control::DemandUpdate& update);
-  // Tells the other entries what the callers of this one ask for.
+  // Sends the demand of the callers of this entry to the other entries.
   void AnnounceDemand();
+  // Passes the targets, and the placements that the configuration allows, to
+  // the router.
   void UpdateRouting();
+  // Passes the capacity of each service to the admission.
   void UpdateCapacity();
   bool is_ready();
-  // Asks the holders of claims until the entry is ready.
+  // Polls the holders of claims until the entry is ready.
   void PollHolders();
+  // Asks one holder whether it votes on claims under the present roster.
   void PollHolder(const NodeId& holder);
   void LogReadiness();
 
@@ -73,7 +79,7 @@
   std::set<TargetId> known_targets_;
   std::map<TargetId, routing::TargetView> views_;
   EntryReadiness readiness_{EntryReadinessOptions{}};
-  // Those that are being asked whether they vote.
+  // Holders with a poll in progress.
   std::set<NodeId> polled_holders_;
   std::optional<MissingInput> logged_missing_;
   bool is_draining_ = false;
--- a/src/plugins/callers/classify_filter.cc
+++ b/src/plugins/callers/classify_filter.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Duration kConfigRetry = Seconds(2);
-// Levels of the declared priorities from which on they count as normal, high.
+// Lowest levels of declared priorities that count as normal and as high.
 constexpr std::uint32_t kNormalLevel = 1;
 constexpr std::uint32_t kHighLevel = 2;
 
--- a/src/plugins/callers/classify_filter.h
+++ b/src/plugins/callers/classify_filter.h
@@ -14,8 +14,8 @@
   Duration max_deadline = Seconds(600);
 };
 
-// Finds the service of a request and what holds for it: idempotency, priority
-// and deadline, by the request's own marks first, then by the configuration.
+// Determines the service of a request, its idempotency, priority and deadline.
+// Header fields of the request take precedence over the configuration.
 class ClassifyFilter {
  public:
   ClassifyFilter(const ServiceTable& services, ClassifyOptions options)
--- a/src/plugins/callers/entry_readiness.cc
+++ b/src/plugins/callers/entry_readiness.cc
@@ -56,8 +56,8 @@
   return without_vote;
 }
 
-// Each key has up to three holders, of different failure domains where there
-// are as many; a majority of them has to vote.
+// Each key has up to three holders, in different failure domains if there are
+// enough, and a majority of them must vote.
 bool EntryReadiness::AreAllKeysClaimable() const {
   std::set<FailureDomain> domains;
   std::set<FailureDomain> silent_domains;
--- a/src/plugins/callers/entry_readiness.h
+++ b/src/plugins/callers/entry_readiness.h
@@ -1,12 +1,12 @@
-// Whether an entry can serve each kind of work; only then it says ready.
+// Decides when an entry that has just started reports ready.
 //
-// Guards against callers that are sent to an entry that has just started and
-// refuses them: it knows no target of a service yet, or no majority of the
-// holders of claims votes for it, without which it carries out no order. An
-// entry that is cut off from some of them has to serve what it can, so it says
-// ready after a while all the same.
+// Guards against callers that are sent to such an entry and refused: it does
+// not know a target of each service yet, or no majority of the holders of
+// claims votes for it, without which it cannot run non-idempotent requests. An
+// entry that is cut off from some of them must serve what it can, so it reports
+// ready after a maximum wait in any case.
 //
-// Pure: events and `now` in, decisions out.
+// Takes events and `now` as input and does no I/O.
 
 #ifndef PLUGINS_CALLERS_ENTRY_READINESS_H_
 #define PLUGINS_CALLERS_ENTRY_READINESS_H_
@@ -23,12 +23,12 @@
 namespace bilberryspool::callers {
 
 struct EntryReadinessOptions {
-  // Since the configuration is known. Gossip tells of the targets of other
-  // failure domains within a few rounds of 0.7 s each.
+  // Maximum wait since the configuration is known. Gossip delivers the targets
+  // of other failure domains within a few rounds of 0.7 s each.
   Duration max_wait = Seconds(5);
 };
 
-// What the entry lacks first.
+// The first input that an entry needs before it is ready and does not have.
 enum class MissingInput {
   kNothing,
   kConfiguration,
@@ -43,21 +43,22 @@
  public:
   explicit EntryReadiness(EntryReadinessOptions options) : options_(options) {}
 
-  // The services that the configuration lets some target serve.
+  // The services that the configuration allows on some target.
   void SetAllowed(std::set<ServiceId> services, TimePoint now);
-  // The services that some target that is known serves.
+  // The services that some known target serves.
   void SetServed(std::set<ServiceId> services);
-  // A newer roster; the votes of an older one count no more.
+  // Sets a newer roster; votes under an older one no longer count.
   void SetRoster(const attempts::Roster& roster);
-  // Whether the holder votes on claims under that roster.
+  // Records whether the holder votes on claims under that roster.
   void SetVote(const NodeId& holder,
                attempts::RosterVersion version,
                bool votes);
 
   MissingInput FirstMissing() const;
-  // Once ready it stays so: what fails later is no reason to lose the rest.
+  // An entry that was ready stays ready: a later failure of one input is no
+  // reason to stop serving with the others.
   bool IsReady(TimePoint now);
-  // The holders that have not said yet that they vote.
+  // The holders that have not confirmed yet that they vote.
   std::vector<NodeId> HoldersWithoutVote() const;
   attempts::RosterVersion roster() const { return roster_.version; }
 
--- a/src/plugins/callers/filter_chain.cc
+++ b/src/plugins/callers/filter_chain.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Whether an earlier send of the same id may have run. A refusal by a filter
-// is then no proof that the request did not run: one would notice by a caller
-// that was told "not run" of an order that its first send carried out.
+// Whether an earlier send with the same id may have run. A refusal by a filter
+// then does not prove that the request did not run: a caller could otherwise
+// get the answer "not-run" for work that its first send carried out.
 bool MayHaveRunBefore(const RequestContext& context) {
   const bool is_idempotent = context.service.value().empty()
                                  ? context.requested_idempotent.value_or(false)
--- a/src/plugins/callers/filter_chain.h
+++ b/src/plugins/callers/filter_chain.h
@@ -1,4 +1,4 @@
-// The order in which a request passes the filters.
+// Passes requests through the filters in their order.
 
 #ifndef PLUGINS_CALLERS_FILTER_CHAIN_H_
 #define PLUGINS_CALLERS_FILTER_CHAIN_H_
@@ -14,20 +14,22 @@
 
 namespace bilberryspool::callers {
 
+// Runs each request through the filters, then through a RequestRunner, and
+// accounts for it.
 class FilterChain {
  public:
-  // `spans` may be null: no traces.
+  // `spans` may be null; no traces are written then.
   FilterChain(CallerState& state,
               ClassifyOptions options,
               std::uint32_t trace_permille,
               telemetry::SpanWriter* spans,
               std::uint64_t seed);
 
-  // Serves one request to its final answer.
+  // Serves one request until its final answer.
   void Handle(net::HttpExchange& exchange);
 
  private:
-  // The final answer where a filter gives one.
+  // Returns the final answer if a filter ends the request.
   std::optional<FinalAnswer> RunFilters(RequestContext& context,
                                         CallerWatch& watch);
 
--- a/src/plugins/callers/final_answer.cc
+++ b/src/plugins/callers/final_answer.cc
@@ -136,7 +136,8 @@
                      {"reason", answer.reason},
                      {"message", MessageFor(answer.kind)}};
   if (answer.retry_after > Duration::zero()) {
-    // The field counts whole seconds; the finer one is for our own clients.
+    // Retry-After counts whole seconds; the header field in milliseconds is for
+    // the clients of this system.
     const auto seconds =
         std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count();
     const auto milliseconds =
--- a/src/plugins/callers/final_answer.h
+++ b/src/plugins/callers/final_answer.h
@@ -1,4 +1,4 @@
-// The final answers that are not the engine's own.
+// Final answers that do not come from the engine.
 
 #ifndef PLUGINS_CALLERS_FINAL_ANSWER_H_
 #define PLUGINS_CALLERS_FINAL_ANSWER_H_
@@ -13,13 +13,13 @@
 
 namespace bilberryspool::callers {
 
-// What a caller is told instead of an answer of the engine.
+// The answer that a caller gets instead of an answer of the engine.
 struct FinalAnswer {
   int status = 503;
   attempts::FinalKind kind = attempts::FinalKind::kNotRun;
-  // A word for programs, such as "no-target"; goes into Bilberryspool-Reason.
+  // Machine-readable reason such as "no-target"; sent in Bilberryspool-Reason.
   std::string reason;
-  // Zero: sending again makes no sense as it is.
+  // Zero: there is no point in a retry of the unchanged request.
   Duration retry_after{};
 };
 
@@ -28,10 +28,10 @@
 
 FinalAnswer MakeFinalAnswer(const attempts::AnswerCaller& answer);
 FinalAnswer MakeFinalAnswer(const limits::Refuse& refusal);
-// The request itself is at fault; it was not run.
+// The request is rejected before it ran, for a reason other than load.
 FinalAnswer MakeRejection(int status, std::string reason);
 
-// Writes the answer, whole; false where the caller is gone.
+// Writes the complete answer. Returns false if the caller has disconnected.
 bool Respond(net::HttpExchange& exchange, const FinalAnswer& answer);
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/parse_filter.cc
+++ b/src/plugins/callers/parse_filter.cc
@@ -19,7 +19,8 @@
 constexpr std::size_t kMaxIdLength = 128;
 constexpr std::size_t kMaxDeadlineMs = 24UL * 3600 * 1000;
 constexpr std::uint32_t kMaxExpectedTokens = 1U << 20U;
-// Prompt prefixes are hashed at these lengths, in bytes.
+// Prompt prefixes of these lengths, in bytes, are hashed for cache-aware
+// routing.
 constexpr std::size_t kPrefixSteps[] = {256, 1024, 4096, 16384};
 
 bool IsPlainText(std::string_view text) {
@@ -131,8 +132,7 @@
   return std::nullopt;
 }
 
-// Only what routing can use is read; whether the body is right is the engine's
-// to say.
+// Reads only what routing uses; the engine validates the body.
 void ParseFilter::ReadBody(RequestContext& context) {
   const net::HttpRequest& request = context.exchange.request();
   const std::uint64_t path_hash = Hash(request.method + request.target, 0);
--- a/src/plugins/callers/parse_filter.h
+++ b/src/plugins/callers/parse_filter.h
@@ -10,15 +10,15 @@
 
 namespace bilberryspool::callers {
 
-// Reads the fields and the body of a request into the context. Bounds on sizes
-// are the server's; here the values are checked.
+// Parses the header fields and the body of a request into the context and
+// validates their values. Sizes are limited by the server.
 class ParseFilter {
  public:
-  // `trace_permille`: of 1000 requests without a traceparent, how many are
-  // traced.
+  // `trace_permille`: number of requests out of 1000 without a traceparent that
+  // are traced.
   ParseFilter(NodeId entry, std::uint32_t trace_permille, std::uint64_t seed);
 
-  // The answer where the request is malformed.
+  // Returns an answer if the request is malformed.
   std::optional<FinalAnswer> Handle(RequestContext& context);
 
  private:
--- a/src/plugins/callers/request_context.h
+++ b/src/plugins/callers/request_context.h
@@ -1,4 +1,4 @@
-// One request on its way through the filters.
+// The state of one request while it passes the filters.
 
 #ifndef PLUGINS_CALLERS_REQUEST_CONTEXT_H_
 #define PLUGINS_CALLERS_REQUEST_CONTEXT_H_
@@ -24,7 +24,7 @@
   net::HttpExchange& exchange;
   TimePoint arrived;
 
-  // From the parse filter.
+  // Set by the parse filter.
   attempts::RequestKey key;
   attempts::Fingerprint fingerprint;
   bool has_caller_id = false;
@@ -38,13 +38,13 @@
   std::uint32_t expected_tokens = 0;
   std::vector<std::uint64_t> prefix_hashes;
 
-  // From the classify filter.
+  // Set by the classify filter.
   ServiceId service;
   bool is_idempotent = true;
   limits::Priority priority = limits::Priority::kNormal;
   TimePoint deadline;
 
-  // From the admit filter.
+  // Set by the admit filter.
   limits::AdmissionId admission;
   bool is_admitted = false;
 
--- a/src/plugins/callers/request_headers.h
+++ b/src/plugins/callers/request_headers.h
@@ -1,4 +1,4 @@
-// Header fields that callers may send and get; see docs/CALLERS.md.
+// Header fields of requests and answers of callers; see docs/CALLERS.md.
 
 #ifndef PLUGINS_CALLERS_REQUEST_HEADERS_H_
 #define PLUGINS_CALLERS_REQUEST_HEADERS_H_
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -78,7 +78,7 @@
 }
 
 void RequestRunner::OnStall() {
-  // Ahead of what is queued, which may be from before.
+  // In front of the queued events, which may date from before the stall.
   events_.push_front(attempts::EntryStalled{});
   event_added_.NotifyAll();
 }
@@ -203,7 +203,8 @@
     if (token.has_value()) {
       return attempts::TargetChosen{target, *token, false};
     }
-    // The agent doesn't answer: nothing was sent, so another may be tried.
+    // The agent does not answer. Nothing was sent, so another target may be
+    // tried.
     request.excluded.push_back(target);
   }
   return attempts::NoTarget{retry_after};
@@ -252,7 +253,7 @@
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
     state_.links.DropIdle(*endpoint);
     ReportAttemptEnd(id, routing::AttemptOutcome::kDisconnected);
-    // Without a connection no byte of the attempt left this process.
+    // Without a connection no byte of the attempt has left this process.
     if (error->kind == net::HttpErrorKind::kConnect) {
       Push(attempts::AttemptRefused{
           id, attempts::RefusalReason::kStopped, true, {}});
@@ -332,7 +333,7 @@
   }
   if (head.status == net::status::kUnauthorized &&
       !head.headers.Find(links::kTokenHeader).has_value()) {
-    // The agent refused this entry's key before it looked at the attempt.
+    // The agent refused the key of this entry before it looked at the attempt.
     ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kFailed);
     return attempts::AttemptRefused{
         attempt.attempt, attempts::RefusalReason::kStopped, true, {}};
@@ -356,8 +357,8 @@
   Push(attempts::AttemptHead{attempt.attempt, stream.head().status});
   bool is_first = true;
   while (!is_finished_) {
-    // A silent stream is the machine's to judge; this bound only ends the
-    // fiber should it judge otherwise.
+    // The request machine decides when a silent stream is lost; this timeout
+    // only ensures that the fiber ends.
     net::StreamPiece piece =
         stream.Read(state_.machine_options.silence_limit * 2);
     if (auto* bytes = std::get_if<std::string>(&piece)) {
--- a/src/plugins/callers/request_runner.h
+++ b/src/plugins/callers/request_runner.h
@@ -1,4 +1,4 @@
-// Carries out what the machine of one request asks for.
+// Executes the actions of the request machine of one request.
 
 #ifndef PLUGINS_CALLERS_REQUEST_RUNNER_H_
 #define PLUGINS_CALLERS_REQUEST_RUNNER_H_
@@ -16,30 +16,30 @@
 
 namespace bilberryspool::callers {
 
-// Lives for one request in the fiber of its connection. Fibers that wait for
-// holders and agents hold a reference and put events into the queue.
+// Runs in the fiber of the connection. Fibers that wait for holders and agents
+// hold a reference to the runner and add events to its queue.
 class RequestRunner : public std::enable_shared_from_this<RequestRunner> {
  public:
   RequestRunner(CallerState& state,
                 RequestContext& context,
                 std::shared_ptr<CallerWatch> watch);
 
-  // Returns once the final answer is out and the machine is done.
+  // Returns when the final answer has been sent and the machine is done.
   void Run();
 
-  // The stated limit of a planned stop is reached.
+  // To be called when the time limit of a planned stop is reached.
   void Stop();
-  // This entry stood still; see attempts::StallDetector.
+  // To be called after this process was stalled; see attempts::StallDetector.
   void OnStall();
-  // The entry has learned of another roster of holders.
+  // To be called when the roster of holders has changed.
   void OnRosterChanged();
 
  private:
   using Event = attempts::RequestEvent;
 
   void Push(Event event);
-  // As Push, but waits while the caller takes more slowly than the engine
-  // gives.
+  // Like Push(), but waits while the queue is full because the caller reads
+  // more slowly than the engine writes.
   void PushBounded(Event event);
   Event NextEvent();
   void HandleEvent(const Event& event);
@@ -65,13 +65,15 @@
   void ReadAnswer(const attempts::AttemptRef& attempt,
                   net::HttpClientStream& stream,
                   std::uint64_t offset);
-  // The end of the attempt where the head shows that there is no answer.
+  // The event that ends the attempt if the head carries no answer.
   std::optional<Event> EvaluateHead(const attempts::AttemptRef& attempt,
                                     const net::HttpResponseHead& head);
   net::HttpRequest MakeAttemptRequest(
       const attempts::StartAttempt& start) const;
+  // Records the token and the load in the head of an answer.
   void RecordAgentHeaders(const TargetId& target,
                           const net::HttpResponseHead& head);
+  // Reports the end of an attempt to the router.
   void ReportAttemptEnd(const AttemptId& attempt,
                         routing::AttemptOutcome outcome);
   void OnWritten(bool is_written);
@@ -83,7 +85,7 @@
   std::deque<Event> events_;
   net::FiberSignal event_added_;
   net::FiberSignal event_taken_;
-  // Copied, since fibers may outlive the context.
+  // A copy, as fibers may outlive the context.
   net::HttpRequest request_;
   net::HttpHeaders answer_headers_;
   std::map<AttemptId, std::shared_ptr<net::Cancellation>> cancellations_;
--- a/src/plugins/callers/request_runner_calls.cc
+++ b/src/plugins/callers/request_runner_calls.cc
@@ -37,7 +37,7 @@
     }
     const auto* error = std::get_if<links::LinkError>(&result);
     self->state_.log.Warn(
-        "A holder gave no answer.",
+        "A holder did not answer.",
         {{"holder", action.holder.value()},
          {"error", error != nullptr ? error->text : "malformed"}});
     self->state_.links.DropIdle(endpoint);
@@ -85,8 +85,9 @@
   if (address == state_.holder_addresses.end()) {
     return;
   }
-  // Sent once: a holder that misses it keeps the claim until its window ends,
-  // which refuses more than it must but nothing that it mustn't.
+  // Sent only once: a holder that misses it keeps the claim until its window
+  // ends. It then refuses more requests than necessary, but none that it must
+  // not refuse.
   state_.loop.Spawn([&state = state_, endpoint = address->second,
                      params = attempts::ToJson(action.finish)] {
     state.links.Call(endpoint, "claims.finish", params, kHolderTimeout);
@@ -103,7 +104,7 @@
   }
   state_.loop.Spawn([self = shared_from_this(), endpoint, id,
                      request = action.request] {
-    // The pooled connections may be the ones that went silent.
+    // The pooled connections may be those that have become silent.
     self->state_.links.DropIdle(*endpoint);
     const auto result =
         self->state_.links.Call(*endpoint, "attempts.settle",
--- a/src/plugins/callers/service_table.h
+++ b/src/plugins/callers/service_table.h
@@ -1,4 +1,4 @@
-// Which service a request is for, from the accepted configuration.
+// Finds the service of a request in the accepted configuration.
 
 #ifndef PLUGINS_CALLERS_SERVICE_TABLE_H_
 #define PLUGINS_CALLERS_SERVICE_TABLE_H_
@@ -16,8 +16,8 @@
  public:
   void Adopt(std::shared_ptr<const config::Configuration> configuration);
 
-  // The service for a path and, on the engines' paths, a model; null where
-  // there is none. The longest declared path prefix wins.
+  // Returns the service for a path and, on the paths of the engine protocol, a
+  // model; null if there is none. The longest declared path prefix wins.
   const config::ServiceSpec* Find(std::string_view path,
                                   const std::string& model) const;
 
@@ -25,7 +25,7 @@
     return configuration_.get();
   }
 
-  // Whether the path is one of the engines' protocol.
+  // Whether the path belongs to the engine protocol.
   static bool IsEnginePath(std::string_view path);
 
  private:
--- a/tests/auto/callers/authenticate_filter_test.cc
+++ b/tests/auto/callers/authenticate_filter_test.cc
@@ -21,7 +21,7 @@
   configuration.Apply(config::ObjectUpdate(update));
 }
 
-TEST_CASE("a declared credential must be shown") {
+TEST_CASE("a declared credential is required") {
   auto configuration = std::make_shared<config::Configuration>();
   Put(*configuration, "open", std::nullopt);
   Put(*configuration, "closed", HashCredential("secret"));
--- a/tests/auto/callers/entry_readiness_test.cc
+++ b/tests/auto/callers/entry_readiness_test.cc
@@ -1,4 +1,4 @@
-// When an entry says ready.
+// Tests of when an entry reports ready.
 
 #include "plugins/callers/entry_readiness.h"
 
@@ -36,8 +36,8 @@
   return readiness;
 }
 
-// Guards against callers being sent to an entry that knows nothing yet.
-TEST_CASE("an entry says ready once nothing is lacking, in any order") {
+// Guards against callers that are sent to an entry before it can serve them.
+TEST_CASE("an entry is ready once all inputs are present, in any order") {
   EntryReadiness readiness{EntryReadinessOptions{}};
   const TimePoint now = TimeAt(Seconds(1));
   CHECK(readiness.FirstMissing() == MissingInput::kConfiguration);
@@ -54,8 +54,8 @@
   CHECK(readiness.IsReady(now));
 }
 
-// Guards against the first order meeting an entry that has heard of no target
-// in another failure domain.
+// Guards against a first request that fails because the entry has not yet
+// received the targets of other failure domains.
 TEST_CASE("an entry that knows no target of a service is not ready") {
   EntryReadiness readiness = ReadinessWith(kThree);
   for (const char* holder : {"a", "b", "c"}) {
@@ -66,7 +66,8 @@
   CHECK_FALSE(readiness.IsReady(TimeAt(Seconds(2))));
 }
 
-// Guards against orders that are refused as the holders know a newer roster.
+// Guards against requests that are refused because the holders know a newer
+// roster than the one the entry counted votes for.
 TEST_CASE("votes under an older roster do not count") {
   EntryReadiness readiness = ReadinessWith(kThree);
   readiness.SetRoster(MakeRoster(4, {{"a", "x"}, {"b", "y"}, {"c", "z"}}));
@@ -79,9 +80,9 @@
   CHECK(readiness.roster() == RosterVersion(4));
 }
 
-// Guards against an entry that is cut off from a failure domain and serves
-// nobody for that.
-TEST_CASE("an entry that lacks something for long serves what it can") {
+// Guards against an entry that never reports ready because it is cut off from a
+// failure domain.
+TEST_CASE("an entry with missing inputs is ready after the maximum wait") {
   EntryReadiness readiness = ReadinessWith(kThree);
   const Duration max_wait = EntryReadinessOptions{}.max_wait;
   CHECK_FALSE(readiness.IsReady(TimeAt(Seconds(1)) + max_wait / 2));
@@ -89,7 +90,7 @@
   CHECK(readiness.FirstMissing() == MissingInput::kVotes);
 }
 
-TEST_CASE("an entry that was ready stays so") {
+TEST_CASE("an entry that was ready stays ready") {
   EntryReadiness readiness = ReadinessWith(kThree);
   for (const char* holder : {"a", "b"}) {
     readiness.SetVote(NodeId(holder), RosterVersion(3), true);
--- a/tests/auto/callers/fake_exchange.h
+++ b/tests/auto/callers/fake_exchange.h
@@ -7,7 +7,7 @@
 
 namespace bilberryspool::callers {
 
-// Holds a request and what was answered.
+// An exchange that holds a request and records the answer to it.
 class FakeExchange : public net::HttpExchange {
  public:
   explicit FakeExchange(net::HttpRequest request);
--- a/tests/auto/callers/final_answer_test.cc
+++ b/tests/auto/callers/final_answer_test.cc
@@ -11,7 +11,7 @@
 using attempts::FinalKind;
 using attempts::FinalReason;
 
-TEST_CASE("the three final answers are told apart by status and fields") {
+TEST_CASE("final answers differ in status and header fields") {
   struct Row {
     FinalKind kind;
     FinalReason reason;
--- a/tests/auto/callers/parse_filter_test.cc
+++ b/tests/auto/callers/parse_filter_test.cc
@@ -28,7 +28,7 @@
   return filter.Handle(context);
 }
 
-TEST_CASE("values out of range get a clear refusal that did not run") {
+TEST_CASE("invalid values are rejected with a reason, as not run") {
   struct Row {
     const char* name;
     std::string value;
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("what a caller marks is read") {
+TEST_CASE("header fields and body of a request are parsed") {
   net::HttpRequest request;
   request.headers.Add("idempotency-key", "order-1");
   request.headers.Add("Bilberryspool-Workspace", "kiln");
@@ -80,9 +80,9 @@
   CHECK(context.expected_tokens == 7);
 }
 
-// Symptom: two orders count as one. Sequence: two callers send no id.
-// Cause: ids of the entry's own that are not unlike each other.
-TEST_CASE("requests without an id get ids of their own") {
+// Guards against two requests without an id that count as one request because
+// the entry generated the same id for both.
+TEST_CASE("requests without an id get distinct ids") {
   ParseFilter filter(NodeId("e"), 0, 1);
   FakeExchange exchange(net::HttpRequest{});
   RequestContext first(exchange);
@@ -93,8 +93,8 @@
   CHECK(first.is_first_send);
 }
 
-// Symptom: another body under the same id is answered with the first one's
-// answer. Cause: a fingerprint that leaves out what differs.
+// Guards against a request that is answered with the answer to another body
+// under the same id because the fingerprint does not cover the difference.
 TEST_CASE("the fingerprint covers method, target and body") {
   ParseFilter filter(NodeId("e"), 0, 1);
   const auto fingerprint = [&filter](const char* method, const char* target,
@@ -115,7 +115,7 @@
   CHECK(base != fingerprint("PUT", "/a", "x"));
 }
 
-TEST_CASE("random fields and bodies never stop the entry") {
+TEST_CASE("random fields and bodies never crash the parser") {
   const char* const names[] = {
       "Idempotency-Key",           "traceparent",
       "Bilberryspool-Workspace",   "Bilberryspool-Priority",
--- a/tests/auto/callers/parse_token_test.cc
+++ b/tests/auto/callers/parse_token_test.cc
@@ -5,7 +5,7 @@
 namespace bilberryspool::callers {
 namespace {
 
-TEST_CASE("only three numbers joined by dots are a token") {
+TEST_CASE("a token is three numbers joined by dots") {
   struct Row {
     const char* text;
     bool is_valid;
--- a/tests/auto/callers/service_table_test.cc
+++ b/tests/auto/callers/service_table_test.cc
@@ -19,7 +19,7 @@
   configuration.Apply(config::ObjectUpdate(update));
 }
 
-TEST_CASE("a path or a model leads to its service, the longest prefix first") {
+TEST_CASE("a service is found by model or by the longest path prefix") {
   auto configuration = std::make_shared<config::Configuration>();
   Put(*configuration, "m", config::ServiceKind::kEngine, "");
   Put(*configuration, "all", config::ServiceKind::kPlain, "/a");
