--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -24,7 +24,8 @@
 namespace {
 
 constexpr Duration kProbeInterval = Milliseconds(250);
-// After the last attempt has ended, entries get the rest of its answer.
+// Poll interval while a stop waits for attempts, and then for entries to read
+// the rest of their answers.
 constexpr Duration kStopPollInterval = Milliseconds(20);
 
 net::Endpoint ToEndpoint(const settings::SocketAddress& address) {
@@ -76,8 +77,10 @@
     }
   }
 
-  // Empty, or why it can't start.
+  // Returns an error message, or an empty string on success.
   std::string Start();
+  // Leaves membership, then waits for the running attempts until the drain
+  // limit.
   void Drain();
 
  private:
@@ -108,7 +111,7 @@
   spreading::SpreadDriver spread_;
   LoadProbe probe_;
   links::LinkServer server_;
-  std::unique_ptr<RankDriver> rank_;  // null outside of groups
+  std::unique_ptr<RankDriver> rank_;  // null if the target is not in a group
   bool is_draining_ = false;
   bool is_serving_ = false;
   bool engine_answers_ = false;
@@ -158,7 +161,7 @@
 spreading::SpreadHooks AgentProcess::MakeSpreadHooks() {
   spreading::SpreadHooks hooks;
   hooks.own_address = settings_.advertise.ToString();
-  // Entries are known by what they sent.
+  // Entries are known only by the messages they have sent.
   hooks.find_node = [](const NodeId&) { return std::nullopt; };
   hooks.topology = [this] {
     spread::TopologyChanged topology;
@@ -239,14 +242,16 @@
   UpdateState();
 }
 
-// A group that is stalled or out makes no tokens; its callers would wait.
+// A group that is stalled or not in service produces no tokens, so requests
+// sent to it would wait.
 void AgentProcess::OnRankServing(bool is_serving) {
   rank_serves_ = is_serving;
   attempts_.SetHeld(!is_serving);
   UpdateState();
 }
 
-// A target is offered only while its engine answers and its group steps.
+// A target is announced as serving only while its engine answers and its group
+// runs steps.
 void AgentProcess::UpdateState() {
   const bool should_serve = engine_answers_ && rank_serves_;
   if (is_draining_ || should_serve == is_serving_) {
@@ -258,8 +263,9 @@
                    : membership::TargetState::kJoining});
 }
 
-// Entries are told first, then the gate closes after its grace whether or not
-// they heard; what runs ends by itself or at the limit.
+// Entries are notified first. The gate closes after its grace period whether or
+// not they confirmed it. Running attempts end by themselves or at the drain
+// limit.
 void AgentProcess::Drain() {
   is_draining_ = true;
   log_.Info("Draining.", {{"running", attempts_.running()}});
--- a/src/plugins/agent/agent_process.h
+++ b/src/plugins/agent/agent_process.h
@@ -1,5 +1,5 @@
-// The agent: the one small process on a target VM, in front of its engine or
-// plain service.
+// The agent process: the only process of the system on the VM of a target, in
+// front of its engine or plain service.
 
 #ifndef PLUGINS_AGENT_AGENT_PROCESS_H_
 #define PLUGINS_AGENT_AGENT_PROCESS_H_
@@ -8,8 +8,8 @@
 
 namespace bilberryspool::agent {
 
-// Runs until a stop signal and the drain after it, or a second signal. Returns
-// the exit status: 1 where it can't start.
+// Runs until a stop signal and the drain that follows it, or until a second
+// stop signal. Returns exit status 1 if the agent cannot start.
 int RunAgent(const settings::CommonSettings& common,
              const settings::AgentSettings& settings);
 
--- a/src/plugins/agent/announce_driver.cc
+++ b/src/plugins/agent/announce_driver.cc
@@ -56,7 +56,9 @@
                                membership::ToJson(send.heartbeat));
                         },
                         [this](const membership::IdentityLost&) {
-                          log_.Error("Another process holds this target.");
+                          log_.Error(
+                              "Another process has announced this target; no "
+                              "longer announcing it.");
                         }},
              action);
 }
@@ -71,16 +73,17 @@
   loop_.Spawn([this, entry, endpoint, method, params] {
     auto result = client_.Call(*endpoint, method, params, kCallTimeout);
     if (const auto* error = std::get_if<links::LinkError>(&result)) {
-      log_.Debug("Entry did not answer.",
+      log_.Debug("An entry did not answer.",
                  {{"entry", entry}, {"error", error->text}});
-      // An idle connection that leads nowhere must not be used again.
+      // The idle connections to an entry that does not answer may be dead, so
+      // they are not reused.
       client_.DropIdle(*endpoint);
       return;
     }
     const auto reply =
         membership::AnnounceReplyFromJson(std::get<boost::json::value>(result));
     if (!reply.has_value()) {
-      log_.Warn("Entry sent a malformed reply.", {{"entry", entry}});
+      log_.Warn("The reply of an entry is malformed.", {{"entry", entry}});
       return;
     }
     if (last_entry_ != entry) {
--- a/src/plugins/agent/announce_driver.h
+++ b/src/plugins/agent/announce_driver.h
@@ -1,4 +1,4 @@
-// Drives the announcer of an agent over its links.
+// Runs the announcer of an agent over its links.
 
 #ifndef PLUGINS_AGENT_ANNOUNCE_DRIVER_H_
 #define PLUGINS_AGENT_ANNOUNCE_DRIVER_H_
@@ -16,7 +16,7 @@
 
 namespace bilberryspool::agent {
 
-// Runs in the agent's loop.
+// Used in the agent's loop only.
 class AnnounceDriver {
  public:
   AnnounceDriver(net::NetworkLoop& loop,
@@ -24,7 +24,7 @@
                  membership::AnnouncerOptions options,
                  std::uint64_t seed);
 
-  // Starts the fiber that ticks the announcer.
+  // Starts the fiber that passes ticks to the announcer.
   void Start();
   void Handle(const membership::AnnouncerEvent& event);
 
--- a/src/plugins/agent/attempt_log.cc
+++ b/src/plugins/agent/attempt_log.cc
@@ -12,7 +12,8 @@
 void AttemptLog::Append(std::string bytes) {
   bytes_ += bytes;
   if (bytes_.size() > max_bytes_) {
-    // The oldest go first: a follower is nearly always close to the end.
+    // The oldest bytes are dropped, as a follower is nearly always close to the
+    // end.
     const std::size_t surplus = bytes_.size() - max_bytes_;
     bytes_.erase(0, surplus);
     first_offset_ += surplus;
--- a/src/plugins/agent/attempt_log.h
+++ b/src/plugins/agent/attempt_log.h
@@ -1,4 +1,4 @@
-// The answer of one attempt while its engine makes it.
+// Buffers the answer of one attempt while its engine produces it.
 
 #ifndef PLUGINS_AGENT_ATTEMPT_LOG_H_
 #define PLUGINS_AGENT_ATTEMPT_LOG_H_
@@ -12,32 +12,32 @@
 
 namespace bilberryspool::agent {
 
-// kWithdrawn: it never reached the engine.
+// kWithdrawn: the attempt never reached the engine.
 enum class AttemptPhase { kRunning, kFinished, kFailed, kWithdrawn };
 
-// Filled by the fiber that reads from the engine, followed by those that write
-// to entries. The answer is kept whole up to a bound, so that an entry whose
-// connection went silent can follow it again from where it left off.
+// Filled by the fiber that reads from the engine and followed by the fibers
+// that write to entries. The answer is kept complete up to a bound, so that an
+// entry whose connection became silent can continue from its last offset.
 class AttemptLog {
  public:
   explicit AttemptLog(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   void SetHead(net::HttpResponseHead head);
-  // Over the bound the oldest bytes are dropped.
+  // Drops the oldest bytes when the answer exceeds the bound.
   void Append(std::string bytes);
   void Finish(AttemptPhase phase);
 
   AttemptPhase phase() const { return phase_; }
   const std::optional<net::HttpResponseHead>& head() const { return head_; }
   std::uint64_t size() const { return first_offset_ + bytes_.size(); }
-  // False where the bytes from `offset` on are no longer kept.
+  // Whether the bytes from `offset` on are still kept.
   bool CanFollowFrom(std::uint64_t offset) const;
-  // What is there from `offset` on, at most `limit` bytes.
+  // Returns at most `limit` of the bytes from `offset` on.
   std::string Read(std::uint64_t offset, std::size_t limit) const;
-  // The whole answer, if it is all still kept.
+  // The complete answer, or nothing if some bytes were dropped.
   std::optional<std::string> whole() const;
 
-  // Waits for a change, or until `deadline`: false.
+  // Waits for a change. Returns false if there is none before `deadline`.
   bool WaitForChange(TimePoint deadline) {
     return changed_.WaitUntil(deadline);
   }
--- a/src/plugins/agent/attempt_service.cc
+++ b/src/plugins/agent/attempt_service.cc
@@ -52,8 +52,8 @@
   return attempts::FromJson<Message>(value);
 }
 
-// The request as the engine gets it: without the fields between processes of
-// the system, with the request id that the engine may log.
+// The request as it is sent to the engine: without the header fields internal
+// to the system, and with the request id, which the engine may log.
 net::HttpRequest ToEngineRequest(const net::HttpRequest& request,
                                  const StartAttempt& start) {
   net::HttpRequest engine_request;
@@ -137,7 +137,8 @@
     return;
   }
   if (std::holds_alternative<attempts::AlreadyAdmitted>(admission)) {
-    // A copy of a frame that arrived before: the answer goes on there.
+    // A duplicate of a message that arrived before; its answer is continued
+    // here.
     HandleResume(exchange,
                  json::serialize(attempts::ToJson(
                      attempts::SettleRequest{start->attempt, false})));
@@ -172,7 +173,7 @@
     exchange.Respond(std::move(head), "the answer is not kept\n");
     return;
   }
-  // A copy: the attempt may be forgotten while it is followed.
+  // A copy, as the attempt may be erased while it is followed.
   const AttemptPointer attempt = found->second;
   Follow(exchange, attempt, offset);
 }
@@ -212,7 +213,7 @@
   auto opened = engine_.Open(options_.engine, attempt->request,
                              options_.engine_timeout, attempt->cancellation);
   if (auto* error = std::get_if<net::HttpError>(&opened)) {
-    log_.Warn("Engine gave no answer.",
+    log_.Warn("The engine did not answer an attempt.",
               {{"attempt", attempt->start.attempt.attempt.value()},
                {"error", error->text}});
     const bool never_sent = error->kind == net::HttpErrorKind::kConnect;
@@ -360,9 +361,9 @@
   }
 }
 
-// Nobody may be left to want the answer. The entry may also be about to follow
-// it over a new connection, so idempotent work gets a grace; other work runs to
-// its end, since its effects are wanted once.
+// No entry may need the answer any more. As the entry may also be about to
+// resume over a new connection, idempotent work is cancelled only after a
+// delay. Other work runs to its end, since its effects are wanted once.
 void AttemptService::CancelIfOrphaned(const AttemptPointer& attempt) {
   if (!attempt->is_idempotent || attempt->log.followers() > 0) {
     return;
--- a/src/plugins/agent/attempt_service.h
+++ b/src/plugins/agent/attempt_service.h
@@ -1,4 +1,4 @@
-// Serves attempts on a target VM: the only giver of work to its engine.
+// Serves attempts on the VM of a target; nothing else sends work to its engine.
 
 #ifndef PLUGINS_AGENT_ATTEMPT_SERVICE_H_
 #define PLUGINS_AGENT_ATTEMPT_SERVICE_H_
@@ -30,20 +30,21 @@
 struct AttemptServiceOptions {
   net::Endpoint engine;
   attempts::AttemptGateOptions gate;
-  // Answer bytes kept of one attempt for entries that follow it again.
+  // Number of answer bytes kept per attempt for entries that resume it.
   std::size_t max_log_bytes = 1U << 20U;
-  // How long a finished attempt's answer is kept.
+  // Time for which the answer of a finished attempt is kept.
   Duration finished_retention = Seconds(5);
-  // Idempotent work that nobody follows any more is cancelled after this time.
+  // Idempotent work that no entry follows is cancelled after this time.
   Duration orphan_grace = Seconds(4);
-  // How often an entry that waits gets a sign of life.
+  // Interval at which a waiting entry gets an interim response, which shows
+  // that the agent is alive.
   Duration keepalive_interval = Milliseconds(500);
-  // An engine that shows nothing for this long has failed the attempt.
+  // An attempt fails when the engine sends nothing for this time.
   Duration engine_timeout = Seconds(60);
 };
 
-// Runs in the agent's loop. Each attempt has one fiber that reads from the
-// engine and any number of connections that follow its log.
+// Used in the agent's loop only. Each attempt has one fiber that reads from the
+// engine, and any number of connections that follow its log.
 class AttemptService {
  public:
   AttemptService(net::NetworkLoop& loop,
@@ -54,26 +55,27 @@
                  telemetry::SpanWriter* spans);
   ~AttemptService();
 
-  // A new attempt, or one to follow again, by its header fields.
+  // Starts a new attempt or resumes one, depending on the header fields.
   void Handle(net::HttpExchange& exchange);
 
-  // Calls by JSON-RPC; nothing where the params are not understood.
+  // JSON-RPC methods; they return nothing if the params are malformed.
   std::optional<boost::json::value> Settle(const boost::json::value& params);
   std::optional<boost::json::value> Cancel(const boost::json::value& params);
   std::optional<boost::json::value> Token(const boost::json::value& params);
 
-  // New work is refused after the gate's grace; what runs goes on.
+  // Refuses new work after the gate's grace period; running attempts continue.
   void StartDraining();
   void StopNewWork();
-  // While held, new attempts are refused at once as not run; what runs goes on.
-  // For an engine that can't make progress, so that callers don't wait for it.
+  // While held, new attempts are refused immediately as not run, and running
+  // ones continue. Used when the engine cannot make progress, so that callers
+  // do not wait for it.
   void SetHeld(bool is_held);
   std::size_t running() const;
   attempts::AdmissionToken token() const;
 
-  // The load that the engine reported last; goes out with each answer.
+  // Sets the load that the engine reported last; it is sent with each answer.
   void SetLoad(std::uint32_t running, std::uint32_t queued);
-  // How many requests the engine is found able to run side by side.
+  // The number of requests that the engine can run concurrently, as measured.
   std::size_t limit() const { return limit_.limit(); }
 
  private:
@@ -84,19 +86,24 @@
   void HandleResume(net::HttpExchange& exchange, const std::string& resume);
   void Refuse(net::HttpExchange& exchange,
               const attempts::AttemptRefusal& refusal);
+  // Sends the attempt to the engine and reads its answer into the log.
   void RunOnEngine(const AttemptPointer& attempt);
   void ReadAnswer(const AttemptPointer& attempt, net::HttpClientStream& stream);
   void EndAttempt(const AttemptPointer& attempt, AttemptPhase phase);
-  // Tells an entry that an attempt never reached the engine.
+  // Answers an entry that the attempt never reached the engine.
   void RefuseWithdrawn(net::HttpExchange& exchange, const Attempt& attempt);
   void WriteSpan(const Attempt& attempt, std::uint64_t started_wall_ns);
+  // Sends the answer from `offset` on to an entry while the engine produces it.
   void Follow(net::HttpExchange& exchange,
               const AttemptPointer& attempt,
               std::uint64_t offset);
+  // Returns false if the entry has disconnected.
   bool WaitForHead(net::HttpExchange& exchange, const AttemptPointer& attempt);
+  // Returns false if the entry has disconnected.
   bool StreamLog(net::HttpExchange& exchange,
                  const AttemptPointer& attempt,
                  std::uint64_t offset);
+  // Cancels idempotent work that no entry follows, after a delay.
   void CancelIfOrphaned(const AttemptPointer& attempt);
   void AddAgentHeaders(net::HttpHeaders& headers) const;
 
--- a/src/plugins/agent/engine_orders.cc
+++ b/src/plugins/agent/engine_orders.cc
@@ -16,7 +16,7 @@
 constexpr Duration kResetTimeout = Seconds(5);
 constexpr Duration kFetchTimeout = Seconds(30);
 constexpr Duration kShortTimeout = Seconds(1);
-// Longer than any stall that an engine gets over by itself.
+// Longer than any stall from which an engine recovers by itself.
 constexpr Duration kStepTimeout = Seconds(60);
 
 json::object ToJson(const placement::ExpertKey& key) {
@@ -82,8 +82,8 @@
   return std::move(value.as_object());
 }
 
-// What the engine vouches for of its weights is left unused: it is the agent's
-// own orders that say what is resident.
+// The engine's report of its resident weights is not used: only the orders of
+// the agent determine which weights are resident.
 void EngineOrders::Reset() {
   Enqueue([this] {
     while (!is_closed_ && !Post("/v1/reset", {}, kResetTimeout)) {
@@ -111,7 +111,7 @@
     experts.push_back(ToJson(key));
   }
   Enqueue([this, experts = std::move(experts)] {
-    // Where it fails the weights only take up room until the next reset.
+    // If it fails, the weights only occupy memory until the next reset.
     Post("/v1/weights", {{"action", "drop"}, {"experts", experts}},
          kShortTimeout);
   });
@@ -134,7 +134,7 @@
   const auto* finished = answer ? answer->if_contains("finished") : nullptr;
   if (finished == nullptr || !finished->is_bool()) {
     if (!is_closed_) {
-      on_lost_("a step got no answer");
+      on_lost_("the engine did not answer a step");
     }
     return;
   }
--- a/src/plugins/agent/engine_orders.h
+++ b/src/plugins/agent/engine_orders.h
@@ -1,4 +1,4 @@
-// Orders of one rank incarnation to its engine, by HTTP.
+// Sends the orders of one rank incarnation to its engine over HTTP.
 
 #ifndef PLUGINS_AGENT_ENGINE_ORDERS_H_
 #define PLUGINS_AGENT_ENGINE_ORDERS_H_
@@ -21,14 +21,14 @@
 
 namespace bilberryspool::agent {
 
-// Carries one order at a time for reset and weights, so that a drop can't
-// overtake a fetch; steps go beside them. Held by a shared pointer, as its
-// fibers may outlast the rank's incarnation.
+// Sends reset and weight orders one at a time, so that a drop cannot overtake a
+// fetch; steps run beside them. Held by a shared pointer, as its fibers may
+// outlive the incarnation of the rank.
 class EngineOrders : public std::enable_shared_from_this<EngineOrders> {
  public:
   using OnEvent = std::function<void(const groups::RankEvent&)>;
-  // The engine lost a step or no longer knows of the reset: what it holds is
-  // unknown, as after a restart.
+  // Called when the engine has lost a step or no longer knows of the reset. Its
+  // state is then unknown, as after a restart.
   using OnLost = std::function<void(const std::string& reason)>;
 
   EngineOrders(net::NetworkLoop& loop,
@@ -37,7 +37,7 @@
                OnEvent on_event,
                OnLost on_lost);
 
-  // Tries until the engine has done it.
+  // Repeated until the engine confirms it.
   void Reset();
   void Fetch(const placement::ExpertKey& key);
   void Drop(const std::vector<placement::ExpertKey>& keys);
@@ -45,7 +45,7 @@
   // Repeated until the step ends.
   void Abort(const groups::StepId& step);
 
-  // Nothing is reported or ordered from now on.
+  // Stops all reports and orders.
   void Close() { is_closed_ = true; }
 
  private:
@@ -53,7 +53,7 @@
 
   void Enqueue(Job job);
   void Report(const groups::RankEvent& event);
-  // The answer, or nothing where the engine failed or refused.
+  // Returns the answer, or nothing if the engine failed or refused the order.
   std::optional<boost::json::object> Post(const std::string& path,
                                           boost::json::object body,
                                           Duration timeout);
--- a/src/plugins/agent/expert_probe.cc
+++ b/src/plugins/agent/expert_probe.cc
@@ -49,7 +49,7 @@
   });
 }
 
-// Totals that went back are those of a restarted engine.
+// Totals that decreased come from a restarted engine and are skipped.
 void ExpertProbe::Report(const Totals& before, const Totals& after) {
   const bool has_same_shape =
       before.layers == after.layers && before.experts == after.experts;
--- a/src/plugins/agent/expert_probe.h
+++ b/src/plugins/agent/expert_probe.h
@@ -1,4 +1,4 @@
-// Asks an engine how many tokens it routes to each expert.
+// Reads from an engine how many tokens it routes to each expert.
 
 #ifndef PLUGINS_AGENT_EXPERT_PROBE_H_
 #define PLUGINS_AGENT_EXPERT_PROBE_H_
@@ -17,9 +17,10 @@
 
 namespace bilberryspool::agent {
 
-// Reads the running totals in "experts" of GET /load each second and hands over
-// what came in between: window, shape and tokens; the rest is left empty. An
-// engine without them shows as nothing.
+// Polls the running totals in "experts" of GET /load once a second and reports
+// the difference between two polls: window, number of layers and experts, and
+// tokens. The other fields are left empty. Nothing is reported for an engine
+// without these totals.
 class ExpertProbe {
  public:
   using OnCounts = std::function<void(groups::ExpertCounts)>;
--- a/src/plugins/agent/load_probe.h
+++ b/src/plugins/agent/load_probe.h
@@ -1,4 +1,4 @@
-// Asks an engine for its load.
+// Reads the load of an engine.
 
 #ifndef PLUGINS_AGENT_LOAD_PROBE_H_
 #define PLUGINS_AGENT_LOAD_PROBE_H_
@@ -16,8 +16,8 @@
 
 namespace bilberryspool::agent {
 
-// Calls GET /load every `interval` and hands over what was reported. An engine
-// that does not answer shows as nothing.
+// Polls GET /load every `interval` and reports the load, or nothing if the
+// engine did not answer.
 class LoadProbe {
  public:
   using OnLoad =
--- a/src/plugins/agent/rank_driver.cc
+++ b/src/plugins/agent/rank_driver.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Messages are repeated, so a late one is worth nothing.
+// Messages are repeated, so a late answer is of no use.
 constexpr Duration kCallTimeout = Milliseconds(300);
 constexpr Duration kMaxPause = Milliseconds(20);
 
@@ -83,7 +83,8 @@
   ExecuteAll(machine_->Handle(event, SteadyNow()));
 }
 
-// Nothing here calls back into the machine at once: answers come by fibers.
+// The actions do not call back into the machine directly: results arrive from
+// other fibers.
 void RankDriver::ExecuteAll(const std::vector<groups::RankAction>& actions) {
   for (const groups::RankAction& action : actions) {
     std::visit([this](const auto& each) { Execute(each); }, action);
@@ -148,14 +149,15 @@
   loop_.Spawn([this, endpoint, method, params] {
     const auto result = client_.Call(*endpoint, method, params, kCallTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
-      // An idle connection that leads nowhere must not be used again.
+      // The idle connections to a peer that does not answer may be dead, so
+      // they are not reused.
       client_.DropIdle(*endpoint);
     }
   });
 }
 
-// A controller that was frozen and wakes up still sends what it knew; its lower
-// token gives it away.
+// A controller that was frozen still sends its old contacts when it resumes;
+// its lower token shows this.
 std::optional<json::value> RankDriver::OnContacts(const Json& params) {
   auto contacts = groups::GroupContactsFromJson(params);
   if (!contacts.has_value()) {
--- a/src/plugins/agent/rank_driver.h
+++ b/src/plugins/agent/rank_driver.h
@@ -1,4 +1,4 @@
-// Drives the rank machine of an agent whose target is a rank of a group.
+// Runs the rank machine of an agent whose target is a rank of a group.
 
 #ifndef PLUGINS_AGENT_RANK_DRIVER_H_
 #define PLUGINS_AGENT_RANK_DRIVER_H_
@@ -30,12 +30,12 @@
   net::Endpoint engine;
 };
 
-// Runs in the agent's loop. An engine that loses a step is taken for a
-// restarted one: the rank begins anew under a greater incarnation, and so
-// holds nothing and has promised nothing.
+// Used in the agent's loop only. An engine that loses a step is treated as
+// restarted: the rank restarts under a greater incarnation, without resident
+// weights and without any promise given before.
 class RankDriver {
  public:
-  // Called when the rank begins or ceases to step.
+  // Called when the rank starts or stops running steps.
   using OnServing = std::function<void(bool is_serving)>;
 
   RankDriver(net::NetworkLoop& loop,
@@ -44,7 +44,7 @@
              Incarnation incarnation,
              OnServing on_serving);
 
-  // Registers the calls of controllers and other ranks.
+  // Registers the methods that controllers and other ranks call.
   void Register(links::LinkServer& server);
   void Start();
 
@@ -52,6 +52,8 @@
   using Json = boost::json::value;
 
   void Run();
+  // Starts a new rank machine, under the next incarnation unless it is the
+  // first.
   void Restart();
   void Handle(const groups::RankEvent& event);
   void ExecuteAll(const std::vector<groups::RankAction>& actions);
--- a/tests/auto/agent/attempt_log_test.cc
+++ b/tests/auto/agent/attempt_log_test.cc
@@ -5,9 +5,9 @@
 namespace bilberryspool::agent {
 namespace {
 
-// Symptom: an answer that was taken up again lacks a piece or has it twice.
-// Sequence: the entry's connection goes silent; it asks for the rest from its
-// offset. Cause: offsets that don't count the bytes that were dropped.
+// Guards against a resumed answer that misses bytes or repeats them. An entry
+// whose connection became silent asks for the rest from its offset; offsets
+// must count the bytes that were dropped.
 TEST_CASE("an answer can be followed from any byte that is kept") {
   AttemptLog log(8);
   log.Append("abcdef");
