--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -286,8 +286,9 @@
   }
   attempts_.StopNewWork();
   server_.Drain();
-  const TimePoint last = SteadyNow() + Seconds(1);
-  while (server_.counts().requests_in_progress > 0 && SteadyNow() < last) {
+  const TimePoint answer_deadline = SteadyNow() + Seconds(1);
+  while (server_.counts().requests_in_progress > 0 &&
+         SteadyNow() < answer_deadline) {
     loop_.SleepFor(kStopPollInterval);
   }
   log_.Info("Stopped.", {{"cut", attempts_.running()}});
--- a/src/plugins/callers/caller_state.cc
+++ b/src/plugins/callers/caller_state.cc
@@ -47,18 +47,18 @@
 }
 
 void CallerState::RecordLeavingTarget(const TargetId& target) {
-  refused_leaving[target] = net::SteadyNow();
+  leaving_targets[target] = net::SteadyNow();
 }
 
 std::vector<TargetId> CallerState::LeavingTargets() {
   // A restarted target gets work again after this time.
   static constexpr Duration kLeavingCooldown = Seconds(3);
   const TimePoint now = net::SteadyNow();
-  std::erase_if(refused_leaving, [now](const auto& row) {
+  std::erase_if(leaving_targets, [now](const auto& row) {
     return now - row.second >= kLeavingCooldown;
   });
   std::vector<TargetId> targets;
-  for (const auto& [target, refused_at] : refused_leaving) {
+  for (const auto& [target, refused_at] : leaving_targets) {
     targets.push_back(target);
   }
   return targets;
--- a/src/plugins/callers/caller_state.h
+++ b/src/plugins/callers/caller_state.h
@@ -73,7 +73,7 @@
   std::map<NodeId, net::Endpoint> holder_addresses;
   attempts::RequestMachineOptions machine_options;
   attempts::StallDetector stall;
-  std::map<TargetId, TimePoint> refused_leaving;
+  std::map<TargetId, TimePoint> leaving_targets;
   std::uint64_t last_claim = 0;
   std::set<RequestRunner*> runners;
 };
--- a/src/plugins/callers/callers_service.cc
+++ b/src/plugins/callers/callers_service.cc
@@ -212,12 +212,12 @@
   const config::Configuration* configuration = state_.services.configuration();
   std::set<TargetId> seen;
   for (const auto& [id, view] : views_) {
-    routing::TargetView shown = view;
+    routing::TargetView routed_view = view;
     if (IsDrained(configuration, view) &&
-        shown.state == routing::TargetState::kServing) {
-      shown.state = routing::TargetState::kDraining;
+        routed_view.state == routing::TargetState::kServing) {
+      routed_view.state = routing::TargetState::kDraining;
     }
-    state_.router.Handle(routing::TargetSeen{shown}, now);
+    state_.router.Handle(routing::TargetSeen{routed_view}, now);
     seen.insert(id);
   }
   for (const TargetId& id : known_targets_) {
@@ -354,8 +354,9 @@
   state_.log.Info("Draining.", {{"running", state_.runners.size()}});
   // Leaves the platform's load balancer time to notice the failing health
   // check.
-  const TimePoint noticed = SteadyNow() + std::min(limit / 4, Seconds(2));
-  while (SteadyNow() < noticed) {
+  const TimePoint notice_deadline =
+      SteadyNow() + std::min(limit / 4, Seconds(2));
+  while (SteadyNow() < notice_deadline) {
     loop_.SleepFor(kDrainPollInterval);
   }
   server_.Drain();
@@ -365,8 +366,9 @@
   for (RequestRunner* runner : state_.runners) {
     runner->Stop();
   }
-  const TimePoint last = SteadyNow() + kFinalAnswerTimeout;
-  while (server_.counts().requests_in_progress > 0 && SteadyNow() < last) {
+  const TimePoint answer_deadline = SteadyNow() + kFinalAnswerTimeout;
+  while (server_.counts().requests_in_progress > 0 &&
+         SteadyNow() < answer_deadline) {
     loop_.SleepFor(kDrainPollInterval);
   }
   state_.log.Info("Stopped.", {{"cut", server_.counts().requests_in_progress}});
--- a/src/plugins/gateway/gateway_process.cc
+++ b/src/plugins/gateway/gateway_process.cc
@@ -271,13 +271,13 @@
   }
 
   void Drain() {
-    const TimePoint begun = SteadyNow();
-    const TimePoint limit = begun + settings_.drain_grace - kExitMargin;
+    const TimePoint started_at = SteadyNow();
+    const TimePoint limit = started_at + settings_.drain_grace - kExitMargin;
     is_draining_ = true;
     callers_.CloseAfterAnswers();
     log_.Info("Draining.", {{"in_progress", state_.requests_in_progress}});
-    const TimePoint closing = std::min(begun + kBalancerDelay, limit);
-    while (SteadyNow() < closing) {
+    const TimePoint close_at = std::min(started_at + kBalancerDelay, limit);
+    while (SteadyNow() < close_at) {
       loop_.SleepFor(kDrainPollInterval);
     }
     callers_.Drain();
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -104,15 +104,16 @@
     if (!AwaitRunPermission()) {
       return;
     }
-    state_.grants.AcquireGrant(service_, tried_);
-    const auto chosen = state_.targets.Choose(service_, tried_, SteadyNow());
+    state_.grants.AcquireGrant(service_, tried_targets_);
+    const auto chosen =
+        state_.targets.Choose(service_, tried_targets_, SteadyNow());
     if (const auto* reason = std::get_if<traffic::NoChoice>(&chosen)) {
       EndTrial();
       AnswerNoTarget(*reason);
       return;
     }
     const auto& choice = std::get<traffic::Choice>(chosen);
-    tried_.insert(choice.target);
+    tried_targets_.insert(choice.target);
     ++sends_;
     const SendOutcome outcome = SendTo(choice);
     EndTrial();
@@ -156,7 +157,7 @@
   }
   const auto waited = (SteadyNow() - began) / Milliseconds(1);
   if (waited > 0) {
-    trail_ += "(waited " + std::to_string(waited) + " ms for the group)";
+    send_log_ += "(waited " + std::to_string(waited) + " ms for the group)";
   }
   return !caller_disconnected_;
 }
@@ -173,7 +174,7 @@
   if (failed.result == SendResult::kNotExecuted &&
       state_.targets.OutlookOf(service_, SteadyNow()) ==
           traffic::Outlook::kBroken) {
-    trail_ += "(group broken)";
+    send_log_ += "(group broken)";
     relay.allowed_sends = sends_;
   }
   if (has_lost_target_) {
@@ -183,7 +184,7 @@
   const bool is_retry_charged = std::exchange(is_retry_charged_, false);
   if (step == RelayStep::kSendAgain && failed.result != SendResult::kNotSent &&
       !is_retry_charged && !MayRetry()) {
-    trail_ += "(budget)";
+    send_log_ += "(budget)";
     relay.allowed_sends = sends_;
     step = traffic::NextStep(relay);
   }
@@ -195,10 +196,10 @@
 }
 
 RelayCall::SendOutcome RelayCall::SendTo(const traffic::Choice& choice) {
-  trail_ += (trail_.empty() ? "" : ";") + choice.target.value() + "@" +
-            choice.address +
-            " load=" + std::to_string(static_cast<int>(choice.load)) + "/" +
-            std::to_string(choice.slots);
+  send_log_ += (send_log_.empty() ? "" : ";") + choice.target.value() + "@" +
+               choice.address +
+               " load=" + std::to_string(static_cast<int>(choice.load)) + "/" +
+               std::to_string(choice.slots);
   ForwardedHead forwarded;
   if (match_.holder != nullptr) {
     forwarded.workspace = match_.holder->workspace.value();
@@ -263,7 +264,7 @@
   }
   if (has_lost_target_) {
     FinishSend(choice, TargetOutcome::kFailed);
-    trail_ += " left:missing";
+    send_log_ += " left:missing";
     return NotServed{SendResult::kUnknown, "the target answers nobody"};
   }
   if (has_abandoned_target_) {
@@ -271,7 +272,7 @@
     FinishSend(choice, is_retry_charged_ ? TargetOutcome::kGood
                                          : TargetOutcome::kFailed);
     const std::string reason = is_retry_charged_ ? "slow" : "silent";
-    trail_ += " left:" + reason;
+    send_log_ += " left:" + reason;
     return NotServed{SendResult::kUnknown, "left a target that is " + reason};
   }
   FinishSend(choice, TargetOutcome::kFailed);
@@ -280,8 +281,8 @@
   if (has_terminated) {
     ReportTermination(choice);
   }
-  trail_ += is_unsent ? " unreachable" : " no_head:" + error.text;
-  trail_ += has_terminated ? " ended" : "";
+  send_log_ += is_unsent ? " unreachable" : " no_head:" + error.text;
+  send_log_ += has_terminated ? " ended" : "";
   return NotServed{is_unsent ? SendResult::kNotSent : SendResult::kUnknown,
                    error.text};
 }
@@ -304,29 +305,29 @@
     }
   }
   UpdateDeclaredLimit(choice, head);
-  trail_ += " " + std::to_string(head.status);
+  send_log_ += " " + std::to_string(head.status);
   const bool is_refusal =
       head.headers.Find(header_names.not_executed).has_value();
   if (head.status == net::status::kMisdirected || is_refusal) {
     const bool is_replaced = head.status == net::status::kMisdirected;
     FinishSend(choice,
                is_replaced ? TargetOutcome::kReplaced : TargetOutcome::kFull);
-    trail_ += " not_executed";
+    send_log_ += " not_executed";
     if (const auto at_fault = head.headers.Find(header_names.at_fault)) {
-      trail_ += " at=" + std::string(*at_fault);
+      send_log_ += " at=" + std::string(*at_fault);
     }
     return NotServed{SendResult::kNotExecuted, "target refused"};
   }
   const auto id = head.headers.Find(header_names.request_id);
   if (id.has_value() && *id != head_.request_id) {
     FinishSend(choice, TargetOutcome::kFailed);
-    trail_ += " other_answer";
+    send_log_ += " other_answer";
     return NotServed{SendResult::kUnknown, "another request's answer"};
   }
   if (net::status::IsSuccess(head.status) &&
       !head.headers.Find(header_names.signature)) {
     FinishSend(choice, TargetOutcome::kFailed);
-    trail_ += " unsigned";
+    send_log_ += " unsigned";
     return NotServed{SendResult::kUnknown, "no signature"};
   }
   return Answered{};
@@ -460,7 +461,7 @@
        {"service", service_.value()},
        {"content", fingerprint_.ToText()},
        {"sends", sends_},
-       {"trail", trail_},
+       {"trail", send_log_},
        {"version", routes_ == nullptr ? 0 : routes_->configuration().version},
        {"first_ms", first_event_at_ == TimePoint{}
                         ? -1
@@ -525,7 +526,8 @@
   }
   // A stream that a slow target still serves must not end because the retry
   // budget is used up.
-  if (state_.targets.ShouldBeLeft(current_target_, tried_, now) && MayRetry()) {
+  if (state_.targets.ShouldBeLeft(current_target_, tried_targets_, now) &&
+      MayRetry()) {
     is_retry_charged_ = true;
     AbandonTarget();
   }
--- a/src/plugins/gateway/relay_call.h
+++ b/src/plugins/gateway/relay_call.h
@@ -135,7 +135,7 @@
   ServiceId service_;
   // Identifies requests of equal content, independent of the request id.
   quarantine::RequestFingerprint fingerprint_;
-  std::set<TargetId> tried_;
+  std::set<TargetId> tried_targets_;
   std::uint32_t sends_ = 0;
   bool may_have_run_ = false;
   bool caller_disconnected_ = false;
@@ -162,7 +162,7 @@
   TimePoint last_event_at_;
   Duration max_pause_{};
   // Description of each send for the log.
-  std::string trail_;
+  std::string send_log_;
 };
 
 }  // namespace bilberryspool::gateway
--- a/src/plugins/gateway/relay_call_leave.cc
+++ b/src/plugins/gateway/relay_call_leave.cc
@@ -56,7 +56,7 @@
     const std::string trial = head_.request_id + "/" + std::to_string(sends_);
     if (is_worth_a_run && state_.quarantine.TryTrial(fingerprint_, trial)) {
       trial_ = trial;
-      trail_ += "(one at a time)";
+      send_log_ += "(one at a time)";
       return true;
     }
     if (caller_disconnected_) {
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -34,7 +34,7 @@
   if (text.has_value()) {
     limit = declared_limits::ReadLimit(*text);
     if (!limit.has_value()) {
-      trail_ += " limit_unreadable";
+      send_log_ += " limit_unreadable";
       return;
     }
   }
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -37,10 +37,10 @@
   }
   if (!splitter_.unfinished().empty() || !has_stream_started_) {
     FinishSend(choice, TargetOutcome::kFailed);
-    trail_ += " torn";
+    send_log_ += " torn";
     if (HasTerminated(choice, net::HttpErrorKind::kClosed)) {
       ReportTermination(choice);
-      trail_ += " ended";
+      send_log_ += " ended";
     }
     return NotServed{SendResult::kUnknown, "the stream ended in an event"};
   }
--- a/tests/auto/callers/parse_filter_test.cc
+++ b/tests/auto/callers/parse_filter_test.cc
@@ -15,8 +15,8 @@
   return text != nullptr ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-std::optional<FinalAnswer> Parse(const net::HttpHeaders& headers,
-                                 const std::string& body) {
+std::optional<FinalAnswer> RunFilter(const net::HttpHeaders& headers,
+                                     const std::string& body) {
   net::HttpRequest request;
   request.method = "POST";
   request.target = "/v1/completions";
@@ -50,7 +50,7 @@
     CAPTURE(row.value);
     net::HttpHeaders headers;
     headers.Add(row.name, row.value);
-    const auto answer = Parse(headers, "{}");
+    const auto answer = RunFilter(headers, "{}");
     REQUIRE(answer.has_value());
     CHECK(answer->status == 400);
     CHECK(answer->kind == attempts::FinalKind::kNotRun);
@@ -133,7 +133,7 @@
     }
     net::HttpHeaders headers;
     headers.Add(names[random.Below(std::size(names))], value);
-    Parse(headers, body);
+    RunFilter(headers, body);
   }
 }
 
--- a/tests/auto/gateway/request_stats_test.cc
+++ b/tests/auto/gateway/request_stats_test.cc
@@ -5,7 +5,7 @@
 namespace bilberryspool::gateway {
 namespace {
 
-bool Shows(const telemetry::Registry& registry, const std::string& line) {
+bool HasLine(const telemetry::Registry& registry, const std::string& line) {
   return registry.ToPrometheusText().find(line + "\n") != std::string::npos;
 }
 
@@ -17,16 +17,18 @@
   stats.RecordRequest(ServiceId("a"), "served", plain);
   stats.RecordRequest(ServiceId("a"), "served", plain);
   stats.RecordRequest(ServiceId("b"), "refused", plain);
-  CHECK(Shows(registry,
+  CHECK(
+      HasLine(registry,
               "bilberryspool_requests_total{outcome=\"served\",service=\"a\"} "
               "2"));
-  CHECK(Shows(registry,
+  CHECK(
+      HasLine(registry,
               "bilberryspool_requests_total{outcome=\"refused\",service=\"b\"} "
               "1"));
-  CHECK(
-      Shows(registry, "bilberryspool_request_seconds_count{service=\"a\"} 2"));
-  CHECK(
-      Shows(registry, "bilberryspool_request_seconds_sum{service=\"a\"} 0.5"));
+  CHECK(HasLine(registry,
+                "bilberryspool_request_seconds_count{service=\"a\"} 2"));
+  CHECK(HasLine(registry,
+                "bilberryspool_request_seconds_sum{service=\"a\"} 0.5"));
 }
 
 TEST_CASE("only requests with an event are recorded as first events") {
@@ -38,11 +40,12 @@
   stream.max_pause = Milliseconds(125);
   stats.RecordRequest(ServiceId("a"), "served", stream);
   stats.RecordRequest(ServiceId("a"), "refused", RequestTimes{});
-  CHECK(Shows(registry,
-              "bilberryspool_first_event_seconds_count{service=\"a\"} 1"));
-  CHECK(Shows(registry,
-              "bilberryspool_first_event_seconds_sum{service=\"a\"} 0.5"));
-  CHECK(Shows(registry,
+  CHECK(HasLine(registry,
+                "bilberryspool_first_event_seconds_count{service=\"a\"} 1"));
+  CHECK(HasLine(registry,
+                "bilberryspool_first_event_seconds_sum{service=\"a\"} 0.5"));
+  CHECK(
+      HasLine(registry,
               "bilberryspool_longest_pause_seconds_sum{service=\"a\"} 0.125"));
 }
 
