--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -488,9 +488,9 @@
   return std::max(deadline_ - SteadyNow(), Duration::zero());
 }
 
-// Only the time of the caller bounds the wait: a silent target may be part of a
-// group that is stalled and will continue. ReviewTarget() cancels the send
-// where it knows more.
+// Bounded only by the time of the caller: a silent target may be part of a
+// group that is stalled and will continue. ReviewTarget() cancels the send when
+// there is more evidence against the target.
 Duration RelayCall::wait_timeout() const {
   return std::max(time_left(), Milliseconds(1));
 }
--- a/src/plugins/gateway/relay_call.h
+++ b/src/plugins/gateway/relay_call.h
@@ -89,7 +89,8 @@
   void CancelSend();
   bool IsTargetSilent(TimePoint now) const;
   bool IsConnectionSilent(TimePoint now) const;
-  // Whether the target is unresponsive and the caller is close to its timeout.
+  // Whether the target is unresponsive, so that a cancellation would not reach
+  // it, and the caller is about to give up.
   bool IsTargetLost(TimePoint now) const;
   void AbandonTarget();
   // Reports the outcome of a send to the trace and to the target pool.
