--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -24,8 +24,9 @@
 namespace {
 
 constexpr Duration kProbeInterval = Milliseconds(250);
-// After the last attempt has ended, entries get the rest of its answer.
-constexpr Duration kStopPoll = Milliseconds(20);
+// Poll interval while a stop waits for attempts, and then for entries to read
+// the rest of their answers.
+constexpr Duration kStopPollInterval = Milliseconds(20);
 
 net::Endpoint ToEndpoint(const settings::SocketAddress& address) {
   return {address.ip, address.port};
@@ -72,12 +73,14 @@
                         {{"peer", peer}, {"reason", net::Describe(refusal)}});
             }) {
     if (settings.group_place.has_value()) {
-      MakeRank(*settings.group_place);
+      CreateRankDriver(*settings.group_place);
     }
   }
 
-  // Empty, or why it can't start.
+  // Returns an error message, or an empty string on success.
   std::string Start();
+  // Leaves membership, then waits for the running attempts until the drain
+  // limit.
   void Drain();
 
  private:
@@ -89,7 +92,7 @@
       Incarnation incarnation);
   static net::HttpServerOptions MakeServerOptions(
       const settings::AgentSettings& settings);
-  void MakeRank(const settings::GroupPlace& place);
+  void CreateRankDriver(const settings::GroupPlace& place);
   static spread::SpreaderOptions MakeSpreaderOptions(
       const settings::CommonSettings& common);
   spreading::SpreadHooks MakeSpreadHooks();
@@ -108,7 +111,7 @@
   spreading::SpreadDriver spread_;
   LoadProbe probe_;
   links::LinkServer server_;
-  std::unique_ptr<RankDriver> rank_;  // null outside of groups
+  std::unique_ptr<RankDriver> rank_;  // null if the target is not in a group
   bool is_draining_ = false;
   bool is_serving_ = false;
   bool engine_answers_ = false;
@@ -158,7 +161,7 @@
 spreading::SpreadHooks AgentProcess::MakeSpreadHooks() {
   spreading::SpreadHooks hooks;
   hooks.own_address = settings_.advertise.ToString();
-  // Entries are known by what they sent.
+  // Entries are known only by the messages they have sent.
   hooks.find_node = [](const NodeId&) { return std::nullopt; };
   hooks.topology = [this] {
     spread::TopologyChanged topology;
@@ -214,7 +217,7 @@
   return "";
 }
 
-void AgentProcess::MakeRank(const settings::GroupPlace& place) {
+void AgentProcess::CreateRankDriver(const settings::GroupPlace& place) {
   RankDriverOptions options;
   options.group = place.group;
   options.rank = place.rank;
@@ -239,14 +242,16 @@
   UpdateState();
 }
 
-// A group that is stalled or out makes no tokens; its callers would wait.
+// A group that is stalled or not in service produces no tokens, so requests
+// sent to it would wait.
 void AgentProcess::OnRankServing(bool is_serving) {
   rank_serves_ = is_serving;
   attempts_.SetHeld(!is_serving);
   UpdateState();
 }
 
-// A target is offered only while its engine answers and its group steps.
+// A target is announced as serving only while its engine answers and its group
+// runs steps.
 void AgentProcess::UpdateState() {
   const bool should_serve = engine_answers_ && rank_serves_;
   if (is_draining_ || should_serve == is_serving_) {
@@ -258,8 +263,9 @@
                    : membership::TargetState::kJoining});
 }
 
-// Entries are told first, then the gate closes after its grace whether or not
-// they heard; what runs ends by itself or at the limit.
+// Entries are notified first. The gate closes after its grace period whether or
+// not they confirmed it. Running attempts end by themselves or at the drain
+// limit.
 void AgentProcess::Drain() {
   is_draining_ = true;
   log_.Info("Draining.", {{"running", attempts_.running()}});
@@ -271,18 +277,19 @@
   const TimePoint earliest =
       started + attempts::AttemptGateOptions().drain_grace_period;
   while (SteadyNow() < limit) {
-    const bool is_told =
+    const bool may_stop =
         announcer_.leaving_confirmed() || SteadyNow() >= earliest;
-    if (is_told && attempts_.running() == 0) {
+    if (may_stop && attempts_.running() == 0) {
       break;
     }
-    loop_.SleepFor(kStopPoll);
+    loop_.SleepFor(kStopPollInterval);
   }
   attempts_.StopNewWork();
   server_.Drain();
-  const TimePoint last = SteadyNow() + Seconds(1);
-  while (server_.counts().requests_in_progress > 0 && SteadyNow() < last) {
-    loop_.SleepFor(kStopPoll);
+  const TimePoint answer_deadline = SteadyNow() + Seconds(1);
+  while (server_.counts().requests_in_progress > 0 &&
+         SteadyNow() < answer_deadline) {
+    loop_.SleepFor(kStopPollInterval);
   }
   log_.Info("Stopped.", {{"cut", attempts_.running()}});
 }
--- a/src/plugins/agent/announce_driver.cc
+++ b/src/plugins/agent/announce_driver.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr Duration kCallPatience = Milliseconds(800);
-constexpr Duration kLongestPause = Milliseconds(200);
+constexpr Duration kCallTimeout = Milliseconds(800);
+constexpr Duration kMaxPause = Milliseconds(200);
 
 }  // namespace
 
@@ -35,19 +35,18 @@
   while (!announcer_.identity_lost()) {
     Handle(membership::AnnouncerTick{});
     const TimePoint now = SteadyNow();
-    const TimePoint due =
-        announcer_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+    const TimePoint due = announcer_.next_deadline().value_or(now + kMaxPause);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxPause));
   }
 }
 
 void AnnounceDriver::Handle(const membership::AnnouncerEvent& event) {
   for (const auto& action : announcer_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void AnnounceDriver::Carry(const membership::AnnouncerAction& action) {
+void AnnounceDriver::Execute(const membership::AnnouncerAction& action) {
   std::visit(Overloaded{[this](const membership::SendAnnouncement& send) {
                           Send(send.entry, "membership.announce",
                                membership::ToJson(send.announcement));
@@ -57,7 +56,9 @@
                                membership::ToJson(send.heartbeat));
                         },
                         [this](const membership::IdentityLost&) {
-                          log_.Error("Another process holds this target.");
+                          log_.Error(
+                              "Another process has announced this target; no "
+                              "longer announcing it.");
                         }},
              action);
 }
@@ -70,18 +71,19 @@
     return;
   }
   loop_.Spawn([this, entry, endpoint, method, params] {
-    auto result = client_.Call(*endpoint, method, params, kCallPatience);
+    auto result = client_.Call(*endpoint, method, params, kCallTimeout);
     if (const auto* error = std::get_if<links::LinkError>(&result)) {
-      log_.Debug("Entry did not answer.",
+      log_.Debug("An entry did not answer.",
                  {{"entry", entry}, {"error", error->text}});
-      // An idle connection that leads nowhere must not be used again.
+      // The idle connections to an entry that does not answer may be dead, so
+      // they are not reused.
       client_.DropIdle(*endpoint);
       return;
     }
     const auto reply =
         membership::AnnounceReplyFromJson(std::get<boost::json::value>(result));
     if (!reply.has_value()) {
-      log_.Warn("Entry sent a malformed reply.", {{"entry", entry}});
+      log_.Warn("The reply of an entry is malformed.", {{"entry", entry}});
       return;
     }
     if (last_entry_ != entry) {
--- a/src/plugins/callers/admit_filter.h
+++ b/src/plugins/callers/admit_filter.h
@@ -3,23 +3,24 @@
 
 #include <optional>
 
-#include "plugins/callers/admission_desk.h"
+#include "plugins/callers/admission_controller.h"
 #include "plugins/callers/caller_watch.h"
 #include "plugins/callers/final_answer.h"
 #include "plugins/callers/request_context.h"
 
 namespace bilberryspool::callers {
 
-// Holds a request until there is room for it, or refuses it at once.
+// Lets a request wait until there is capacity for it, or refuses it.
 class AdmitFilter {
  public:
-  explicit AdmitFilter(AdmissionDesk& desk) : desk_(desk) {}
+  explicit AdmitFilter(AdmissionController& admission_controller)
+      : admission_controller_(admission_controller) {}
 
   std::optional<FinalAnswer> Handle(RequestContext& context,
                                     CallerWatch& watch);
 
  private:
-  AdmissionDesk& desk_;
+  AdmissionController& admission_controller_;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/caller_state.cc
+++ b/src/plugins/callers/caller_state.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// As long as the holders' ledgers remember a key.
+// As long as the holders' ledgers keep a key.
 constexpr Duration kClaimWindow = Seconds(600);
 
 }  // namespace
@@ -40,31 +40,31 @@
   if (!stall.Beat(net::SteadyNow())) {
     return;
   }
-  log.Warn("Stood still.", {{"open", runners.size()}});
+  log.Warn("The process was stalled.", {{"open", runners.size()}});
   for (RequestRunner* runner : runners) {
-    runner->NoteStall();
+    runner->OnStall();
   }
 }
 
-void CallerState::NoteLeaving(const TargetId& target) {
-  refused_leaving[target] = net::SteadyNow();
+void CallerState::RecordLeavingTarget(const TargetId& target) {
+  leaving_targets[target] = net::SteadyNow();
 }
 
 std::vector<TargetId> CallerState::LeavingTargets() {
-  // A target that was started again is offered after this time.
-  static constexpr Duration kPassedOver = Seconds(3);
+  // A restarted target gets work again after this time.
+  static constexpr Duration kLeavingCooldown = Seconds(3);
   const TimePoint now = net::SteadyNow();
-  std::erase_if(refused_leaving, [now](const auto& row) {
-    return now - row.second >= kPassedOver;
+  std::erase_if(leaving_targets, [now](const auto& row) {
+    return now - row.second >= kLeavingCooldown;
   });
   std::vector<TargetId> targets;
-  for (const auto& [target, refused_at] : refused_leaving) {
+  for (const auto& [target, refused_at] : leaving_targets) {
     targets.push_back(target);
   }
   return targets;
 }
 
-void CallerState::LearnLoad(const TargetId& target, std::string_view text) {
+void CallerState::RecordLoad(const TargetId& target, std::string_view text) {
   routing::LoadReport load;
   std::uint32_t* const fields[] = {&load.running, &load.queued, &load.limit};
   const char* at = text.data();
@@ -79,13 +79,13 @@
   router.Handle(routing::LoadReported{target, load}, net::SteadyNow());
 }
 
-void CallerState::LearnToken(const TargetId& target, std::string_view text) {
+void CallerState::RecordToken(const TargetId& target, std::string_view text) {
   const TimePoint now = net::SteadyNow();
-  agents.LearnToken(target, text, now);
+  agents.RecordToken(target, text, now);
   const auto token = ParseToken(text);
   if (token.has_value() && stall.Observe(target, *token, now)) {
     for (RequestRunner* runner : runners) {
-      runner->NoteStall();
+      runner->OnStall();
     }
   }
 }
--- a/src/plugins/callers/caller_watch.h
+++ b/src/plugins/callers/caller_watch.h
@@ -6,24 +6,24 @@
 
 namespace bilberryspool::callers {
 
-// Tells whichever stage a request is in that its caller left.
+// Notifies the stage that a request is in when its caller disconnects.
 class CallerWatch {
  public:
   // Called by the connection.
-  void NoteLeft() {
-    has_left_ = true;
+  void OnCallerDisconnected() {
+    has_disconnected_ = true;
     if (handler_) {
       handler_();
     }
   }
-  bool has_left() const { return has_left_; }
-  // Replaces the handler; an empty one detaches.
+  bool has_disconnected() const { return has_disconnected_; }
+  // Replaces the handler; an empty handler removes it.
   void SetHandler(std::function<void()> handler) {
     handler_ = std::move(handler);
   }
 
  private:
-  bool has_left_ = false;
+  bool has_disconnected_ = false;
   std::function<void()> handler_;
 };
 
--- a/src/plugins/callers/request_context.h
+++ b/src/plugins/callers/request_context.h
@@ -1,4 +1,4 @@
-// One request on its way through the filters.
+// The state of one request while it passes the filters.
 
 #ifndef PLUGINS_CALLERS_REQUEST_CONTEXT_H_
 #define PLUGINS_CALLERS_REQUEST_CONTEXT_H_
@@ -24,27 +24,27 @@
   net::HttpExchange& exchange;
   TimePoint arrived;
 
-  // From the parse filter.
+  // Set by the parse filter.
   attempts::RequestKey key;
   attempts::Fingerprint fingerprint;
-  bool has_own_id = false;
+  bool has_caller_id = false;
   bool is_first_send = false;
-  std::optional<bool> idempotent_mark;
-  std::optional<Duration> deadline_after;
-  std::optional<limits::Priority> priority_mark;
+  std::optional<bool> requested_idempotent;
+  std::optional<Duration> requested_timeout;
+  std::optional<limits::Priority> requested_priority;
   telemetry::TraceContext trace;
   std::optional<telemetry::SpanId> parent_span;
   std::string model;
   std::uint32_t expected_tokens = 0;
   std::vector<std::uint64_t> prefix_hashes;
 
-  // From the classify filter.
+  // Set by the classify filter.
   ServiceId service;
   bool is_idempotent = true;
   limits::Priority priority = limits::Priority::kNormal;
   TimePoint deadline;
 
-  // From the admit filter.
+  // Set by the admit filter.
   limits::AdmissionId admission;
   bool is_admitted = false;
 
@@ -55,7 +55,7 @@
   std::string reason;
   int status = 0;
   std::uint64_t bytes = 0;
-  bool has_caller_left = false;
+  bool has_caller_disconnected = false;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/request_runner.cc
+++ b/src/plugins/callers/request_runner.cc
@@ -56,19 +56,19 @@
   watch_->SetHandler([self = shared_from_this()] {
     self->Push(attempts::CallerDisconnected{});
   });
-  if (watch_->has_left()) {
+  if (watch_->has_disconnected()) {
     Push(attempts::CallerDisconnected{});
   }
-  Feed(attempts::RequestStarted{});
+  HandleEvent(attempts::RequestStarted{});
   while (!machine_.done()) {
-    Feed(NextEvent());
+    HandleEvent(NextEvent());
   }
   context_.attempts = machine_.attempts();
   watch_->SetHandler(nullptr);
   state_.runners.erase(this);
-  is_over_ = true;
+  is_finished_ = true;
   events_.clear();
-  taken_.NotifyAll();
+  event_taken_.NotifyAll();
   for (const auto& [attempt, cancellation] : cancellations_) {
     cancellation->Cancel();
   }
@@ -78,13 +78,13 @@
   Push(attempts::StopDeadlineReached{});
 }
 
-void RequestRunner::NoteStall() {
-  // Ahead of what is queued, which may be from before.
+void RequestRunner::OnStall() {
+  // In front of the queued events, which may date from before the stall.
   events_.push_front(attempts::EntryStalled{});
-  changed_.NotifyAll();
+  event_added_.NotifyAll();
 }
 
-void RequestRunner::NoteRoster() {
+void RequestRunner::OnRosterChanged() {
   if (!context_.is_idempotent) {
     Push(attempts::HoldersChanged{
         state_.rosters.HoldersOf(context_.key, SteadyNow())});
@@ -92,16 +92,16 @@
 }
 
 void RequestRunner::Push(Event event) {
-  if (is_over_) {
+  if (is_finished_) {
     return;
   }
   events_.push_back(std::move(event));
-  changed_.NotifyAll();
+  event_added_.NotifyAll();
 }
 
 void RequestRunner::PushBounded(Event event) {
-  while (!is_over_ && events_.size() >= kMaxQueuedEvents) {
-    taken_.Wait();
+  while (!is_finished_ && events_.size() >= kMaxQueuedEvents) {
+    event_taken_.Wait();
   }
   Push(std::move(event));
 }
@@ -111,28 +111,28 @@
     state_.Beat();
     const auto deadline = machine_.next_deadline();
     if (!deadline.has_value()) {
-      changed_.Wait();
+      event_added_.Wait();
       continue;
     }
     if (SteadyNow() >= *deadline) {
       return attempts::RequestTick{};
     }
-    changed_.WaitUntil(*deadline);
+    event_added_.WaitUntil(*deadline);
   }
   state_.Beat();
   Event event = std::move(events_.front());
   events_.pop_front();
-  taken_.NotifyAll();
+  event_taken_.NotifyAll();
   return event;
 }
 
-void RequestRunner::Feed(const Event& event) {
+void RequestRunner::HandleEvent(const Event& event) {
   for (const auto& action : machine_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void RequestRunner::Carry(const attempts::RequestAction& action) {
+void RequestRunner::Execute(const attempts::RequestAction& action) {
   std::visit([this](const auto& typed) { On(typed); }, action);
 }
 
@@ -168,7 +168,7 @@
 
 attempts::RequestEvent RequestRunner::ChooseTarget(
     std::vector<TargetId> excluded) {
-  if (is_over_) {
+  if (is_finished_) {
     return attempts::NoTarget{};
   }
   const bool is_first = excluded.empty();
@@ -193,7 +193,7 @@
   Duration retry_after{};
   for (std::size_t i = 0; i < kMaxTokenTries; ++i) {
     const auto choice = state_.router.Choose(request, SteadyNow());
-    if (!is_over_) {
+    if (!is_finished_) {
       ReportChoice(choice);
     }
     if (const auto* none = std::get_if<routing::NoTarget>(&choice)) {
@@ -204,7 +204,8 @@
     if (token.has_value()) {
       return attempts::TargetChosen{target, *token, false};
     }
-    // The agent doesn't answer: nothing was sent, so another may be tried.
+    // The agent does not answer. Nothing was sent, so another target may be
+    // tried.
     request.excluded.push_back(target);
   }
   return attempts::NoTarget{retry_after};
@@ -238,8 +239,8 @@
 void RequestRunner::RunAttempt(const attempts::StartAttempt& start) {
   const AttemptId& id = start.attempt.attempt;
   const auto endpoint = state_.agents.Find(start.attempt.target);
-  if (!endpoint.has_value() || is_over_) {
-    EndOfAttempt(id, routing::AttemptOutcome::kDisconnected);
+  if (!endpoint.has_value() || is_finished_) {
+    ReportAttemptEnd(id, routing::AttemptOutcome::kDisconnected);
     Push(attempts::AttemptRefused{
         id, attempts::RefusalReason::kStopped, true, {}});
     return;
@@ -252,8 +253,8 @@
                         [this, &id] { Push(attempts::AttemptAlive{id}); });
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
     state_.links.DropIdle(*endpoint);
-    EndOfAttempt(id, routing::AttemptOutcome::kDisconnected);
-    // Without a connection no byte of the attempt left this process.
+    ReportAttemptEnd(id, routing::AttemptOutcome::kDisconnected);
+    // Without a connection no byte of the attempt has left this process.
     if (error->kind == net::HttpErrorKind::kConnect) {
       Push(attempts::AttemptRefused{
           id, attempts::RefusalReason::kStopped, true, {}});
@@ -305,7 +306,7 @@
   cancellation->SetHandler(nullptr);
 }
 
-std::optional<attempts::RequestEvent> RequestRunner::JudgeHead(
+std::optional<attempts::RequestEvent> RequestRunner::EvaluateHead(
     const attempts::AttemptRef& attempt,
     const net::HttpResponseHead& head) {
   const auto refusal_text = head.headers.Find(links::kRefusalHeader);
@@ -315,7 +316,7 @@
     const auto refusal =
         error ? std::nullopt
               : attempts::FromJson<attempts::AttemptRefusal>(value);
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kRefusedBusy);
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kRefusedBusy);
     if (!refusal.has_value()) {
       return attempts::LinkLost{attempt.attempt};
     }
@@ -323,7 +324,7 @@
         refusal->reason == attempts::RefusalReason::kLeaving ||
         refusal->reason == attempts::RefusalReason::kStopped;
     if (is_leaving) {
-      state_.NoteLeaving(attempt.target);
+      state_.RecordLeavingTarget(attempt.target);
     }
     return attempts::AttemptRefused{attempt.attempt, refusal->reason,
                                     refusal->never_ran, refusal->retry_after};
@@ -333,13 +334,13 @@
   }
   if (head.status == net::status::kUnauthorized &&
       !head.headers.Find(links::kTokenHeader).has_value()) {
-    // The agent refused this entry's key before it looked at the attempt.
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kFailed);
+    // The agent refused the key of this entry before it looked at the attempt.
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kFailed);
     return attempts::AttemptRefused{
         attempt.attempt, attempts::RefusalReason::kStopped, true, {}};
   }
   if (head.status >= net::status::kServerError) {
-    EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kFailed);
+    ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kFailed);
     return attempts::AttemptFailed{attempt.attempt};
   }
   return std::nullopt;
@@ -348,17 +349,17 @@
 void RequestRunner::ReadAnswer(const attempts::AttemptRef& attempt,
                                net::HttpClientStream& stream,
                                std::uint64_t offset) {
-  LearnFrom(attempt.target, stream.head());
-  if (auto event = JudgeHead(attempt, stream.head())) {
+  RecordAgentHeaders(attempt.target, stream.head());
+  if (auto event = EvaluateHead(attempt, stream.head())) {
     Push(std::move(*event));
     return;
   }
   answer_headers_ = stream.head().headers;
   Push(attempts::AttemptHead{attempt.attempt, stream.head().status});
   bool is_first = true;
-  while (!is_over_) {
-    // A silent stream is the machine's to judge; this bound only ends the
-    // fiber should it judge otherwise.
+  while (!is_finished_) {
+    // The request machine decides when a silent stream is lost; this timeout
+    // only ensures that the fiber ends.
     net::StreamPiece piece =
         stream.Read(state_.machine_options.silence_timeout * 2);
     if (auto* bytes = std::get_if<std::string>(&piece)) {
@@ -373,31 +374,31 @@
       continue;
     }
     if (std::holds_alternative<net::StreamEnd>(piece)) {
-      EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kSucceeded);
+      ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kSucceeded);
       PushBounded(attempts::AttemptFinished{attempt.attempt, offset});
       return;
     }
-    EndOfAttempt(attempt.attempt, is_over_
-                                      ? routing::AttemptOutcome::kCancelled
-                                      : routing::AttemptOutcome::kDisconnected);
+    ReportAttemptEnd(attempt.attempt,
+                     is_finished_ ? routing::AttemptOutcome::kCancelled
+                                  : routing::AttemptOutcome::kDisconnected);
     PushBounded(attempts::LinkLost{attempt.attempt});
     return;
   }
-  EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kCancelled);
+  ReportAttemptEnd(attempt.attempt, routing::AttemptOutcome::kCancelled);
 }
 
-void RequestRunner::LearnFrom(const TargetId& target,
-                              const net::HttpResponseHead& head) {
+void RequestRunner::RecordAgentHeaders(const TargetId& target,
+                                       const net::HttpResponseHead& head) {
   if (const auto token = head.headers.Find(links::kTokenHeader)) {
-    state_.LearnToken(target, *token);
+    state_.RecordToken(target, *token);
   }
   if (const auto load = head.headers.Find(links::kLoadHeader)) {
-    state_.LearnLoad(target, *load);
+    state_.RecordLoad(target, *load);
   }
 }
 
-void RequestRunner::EndOfAttempt(const AttemptId& attempt,
-                                 routing::AttemptOutcome outcome) {
+void RequestRunner::ReportAttemptEnd(const AttemptId& attempt,
+                                     routing::AttemptOutcome outcome) {
   state_.router.Handle(routing::AttemptFinished{attempt, outcome, std::nullopt},
                        SteadyNow());
 }
@@ -418,7 +419,7 @@
   head.headers.Set(telemetry::kTraceparentHeader,
                    telemetry::FormatTraceparent(context_.trace));
   context_.status = action.status;
-  NoteWrite(context_.exchange.BeginStream(std::move(head)));
+  OnWritten(context_.exchange.BeginStream(std::move(head)));
 }
 
 void RequestRunner::On(const attempts::RelayChunk& action) {
@@ -426,14 +427,14 @@
     context_.first_byte = SteadyNow();
   }
   context_.bytes += action.data.size();
-  NoteWrite(context_.exchange.WritePiece(action.data));
+  OnWritten(context_.exchange.WritePiece(action.data));
 }
 
-void RequestRunner::NoteWrite(bool is_written) {
-  if (is_written || has_noted_left_) {
+void RequestRunner::OnWritten(bool is_written) {
+  if (is_written || has_reported_disconnect_) {
     return;
   }
-  has_noted_left_ = true;
+  has_reported_disconnect_ = true;
   Push(attempts::CallerDisconnected{});
 }
 
@@ -447,18 +448,18 @@
     head.headers.Set(kOutcomeHeader, std::string(ToString(action.kind)));
     head.headers.Set(kReasonHeader, std::string(ToString(action.reason)));
     context_.status = head.status;
-    NoteWrite(
+    OnWritten(
         exchange.Respond(std::move(head), action.outcome->body.value_or("")));
     return;
   }
   if (!exchange.has_responded()) {
     const FinalAnswer answer = MakeFinalAnswer(action);
     context_.status = answer.status;
-    NoteWrite(Respond(exchange, answer));
+    OnWritten(Respond(exchange, answer));
     return;
   }
   if (action.kind == attempts::FinalKind::kAnswered) {
-    NoteWrite(exchange.EndStream());
+    OnWritten(exchange.EndStream());
     return;
   }
   exchange.AbortStream();
--- a/src/plugins/callers/request_runner.h
+++ b/src/plugins/callers/request_runner.h
@@ -1,4 +1,4 @@
-// Carries out what the machine of one request asks for.
+// Executes the actions of the request machine of one request.
 
 #ifndef PLUGINS_CALLERS_REQUEST_RUNNER_H_
 #define PLUGINS_CALLERS_REQUEST_RUNNER_H_
@@ -16,34 +16,34 @@
 
 namespace bilberryspool::callers {
 
-// Lives for one request in the fiber of its connection. Fibers that wait for
-// holders and agents hold a reference and put events into the queue.
+// Runs in the fiber of the connection. Fibers that wait for holders and agents
+// hold a reference to the runner and add events to its queue.
 class RequestRunner : public std::enable_shared_from_this<RequestRunner> {
  public:
   RequestRunner(CallerState& state,
                 RequestContext& context,
                 std::shared_ptr<CallerWatch> watch);
 
-  // Returns once the final answer is out and the machine is done.
+  // Returns when the final answer has been sent and the machine is done.
   void Run();
 
-  // The stated limit of a planned stop is reached.
+  // To be called when the time limit of a planned stop is reached.
   void Stop();
-  // This entry stood still; see attempts::StallDetector.
-  void NoteStall();
-  // The entry has learned of another roster of holders.
-  void NoteRoster();
+  // To be called after this process was stalled; see attempts::StallDetector.
+  void OnStall();
+  // To be called when the roster of holders has changed.
+  void OnRosterChanged();
 
  private:
   using Event = attempts::RequestEvent;
 
   void Push(Event event);
-  // As Push, but waits while the caller takes more slowly than the engine
-  // gives.
+  // Like Push(), but waits while the queue is full because the caller reads
+  // more slowly than the engine writes.
   void PushBounded(Event event);
   Event NextEvent();
-  void Feed(const Event& event);
-  void Carry(const attempts::RequestAction& action);
+  void HandleEvent(const Event& event);
+  void Execute(const attempts::RequestAction& action);
 
   void On(const attempts::SendClaim& action);
   void On(const attempts::Route& action);
@@ -65,28 +65,32 @@
   void ReadAnswer(const attempts::AttemptRef& attempt,
                   net::HttpClientStream& stream,
                   std::uint64_t offset);
-  // The end of the attempt where the head shows that there is no answer.
-  std::optional<Event> JudgeHead(const attempts::AttemptRef& attempt,
-                                 const net::HttpResponseHead& head);
+  // The event that ends the attempt if the head carries no answer.
+  std::optional<Event> EvaluateHead(const attempts::AttemptRef& attempt,
+                                    const net::HttpResponseHead& head);
   net::HttpRequest MakeAttemptRequest(
       const attempts::StartAttempt& start) const;
-  void LearnFrom(const TargetId& target, const net::HttpResponseHead& head);
-  void EndOfAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
-  void NoteWrite(bool is_written);
+  // Records the token and the load in the head of an answer.
+  void RecordAgentHeaders(const TargetId& target,
+                          const net::HttpResponseHead& head);
+  // Reports the end of an attempt to the router.
+  void ReportAttemptEnd(const AttemptId& attempt,
+                        routing::AttemptOutcome outcome);
+  void OnWritten(bool is_written);
 
   CallerState& state_;
   RequestContext& context_;
   std::shared_ptr<CallerWatch> watch_;
   attempts::RequestMachine machine_;
   std::deque<Event> events_;
-  net::FiberSignal changed_;
-  net::FiberSignal taken_;
-  // Copied, since fibers may outlive the context.
+  net::FiberSignal event_added_;
+  net::FiberSignal event_taken_;
+  // A copy, as fibers may outlive the context.
   net::HttpRequest request_;
   net::HttpHeaders answer_headers_;
   std::map<AttemptId, std::shared_ptr<net::Cancellation>> cancellations_;
-  bool is_over_ = false;
-  bool has_noted_left_ = false;
+  bool is_finished_ = false;
+  bool has_reported_disconnect_ = false;
 };
 
 }  // namespace bilberryspool::callers
--- a/src/plugins/callers/request_runner_calls.cc
+++ b/src/plugins/callers/request_runner_calls.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Duration kHolderPatience = Milliseconds(400);
-constexpr Duration kSettlePatience = Milliseconds(700);
+constexpr Duration kHolderTimeout = Milliseconds(400);
+constexpr Duration kSettleTimeout = Milliseconds(700);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
                      endpoint = address->second] {
     const auto result = self->state_.links.Call(
         endpoint, "claims.claim", attempts::ToJson(action.request),
-        kHolderPatience);
+        kHolderTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer = value != nullptr
                             ? attempts::FromJson<attempts::ClaimAnswer>(*value)
@@ -37,7 +37,7 @@
     }
     const auto* error = std::get_if<links::LinkError>(&result);
     self->state_.log.Warn(
-        "A holder gave no answer.",
+        "A holder did not answer.",
         {{"holder", action.holder.value()},
          {"error", error != nullptr ? error->text : "malformed"}});
     self->state_.links.DropIdle(endpoint);
@@ -69,7 +69,7 @@
                      endpoint = address->second] {
     const auto result = self->state_.links.Call(
         endpoint, "claims.release", attempts::ToJson(action.release),
-        kHolderPatience);
+        kHolderTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer =
         value != nullptr ? attempts::FromJson<attempts::ReleaseAnswer>(*value)
@@ -85,11 +85,12 @@
   if (address == state_.holder_addresses.end()) {
     return;
   }
-  // Sent once: a holder that misses it keeps the claim until its window ends,
-  // which refuses more than it must but nothing that it mustn't.
+  // Sent only once: a holder that misses it keeps the claim until its window
+  // ends. It then refuses more requests than necessary, but none that it must
+  // not refuse.
   state_.loop.Spawn([&state = state_, endpoint = address->second,
                      params = attempts::ToJson(action.finish)] {
-    state.links.Call(endpoint, "claims.finish", params, kHolderPatience);
+    state.links.Call(endpoint, "claims.finish", params, kHolderTimeout);
   });
 }
 
@@ -103,11 +104,11 @@
   }
   state_.loop.Spawn([self = shared_from_this(), endpoint, id,
                      request = action.request] {
-    // The pooled connections may be the ones that went silent.
+    // The pooled connections may be those that have become silent.
     self->state_.links.DropIdle(*endpoint);
     const auto result =
         self->state_.links.Call(*endpoint, "attempts.settle",
-                                attempts::ToJson(request), kSettlePatience);
+                                attempts::ToJson(request), kSettleTimeout);
     const auto* value = std::get_if<json::value>(&result);
     const auto answer = value != nullptr
                             ? attempts::FromJson<attempts::SettleAnswer>(*value)
@@ -125,14 +126,14 @@
   if (found != cancellations_.end()) {
     found->second->Cancel();
   }
-  EndOfAttempt(action.attempt.attempt, routing::AttemptOutcome::kCancelled);
+  ReportAttemptEnd(action.attempt.attempt, routing::AttemptOutcome::kCancelled);
   const auto endpoint = state_.agents.Find(action.attempt.target);
   if (!endpoint.has_value()) {
     return;
   }
   state_.loop.Spawn([&state = state_, endpoint, id = action.attempt.attempt] {
     state.links.Call(*endpoint, "attempts.cancel",
-                     json::object{{"attempt", id.value()}}, kSettlePatience);
+                     json::object{{"attempt", id.value()}}, kSettleTimeout);
   });
 }
 
--- a/src/plugins/gateway/gateway_process.cc
+++ b/src/plugins/gateway/gateway_process.cc
@@ -24,13 +24,14 @@
 
 namespace {
 
-// The platform's balancer needs two failed questions, a second apart, to send
-// callers elsewhere; new connections are taken until then.
+// The platform's load balancer sends callers elsewhere after two failed health
+// checks that are one second apart. New connections are accepted until then.
 constexpr Duration kBalancerDelay = Milliseconds(2500);
-// Before the platform ends the process.
+// Time between the end of the drain and the moment at which the platform ends
+// the process.
 constexpr Duration kExitMargin = Milliseconds(400);
-constexpr Duration kDrainPoll = Milliseconds(50);
-constexpr Duration kSettingsPoll = Seconds(1);
+constexpr Duration kDrainPollInterval = Milliseconds(50);
+constexpr Duration kSettingsPollInterval = Seconds(1);
 constexpr std::size_t kMaxHeaderBytes = 64UL * 1024;
 constexpr std::size_t kMaxBodyBytes = 8UL * 1024 * 1024;
 constexpr Duration kIdleTimeout = Seconds(60);
@@ -52,7 +53,7 @@
         state_(loop_,
                common,
                settings,
-               interface.dialect,
+               interface.header_names,
                std::random_device()()),
         follower_(loop_,
                   std::move(authenticator),
@@ -81,7 +82,7 @@
       loop_.OnStopSignal([this] { loop_.Stop(); });
       loop_.OnReloadSignal([this] { loop_.Spawn([this] { Reload(); }); });
       loop_.Spawn([this] { WatchSettings(); });
-      loop_.Spawn([this] { TurnWindows(); });
+      loop_.Spawn([this] { RotateMetricWindows(); });
       loop_.Spawn([this] { WatchTargets(); });
       loop_.WaitForStop();
       Drain();
@@ -125,14 +126,14 @@
 
   void ConnectQuarantine() {
     QuarantineGuard::Links links;
-    links.tell_all = [this](const std::string& method,
+    links.call_all = [this](const std::string& method,
                             const boost::json::value& params) {
-      follower_.TellAll(method, params);
+      follower_.CallAll(method, params);
     };
-    links.ask_one = [this](const std::string& key, const std::string& method,
-                           const boost::json::value& params) {
-      return follower_.AskOne(key, method,
-                              [&params](std::size_t) { return params; });
+    links.call_one = [this](const std::string& key, const std::string& method,
+                            const boost::json::value& params) {
+      return follower_.CallOne(key, method,
+                               [&params](std::size_t) { return params; });
     };
     state_.quarantine.Connect(std::move(links));
   }
@@ -140,11 +141,11 @@
   void ConnectLimits() {
     state_.grants.Connect([this](const ServiceId& service,
                                  declared_limits::GrantRequest request) {
-      return follower_.AskOne("limits/" + service.value(), "limits.grant",
-                              [&request](std::size_t rank) {
-                                request.is_first_choice = rank == 0;
-                                return declared_limits::ToJson(request);
-                              });
+      return follower_.CallOne("limits/" + service.value(), "limits.grant",
+                               [&request](std::size_t rank) {
+                                 request.is_first_choice = rank == 0;
+                                 return declared_limits::ToJson(request);
+                               });
     });
   }
 
@@ -202,8 +203,9 @@
     exchange.Respond(std::move(head), state_.metrics.ToPrometheusText());
   }
 
-  // Quantiles on the metrics address follow the present.
-  void TurnWindows() {
+  // Keeps the quantiles on the metrics address to recent requests, and advances
+  // the quarantine and the declared limits.
+  void RotateMetricWindows() {
     constexpr Duration kWindow = Seconds(10);
     while (true) {
       loop_.SleepFor(kWindow);
@@ -213,15 +215,15 @@
     }
   }
 
-  // Requests at targets that have fallen silent or turned slow go on elsewhere.
+  // Lets calls move to another target when theirs has become silent or slow.
   void WatchTargets() {
-    constexpr Duration kPoll = Milliseconds(100);
+    constexpr Duration kPollInterval = Milliseconds(100);
     while (true) {
-      loop_.SleepFor(kPoll);
+      loop_.SleepFor(kPollInterval);
       const TimePoint now = SteadyNow();
-      const std::vector<RelayCall*> waiting(state_.waiting.begin(),
-                                            state_.waiting.end());
-      for (RelayCall* call : waiting) {
+      const std::vector<RelayCall*> active_calls(state_.active_calls.begin(),
+                                                 state_.active_calls.end());
+      for (RelayCall* call : active_calls) {
         call->ReviewTarget(now);
       }
     }
@@ -229,7 +231,8 @@
 
   using Stamp = std::tuple<std::int64_t, std::int64_t, std::int64_t>;
 
-  // Changes when the file is written anew or replaced.
+  // Modification time and size of the settings file; changes when the file is
+  // rewritten or replaced.
   Stamp FileStamp() const {
     struct stat status {};
     if (stat(settings_path_.c_str(), &status) != 0) {
@@ -238,10 +241,10 @@
     return {status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size};
   }
 
-  // The file may change without a signal.
+  // Reloads the settings when the file has changed without a reload signal.
   void WatchSettings() {
     while (true) {
-      loop_.SleepFor(kSettingsPoll);
+      loop_.SleepFor(kSettingsPollInterval);
       const Stamp stamp = FileStamp();
       if (stamp != file_stamp_ && stamp != Stamp{}) {
         file_stamp_ = stamp;
@@ -250,8 +253,8 @@
     }
   }
 
-  // Only the control nodes to ask can change while the process runs; all else
-  // counts at the next start. A bad file changes nothing.
+  // Applies the control nodes of the settings file. All other settings take
+  // effect at the next start. An invalid file changes nothing.
   void Reload() {
     const auto loaded = settings::Load(settings_path_);
     const auto* settings = std::get_if<settings::Settings>(&loaded);
@@ -260,26 +263,26 @@
             ? nullptr
             : std::get_if<settings::GatewaySettings>(&settings->role);
     if (gateway == nullptr) {
-      log_.Warn("The changed settings can't be used; going on without them.");
+      log_.Warn("The changed settings are invalid; keeping the present ones.");
       return;
     }
-    log_.Info("Settings read again.", {{"seeds", gateway->seeds.size()}});
+    log_.Info("Reloaded the settings.", {{"seeds", gateway->seeds.size()}});
     FollowSeeds(gateway->seeds);
   }
 
   void Drain() {
-    const TimePoint begun = SteadyNow();
-    const TimePoint limit = begun + settings_.drain_grace - kExitMargin;
+    const TimePoint started_at = SteadyNow();
+    const TimePoint limit = started_at + settings_.drain_grace - kExitMargin;
     is_draining_ = true;
     callers_.CloseAfterAnswers();
     log_.Info("Draining.", {{"in_progress", state_.requests_in_progress}});
-    const TimePoint closing = std::min(begun + kBalancerDelay, limit);
-    while (SteadyNow() < closing) {
-      loop_.SleepFor(kDrainPoll);
+    const TimePoint close_at = std::min(started_at + kBalancerDelay, limit);
+    while (SteadyNow() < close_at) {
+      loop_.SleepFor(kDrainPollInterval);
     }
     callers_.Drain();
     while (callers_.counts().requests_in_progress > 0 && SteadyNow() < limit) {
-      loop_.SleepFor(kDrainPoll);
+      loop_.SleepFor(kDrainPollInterval);
     }
     log_.Info("Stopped.",
               {{"cut_off", callers_.counts().requests_in_progress}});
--- a/src/plugins/gateway/relay_call_limits.cc
+++ b/src/plugins/gateway/relay_call_limits.cc
@@ -1,4 +1,4 @@
-// RelayCall: limits that targets declare for all callers.
+// The part of RelayCall for limits that targets declare for all callers.
 
 #include <algorithm>
 
@@ -13,19 +13,20 @@
 
 namespace {
 
-// The earliest that a caller is asked to come back.
-constexpr Duration kSoonest = Milliseconds(100);
+// Lower bound of the delay after which a caller is asked to retry.
+constexpr Duration kMinRetryAfter = Milliseconds(100);
 
 }  // namespace
 
-// An answer that no target signed, or of another target, says nothing of this
-// one's limit.
-void RelayCall::HearLimit(const traffic::Choice& choice,
-                          const net::HttpResponseHead& head) {
-  const traffic::HeaderNames& dialect = state_.dialect;
-  const auto text = head.headers.Find(dialect.limit);
-  const bool is_its_own = head.headers.Find(dialect.signature).has_value() ||
-                          head.headers.Find(dialect.not_executed).has_value();
+// An answer that is unsigned or from another target says nothing about the
+// limit of this target.
+void RelayCall::UpdateDeclaredLimit(const traffic::Choice& choice,
+                                    const net::HttpResponseHead& head) {
+  const traffic::HeaderNames& header_names = state_.header_names;
+  const auto text = head.headers.Find(header_names.limit);
+  const bool is_its_own =
+      head.headers.Find(header_names.signature).has_value() ||
+      head.headers.Find(header_names.not_executed).has_value();
   if (head.status == net::status::kMisdirected || (!text && !is_its_own)) {
     return;
   }
@@ -33,13 +34,13 @@
   if (text.has_value()) {
     limit = declared_limits::ReadLimit(*text);
     if (!limit.has_value()) {
-      trail_ += " limit_unreadable";
+      send_log_ += " limit_unreadable";
       return;
     }
   }
-  const bool is_news = state_.targets.limits().OnLimitReceived(
+  const bool is_changed = state_.targets.limits().OnLimitReceived(
       {choice.target, choice.incarnation}, limit, SteadyNow());
-  if (is_news) {
+  if (is_changed) {
     state_.log.Info("A target's limit changed.",
                     {{"target", choice.target.value()},
                      {"per_second", limit.has_value() ? std::to_string(*limit)
@@ -50,10 +51,10 @@
 void RelayCall::RefuseFull() {
   const auto wait = state_.targets.TimeUntilWithinLimit(service_, SteadyNow());
   if (!wait.has_value()) {
-    Refuse(ComeBackLater(), "all targets full");
+    Refuse(RetryAfter(), "all targets full");
     return;
   }
-  Refuse(std::clamp(*wait, kSoonest, ComeBackLater()),
+  Refuse(std::clamp(*wait, kMinRetryAfter, RetryAfter()),
          "all targets have as much as their limits allow");
 }
 
--- a/src/plugins/gateway/relay_call_streams.cc
+++ b/src/plugins/gateway/relay_call_streams.cc
@@ -1,4 +1,4 @@
-// RelayCall: answers that come as a series of events.
+// The part of RelayCall for answers that are event streams.
 
 #include <algorithm>
 
@@ -11,55 +11,54 @@
 using traffic::SendResult;
 using traffic::TargetOutcome;
 
-// The head goes to the caller with the first whole event: until then another
-// target can still give the answer from its beginning. After that, where the
-// stream may be resumed, another target goes on behind the last whole event
-// under the head of the first.
-RelayCall::SendOutcome RelayCall::TakeStream(const traffic::Choice& choice,
-                                             net::HttpClientStream& stream) {
+// The head is sent to the caller with the first complete event: until then
+// another target can serve the answer from its beginning. After that, if the
+// stream may be resumed, another target continues behind the last complete
+// event and its own head is dropped.
+RelayCall::SendOutcome RelayCall::RelayStream(const traffic::Choice& choice,
+                                              net::HttpClientStream& stream) {
   splitter_.DiscardUnfinished();
   while (true) {
-    net::StreamPiece piece = stream.Read(patience());
+    net::StreamPiece piece = stream.Read(wait_timeout());
     if (const auto* bytes = std::get_if<std::string>(&piece)) {
       state_.targets.OnBytesReceived(choice.target, SteadyNow());
       const std::string events = splitter_.Take(*bytes);
-      if (!events.empty() && !PassEvents(stream.head(), events)) {
+      if (!events.empty() && !RelayEvents(stream.head(), events)) {
         stream.Cancel();
-        EndAt(choice, TargetOutcome::kGood);
-        return CallerLeft{};
+        FinishSend(choice, TargetOutcome::kGood);
+        return CallerDisconnected{};
       }
       continue;
     }
     if (const auto* error = std::get_if<net::HttpError>(&piece)) {
-      return Judge(choice, *error);
+      return EvaluateError(choice, *error);
     }
     break;
   }
-  if (!splitter_.unfinished().empty() || !has_begun_) {
-    EndAt(choice, TargetOutcome::kFailed);
-    trail_ += " torn";
-    if (HasEnded(choice, net::HttpErrorKind::kClosed)) {
-      NoteEnd(choice);
-      trail_ += " ended";
+  if (!splitter_.unfinished().empty() || !has_stream_started_) {
+    FinishSend(choice, TargetOutcome::kFailed);
+    send_log_ += " torn";
+    if (HasTerminated(choice, net::HttpErrorKind::kClosed)) {
+      ReportTermination(choice);
+      send_log_ += " ended";
     }
     return NotServed{SendResult::kUnknown, "the stream ended in an event"};
   }
-  NoteCompleted();
-  EndAt(choice, TargetOutcome::kGood);
+  ReportCompletion();
+  FinishSend(choice, TargetOutcome::kGood);
   return exchange_.EndStream() ? SendOutcome(Answered{})
-                               : SendOutcome(CallerLeft{});
+                               : SendOutcome(CallerDisconnected{});
 }
 
-// False where the caller is gone.
-bool RelayCall::PassEvents(const net::HttpResponseHead& head,
-                           const std::string& events) {
+bool RelayCall::RelayEvents(const net::HttpResponseHead& head,
+                            const std::string& events) {
   const TimePoint now = SteadyNow();
-  if (has_begun_) {
-    longest_pause_ = std::max(longest_pause_, now - last_event_at_);
+  if (has_stream_started_) {
+    max_pause_ = std::max(max_pause_, now - last_event_at_);
   }
   last_event_at_ = now;
-  if (!has_begun_) {
-    has_begun_ = true;
+  if (!has_stream_started_) {
+    has_stream_started_ = true;
     first_event_at_ = now;
     if (!exchange_.BeginStream(MakeCallerHead(head))) {
       return false;
--- a/src/plugins/gateway/request_head.cc
+++ b/src/plugins/gateway/request_head.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The highest number that an engine takes; 0 goes first.
-constexpr std::uint32_t kLeastUrgent = 9;
+// The largest number that an engine accepts; 0 is the most urgent.
+constexpr std::uint32_t kLowestPriority = 9;
 
 std::string WithoutPort(std::string_view host) {
   const std::size_t colon = host.rfind(':');
@@ -21,7 +21,8 @@
   return name;
 }
 
-// Header fields that a Connection field names concern one connection alone.
+// The header fields that a Connection field names; they apply to one connection
+// only.
 std::vector<std::string> NominatedFields(const net::HttpHeaders& headers) {
   std::vector<std::string> names;
   for (const net::HttpHeader& field : headers) {
@@ -49,9 +50,9 @@
   double number = 0.0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  constexpr double kLongestMs = 24.0 * 3600.0 * 1000.0;
+  constexpr double kMaxMs = 24.0 * 3600.0 * 1000.0;
   if (parsed.ec != std::errc() || parsed.ptr != end || !(number >= 0.0) ||
-      number > kLongestMs) {
+      number > kMaxMs) {
     return std::nullopt;
   }
   constexpr double kMicrosecondsPerMs = 1000.0;
@@ -61,22 +62,22 @@
 }  // namespace
 
 RequestHead ReadHead(const net::HttpRequest& request,
-                     const traffic::HeaderNames& dialect) {
+                     const traffic::HeaderNames& header_names) {
   RequestHead head;
   head.request_id =
-      std::string(request.headers.ValueOr(dialect.request_id, ""));
+      std::string(request.headers.ValueOr(header_names.request_id, ""));
   head.host = WithoutPort(request.headers.ValueOr("Host", ""));
   head.path = request.target.substr(0, request.target.find('?'));
-  head.key = std::string(request.headers.ValueOr(dialect.key, ""));
-  if (const auto text = request.headers.Find(dialect.deadline_ms)) {
-    head.patience = ReadMilliseconds(*text);
+  head.key = std::string(request.headers.ValueOr(header_names.key, ""));
+  if (const auto text = request.headers.Find(header_names.deadline_ms)) {
+    head.wait_timeout = ReadMilliseconds(*text);
   }
   return head;
 }
 
 net::HttpRequest MakeTargetRequest(const net::HttpRequest& request,
                                    const ForwardedHead& head,
-                                   const traffic::HeaderNames& dialect) {
+                                   const traffic::HeaderNames& header_names) {
   net::HttpRequest forwarded;
   forwarded.method = request.method;
   forwarded.target = request.target;
@@ -86,16 +87,17 @@
     forwarded.headers.Remove(name);
   }
   forwarded.headers.Remove("Expect");
-  forwarded.headers.Remove(dialect.key);
-  forwarded.headers.Remove(dialect.workspace);
+  forwarded.headers.Remove(header_names.key);
+  forwarded.headers.Remove(header_names.workspace);
   if (!head.workspace.empty()) {
-    forwarded.headers.Add(dialect.workspace, head.workspace);
+    forwarded.headers.Add(header_names.workspace, head.workspace);
   }
-  forwarded.headers.Set(dialect.expected_target, head.target);
-  forwarded.headers.Set(dialect.deadline_ms,
+  forwarded.headers.Set(header_names.expected_target, head.target);
+  forwarded.headers.Set(header_names.deadline_ms,
                         std::to_string(head.time_left / Milliseconds(1)));
-  forwarded.headers.Set(dialect.priority,
-                        std::to_string(std::min(head.priority, kLeastUrgent)));
+  forwarded.headers.Set(
+      header_names.priority,
+      std::to_string(std::min(head.priority, kLowestPriority)));
   if (!head.last_event_id.empty()) {
     forwarded.headers.Set("Last-Event-Id", head.last_event_id);
   }
--- a/tests/auto/callers/parse_token_test.cc
+++ b/tests/auto/callers/parse_token_test.cc
@@ -1,11 +1,11 @@
 #include <doctest/doctest.h>
 
-#include "plugins/callers/agent_book.h"
+#include "plugins/callers/agent_registry.h"
 
 namespace bilberryspool::callers {
 namespace {
 
-TEST_CASE("only three numbers joined by dots are a token") {
+TEST_CASE("a token is three numbers joined by dots") {
   struct Row {
     const char* text;
     bool is_valid;
