--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr Duration kPoll = Milliseconds(5);
-constexpr Duration kRetryPause = Milliseconds(100);
-constexpr Duration kCallPatience = Seconds(2);
+constexpr Duration kPollInterval = Milliseconds(5);
+constexpr Duration kRetryDelay = Milliseconds(100);
+constexpr Duration kCallTimeout = Seconds(2);
 
 ControlFailure NoLeader() {
   return {ControlFailureKind::kNoLeader,
@@ -138,9 +138,9 @@
 }
 
 void ConfigService::NoteOutcome(LogIndex index, config::Outcome outcome) {
-  constexpr std::size_t kKeptOutcomes = 2048;
+  constexpr std::size_t kMaxKeptOutcomes = 2048;
   outcomes_[index] = std::move(outcome);
-  if (outcomes_.size() > kKeptOutcomes) {
+  if (outcomes_.size() > kMaxKeptOutcomes) {
     outcomes_.erase(outcomes_.begin());
   }
 }
@@ -250,13 +250,13 @@
 
 std::variant<config::Outcome, ControlFailure> ConfigService::Propose(
     const config::Command& command,
-    Duration patience) {
+    Duration timeout) {
   if (leads()) {
-    return ProposeHere(command, patience);
+    return ProposeHere(command, timeout);
   }
   const LeaderAnswer answer =
       AskLeader("control.propose",
-                json::object{{"command", config::ToJson(command)}}, patience);
+                json::object{{"command", config::ToJson(command)}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
@@ -273,9 +273,9 @@
 
 std::variant<config::Outcome, ControlFailure> ConfigService::ProposeHere(
     const config::Command& command,
-    Duration patience) {
-  const TimePoint deadline = SteadyNow() + patience;
-  const auto result = replica_->Propose(config::ToBytes(command), patience);
+    Duration timeout) {
+  const TimePoint deadline = SteadyNow() + timeout;
+  const auto result = replica_->Propose(config::ToBytes(command), timeout);
   if (!result.has_value() ||
       std::holds_alternative<consensus::LostLeadershipUnknown>(*result)) {
     return Unknown();
@@ -290,7 +290,7 @@
   }
   while (state_machine_.applied_index() < accepted->index &&
          SteadyNow() < deadline) {
-    loop_.SleepFor(kPoll);
+    loop_.SleepFor(kPollInterval);
   }
   // That of this very entry: the id alone would give the outcome of another
   // order that used it before.
@@ -305,8 +305,8 @@
 // twice is harmless: the command id makes the second the first one's outcome.
 ConfigService::LeaderAnswer ConfigService::AskLeader(const std::string& method,
                                                      const Json& params,
-                                                     Duration patience) {
-  const TimePoint deadline = SteadyNow() + patience;
+                                                     Duration timeout) {
+  const TimePoint deadline = SteadyNow() + timeout;
   bool may_have_run = false;
   while (SteadyNow() < deadline) {
     std::vector<NodeId> candidates = control_members();
@@ -316,7 +316,7 @@
     for (const NodeId& candidate : candidates) {
       const auto endpoint = FindNode(candidate);
       const Duration left =
-          std::min<Duration>(deadline - SteadyNow(), kCallPatience);
+          std::min<Duration>(deadline - SteadyNow(), kCallTimeout);
       if (!endpoint.has_value() || left <= Duration::zero()) {
         continue;
       }
@@ -339,7 +339,7 @@
         leader_hint_ = NodeId(std::string(hint->as_string()));
       }
     }
-    loop_.SleepFor(kRetryPause);
+    loop_.SleepFor(kRetryDelay);
   }
   return may_have_run ? Unknown() : NoLeader();
 }
@@ -365,7 +365,7 @@
   if (!leads()) {
     return NotLeader();
   }
-  const auto outcome = ProposeHere(*command, kCallPatience);
+  const auto outcome = ProposeHere(*command, kCallTimeout);
   if (const auto* known = std::get_if<config::Outcome>(&outcome)) {
     return json::object{{"outcome", config::ToJson(*known)}};
   }
@@ -390,12 +390,12 @@
 
 std::variant<spread::Coverage, ControlFailure> ConfigService::CoverageOf(
     ConfigVersion version,
-    Duration patience) {
+    Duration timeout) {
   if (leads()) {
     return spread_.spreader().coverage(version, SteadyNow());
   }
   const LeaderAnswer answer = AskLeader(
-      "control.coverage", json::object{{"version", version.value()}}, patience);
+      "control.coverage", json::object{{"version", version.value()}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
--- a/src/plugins/control/config_service.h
+++ b/src/plugins/control/config_service.h
@@ -75,13 +75,13 @@
   // OperatorControl. Plans are made on what is in force here.
   std::variant<config::Outcome, ControlFailure> Propose(
       const config::Command& command,
-      Duration patience) override;
+      Duration timeout) override;
   std::variant<config::PlanResult, ControlFailure> Plan(
       const config::Command& command,
-      Duration patience) override;
+      Duration timeout) override;
   std::variant<spread::Coverage, ControlFailure> CoverageOf(
       ConfigVersion version,
-      Duration patience) override;
+      Duration timeout) override;
   const config::Configuration& configuration() const override;
   std::optional<Duration> config_age(TimePoint now) const override;
   const membership::Directory& directory() const override;
@@ -99,10 +99,10 @@
 
   std::variant<config::Outcome, ControlFailure> ProposeHere(
       const config::Command& command,
-      Duration patience);
+      Duration timeout);
   LeaderAnswer AskLeader(const std::string& method,
                          const Json& params,
-                         Duration patience);
+                         Duration timeout);
   std::optional<Json> OnPropose(const Json& params);
   std::optional<Json> OnCoverage(const Json& params);
   Json NotLeader() const;
--- a/src/plugins/control/config_service_membership.cc
+++ b/src/plugins/control/config_service_membership.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr Duration kInterval = Milliseconds(500);
-constexpr Duration kPatience = Seconds(2);
+constexpr Duration kMembershipInterval = Milliseconds(500);
+constexpr Duration kChangeTimeout = Seconds(2);
 
 bool IsVoter(const consensus::Membership& membership, const NodeId& node) {
   return std::any_of(
@@ -28,7 +28,7 @@
 
 void ConfigService::RunMembership() {
   while (true) {
-    loop_.SleepFor(kInterval);
+    loop_.SleepFor(kMembershipInterval);
     if (!leads()) {
       continue;
     }
@@ -68,7 +68,7 @@
     log_.Info("Replacing a control replica.",
               {{"old", voter.node.value()}, {"new", incoming->node.value()}});
     replica_->Change(consensus::ReplaceVoter{voter, successor->second},
-                     kPatience);
+                     kChangeTimeout);
     return;
   }
 }
@@ -148,7 +148,7 @@
   command.expected = config::Expectation{configuration().version(),
                                          config::CompareScope::kObjects};
   command.changes.push_back(config::ObserveControlMembers{observed});
-  const auto outcome = ProposeHere(command, kPatience);
+  const auto outcome = ProposeHere(command, kChangeTimeout);
   const auto* known = std::get_if<config::Outcome>(&outcome);
   const auto* refused =
       known != nullptr ? std::get_if<config::Refused>(known) : nullptr;
--- a/src/plugins/control/control_process.cc
+++ b/src/plugins/control/control_process.cc
@@ -33,7 +33,7 @@
 constexpr Duration kEntriesInterval = Seconds(1);
 constexpr Duration kFeedInterval = Milliseconds(250);
 // Gossip tells of no further entry for so many of these intervals.
-constexpr std::size_t kSettledRounds = 10;
+constexpr std::size_t kStableFeedIntervals = 10;
 
 membership::DirectoryOptions MakeDirectoryOptions(
     const settings::CommonSettings& common,
@@ -307,11 +307,12 @@
     // The configuration names the members, but a control replica gets it from
     // the log alone, which it has yet to join. So all entries are asked.
     std::vector<NodeId> peers;
-    std::size_t settled = 0;
-    while (settled < kSettledRounds) {
+    std::size_t stable_intervals = 0;
+    while (stable_intervals < kStableFeedIntervals) {
       loop.SleepFor(kFeedInterval);
       std::vector<NodeId> present = OtherEntries();
-      settled = present == peers && !peers.empty() ? settled + 1 : 0;
+      stable_intervals =
+          present == peers && !peers.empty() ? stable_intervals + 1 : 0;
       peers = std::move(present);
     }
     log.Info("Asking to join the control group.", {{"entries", peers.size()}});
--- a/src/plugins/control/directory_driver.cc
+++ b/src/plugins/control/directory_driver.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr Duration kPeerPatience = Milliseconds(800);
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kGossipTimeout = Milliseconds(800);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
 
 routing::TargetState ToRoutingState(const membership::TargetView& view) {
   if (view.offer != membership::Offer::kNo) {
@@ -86,8 +86,8 @@
     Handle(membership::DirectoryTick{});
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        directory_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        directory_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
@@ -138,7 +138,7 @@
   }
   loop_.Spawn([this, endpoint, params = membership::ToJson(send.message)] {
     const auto result =
-        client_.Call(*endpoint, "membership.gossip", params, kPeerPatience);
+        client_.Call(*endpoint, "membership.gossip", params, kGossipTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
--- a/src/plugins/control/group_driver.cc
+++ b/src/plugins/control/group_driver.cc
@@ -15,7 +15,7 @@
 
 constexpr Duration kTickInterval = Milliseconds(20);
 constexpr Duration kReportInterval = Milliseconds(500);
-constexpr Duration kReportPatience = Milliseconds(500);
+constexpr Duration kReportTimeout = Milliseconds(500);
 
 }  // namespace
 
@@ -102,7 +102,7 @@
       }
       loop_.Spawn([this, endpoint, params = ToJson(*report)] {
         // A lost report is made good by the next one.
-        client_.Call(*endpoint, "group.report", params, kReportPatience);
+        client_.Call(*endpoint, "group.report", params, kReportTimeout);
       });
     }
   }
--- a/src/plugins/control/group_maps.cc
+++ b/src/plugins/control/group_maps.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint32_t kCopies = 2;
+constexpr std::uint32_t kCopiesPerExpert = 2;
 
 std::uint32_t EvenShare(const config::GroupSpec& group) {
   return (group.experts + group.ranks - 1) / group.ranks;
@@ -55,7 +55,7 @@
 }  // namespace
 
 std::uint32_t SlotsOf(const config::GroupSpec& group) {
-  return std::min(group.experts, kCopies * EvenShare(group) + 1);
+  return std::min(group.experts, kCopiesPerExpert * EvenShare(group) + 1);
 }
 
 groups::MapRecord RecordFor(const config::GroupSpec& group,
@@ -69,7 +69,7 @@
                          recorded->layers == group.layers &&
                          recorded->experts == group.experts;
   const std::uint32_t slots =
-      std::min(group.experts, kCopies * EvenShare(group));
+      std::min(group.experts, kCopiesPerExpert * EvenShare(group));
   record.chosen = has_shape ? MapOf(*recorded, recorded->chosen)
                             : ExpertMap::RoundRobin(group.layers, group.experts,
                                                     group.ranks, slots);
--- a/src/plugins/control/group_policy.cc
+++ b/src/plugins/control/group_policy.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Counts of less than this say little of an expert's popularity.
-constexpr Duration kLeastObservation = Seconds(10);
+constexpr Duration kMinObservationTime = Seconds(10);
 
 placement::EstimatorOptions MakeEstimatorOptions(
     const config::GroupSpec& spec) {
@@ -99,7 +99,7 @@
     const config::Configuration& configuration,
     TimePoint now) {
   const bool has_counts = observed_since_.has_value() &&
-                          now - *observed_since_ >= kLeastObservation;
+                          now - *observed_since_ >= kMinObservationTime;
   if (!has_counts) {
     why_ = "no decision: too few expert counts yet";
     return std::nullopt;
--- a/src/plugins/control/group_run.cc
+++ b/src/plugins/control/group_run.cc
@@ -17,22 +17,22 @@
 
 // How long a controller acts without looking at its lease again.
 constexpr Duration kLeaseTime = Seconds(1);
-constexpr Duration kProposalPatience = Seconds(2);
+constexpr Duration kProposalTimeout = Seconds(2);
 // Orders are repeated, so a late one is worth nothing.
-constexpr Duration kCallPatience = Milliseconds(300);
+constexpr Duration kCallTimeout = Milliseconds(300);
 constexpr Duration kContactsInterval = Milliseconds(300);
 constexpr Duration kDecisionInterval = Seconds(5);
 constexpr std::uint64_t kMinuteNanoseconds = 60ULL * 1000 * 1000 * 1000;
 constexpr std::uint64_t kMinutesOfDay = 24ULL * 60;
 // Taken for one expert until engines announce the size of theirs.
-constexpr double kExpertBytes = 5e7;
+constexpr double kAssumedExpertBytes = 5e7;
 
 groups::ControllerOptions MakeControllerOptions(const config::GroupSpec& spec) {
   groups::ControllerOptions options;
   options.group = spec.id;
   options.ranks = spec.ranks;
   options.slots = SlotsOf(spec);
-  options.expert_bytes = kExpertBytes;
+  options.expert_bytes = kAssumedExpertBytes;
   return options;
 }
 
@@ -136,7 +136,7 @@
         MakeCommand(self->MakeCommandId("lease"),
                     config::GrantLease{self->spec_.id, self->options_.self,
                                        self->options_.incarnation, previous}),
-        kProposalPatience);
+        kProposalTimeout);
     const auto* accepted = AcceptedOf(result);
     if (accepted != nullptr && accepted->token.has_value()) {
       self->token_ = *accepted->token;
@@ -194,7 +194,7 @@
                          view->members.size() == spec_.ranks &&
                          controller_.state() == groups::GroupState::kServing;
   situation.seconds_per_fetch =
-      kExpertBytes / groups::FetchBudgetOptions().bytes_per_second;
+      kAssumedExpertBytes / groups::FetchBudgetOptions().bytes_per_second;
   situation.minute_of_day = static_cast<std::uint32_t>(
       net::WallNanoseconds() / kMinuteNanoseconds % kMinutesOfDay);
   auto map = policy_.Decide(situation, config_.committed(), now);
@@ -274,7 +274,7 @@
         MakeCommand(self->MakeCommandId("map"),
                     config::RecordMap{
                         ToSpec(self->spec_.id, action.token, action.record)}),
-        kProposalPatience);
+        kProposalTimeout);
     self->is_recording_ = false;
     // Where an earlier proposal took effect without an answer, this one was
     // refused; what is recorded tells.
@@ -309,7 +309,7 @@
   }
   loop_.Spawn([self = shared_from_this(), endpoint, method, params] {
     const auto result =
-        self->client_.Call(*endpoint, method, params, kCallPatience);
+        self->client_.Call(*endpoint, method, params, kCallTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       // An idle connection that leads nowhere must not be used again.
       self->client_.DropIdle(*endpoint);
--- a/src/plugins/control/ledger_file.cc
+++ b/src/plugins/control/ledger_file.cc
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr char kName[] = "holder";
-constexpr char kTemporaryName[] = "holder.new";
+constexpr char kFileName[] = "holder";
+constexpr char kTemporaryFileName[] = "holder.new";
 
 }  // namespace
 
 storage::Result<std::string> LedgerFile::ReadIfThere() {
   BOOST_LEAF_AUTO(names, files_.List(folder_));
   const bool is_there =
-      std::find(names.begin(), names.end(), kName) != names.end();
+      std::find(names.begin(), names.end(), kFileName) != names.end();
   if (!is_there) {
     return std::string();
   }
-  return files_.Read(folder_ + "/" + kName);
+  return files_.Read(folder_ + "/" + kFileName);
 }
 
 storage::Result<LedgerStart> LedgerFile::Begin() {
@@ -58,7 +58,7 @@
 }
 
 storage::Result<void> LedgerFile::Write(const std::string& text) {
-  const std::string temporary = folder_ + "/" + kTemporaryName;
+  const std::string temporary = folder_ + "/" + kTemporaryFileName;
   {
     BOOST_LEAF_AUTO(file, files_.OpenAppend(temporary));
     // An earlier crash may have left a part of another text there.
@@ -66,7 +66,7 @@
     BOOST_LEAF_CHECK(file->Append(text));
     BOOST_LEAF_CHECK(file->Sync());
   }
-  BOOST_LEAF_CHECK(files_.Rename(temporary, folder_ + "/" + kName));
+  BOOST_LEAF_CHECK(files_.Rename(temporary, folder_ + "/" + kFileName));
   return files_.SyncFolder(folder_);
 }
 
--- a/src/plugins/control/operator_control.h
+++ b/src/plugins/control/operator_control.h
@@ -62,14 +62,14 @@
   // Carried out here where this replica leads, else at the leader.
   virtual std::variant<config::Outcome, ControlFailure> Propose(
       const config::Command& command,
-      Duration patience) = 0;
+      Duration timeout) = 0;
   virtual std::variant<config::PlanResult, ControlFailure> Plan(
       const config::Command& command,
-      Duration patience) = 0;
+      Duration timeout) = 0;
   // How far `version` is in force, by the leader's account.
   virtual std::variant<spread::Coverage, ControlFailure> CoverageOf(
       ConfigVersion version,
-      Duration patience) = 0;
+      Duration timeout) = 0;
 
   // The configuration in force on this entry; version 0: none yet.
   virtual const config::Configuration& configuration() const = 0;
--- a/src/plugins/control/recent_reports.cc
+++ b/src/plugins/control/recent_reports.cc
@@ -6,7 +6,7 @@
   if (report.request.value().empty()) {
     std::deque<std::string>& reasons = reasons_[report.service];
     reasons.push_front(std::move(report.text));
-    if (reasons.size() > kReasonsPerService) {
+    if (reasons.size() > kMaxReasonsPerService) {
       reasons.pop_back();
     }
     return;
@@ -17,7 +17,7 @@
     return;
   }
   order_.push_back(row->first);
-  if (order_.size() > kRequests) {
+  if (order_.size() > kMaxRequests) {
     trails_.erase(order_.front());
     order_.pop_front();
   }
--- a/src/plugins/control/recent_reports.h
+++ b/src/plugins/control/recent_reports.h
@@ -17,8 +17,8 @@
 // Bounded: the oldest go first.
 class RecentReports {
  public:
-  static constexpr std::size_t kReasonsPerService = 5;
-  static constexpr std::size_t kRequests = 2000;
+  static constexpr std::size_t kMaxReasonsPerService = 5;
+  static constexpr std::size_t kMaxRequests = 2000;
 
   void Add(CallerReport report);
 
--- a/src/plugins/control/replica_driver.cc
+++ b/src/plugins/control/replica_driver.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration kSendPatience = Milliseconds(500);
-constexpr Duration kLongestPause = Milliseconds(100);
-constexpr Duration kTransferPatience = Seconds(2);
+constexpr Duration kSendTimeout = Milliseconds(500);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
+constexpr Duration kTransferTimeout = Seconds(2);
 
 std::string_view RoleName(consensus::Role role) {
   switch (role) {
@@ -79,17 +79,17 @@
     PumpDisk();
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        replica_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        replica_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
 void ReplicaDriver::Stop() {
   if (is_leader(SteadyNow())) {
     Handle(consensus::TransferLeadership{});
-    const TimePoint limit = SteadyNow() + kTransferPatience;
+    const TimePoint limit = SteadyNow() + kTransferTimeout;
     while (is_leader(SteadyNow()) && SteadyNow() < limit) {
-      loop_.SleepFor(kLongestPause);
+      loop_.SleepFor(kMaxTickInterval);
     }
   }
   has_failed_ = true;
@@ -168,7 +168,7 @@
   }
   loop_.Spawn([this, endpoint, params = consensus::ToJson(send.message)] {
     const auto result =
-        client_.Call(*endpoint, "consensus.message", params, kSendPatience);
+        client_.Call(*endpoint, "consensus.message", params, kSendTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
@@ -209,27 +209,27 @@
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Propose(std::string bytes,
-                                                            Duration patience) {
+                                                            Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::Propose{ticket, std::move(bytes)}, patience);
+  return Wait(ticket, consensus::Propose{ticket, std::move(bytes)}, timeout);
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Change(
     const consensus::MembershipChange& change,
-    Duration patience) {
+    Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::ChangeMembership{ticket, change}, patience);
+  return Wait(ticket, consensus::ChangeMembership{ticket, change}, timeout);
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Wait(
     consensus::RequestTicket ticket,
     const consensus::Event& event,
-    Duration patience) {
+    Duration timeout) {
   auto waiter = std::make_shared<Waiter>();
   waiters_[ticket] = waiter;
-  const TimePoint deadline = SteadyNow() + patience;
+  const TimePoint deadline = SteadyNow() + timeout;
   Handle(event);
   while (!waiter->result.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
@@ -238,12 +238,12 @@
   return waiter->result;
 }
 
-bool ReplicaDriver::WaitUntilCurrent(Duration patience) {
+bool ReplicaDriver::WaitUntilCurrent(Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
   auto waiter = std::make_shared<ReadWaiter>();
   reads_[ticket] = waiter;
-  const TimePoint deadline = SteadyNow() + patience;
+  const TimePoint deadline = SteadyNow() + timeout;
   Handle(consensus::ReadBarrier{ticket});
   while (!waiter->is_current.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
--- a/src/plugins/control/replica_driver.h
+++ b/src/plugins/control/replica_driver.h
@@ -65,13 +65,13 @@
   using Result = decltype(consensus::ProposalOutcome::result);
   // Waits for the outcome; nothing where `patience` ran out, after which it is
   // unknown.
-  std::optional<Result> Propose(std::string bytes, Duration patience);
+  std::optional<Result> Propose(std::string bytes, Duration timeout);
   std::optional<Result> Change(const consensus::MembershipChange& change,
-                               Duration patience);
+                               Duration timeout);
 
   // True once everything that was accepted before the call is applied here;
   // false where this replica does not lead, or `patience` ran out.
-  bool WaitUntilCurrent(Duration patience);
+  bool WaitUntilCurrent(Duration timeout);
   // Further nodes that hold replicas.
   void LearnPeers(std::vector<NodeId> peers);
   // Asks the leader, where this is it, to hand over.
@@ -104,7 +104,7 @@
   void Apply(const consensus::Apply& apply);
   std::optional<Result> Wait(consensus::RequestTicket ticket,
                              const consensus::Event& event,
-                             Duration patience);
+                             Duration timeout);
 
   net::NetworkLoop& loop_;
   links::LinkClient& client_;
--- a/src/plugins/operators/help_text.cc
+++ b/src/plugins/operators/help_text.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* kForms[] = {
+constexpr const char* kStatementForms[] = {
     "changes, joined by \";\" they take effect together or not at all:",
     "  declare service NAME engine [deadline 5s]",
     "  declare service NAME plain path \"/PATH\" [idempotent] [deadline 5s]",
@@ -38,7 +38,7 @@
 
 language::Answer AnswerHelp() {
   language::Answer answer;
-  answer.notes.assign(std::begin(kForms), std::end(kForms));
+  answer.notes.assign(std::begin(kStatementForms), std::end(kStatementForms));
   std::string subjects = "show";
   const char* separator = " ";
   for (const language::SubjectWord& word : language::kSubjectWords) {
--- a/src/plugins/operators/operators_server.cc
+++ b/src/plugins/operators/operators_server.cc
@@ -30,7 +30,7 @@
 
 constexpr std::size_t kMaxBodyBytes = 128UL * 1024;
 constexpr std::size_t kMaxConnections = 64;
-constexpr std::size_t kLoggedBytes = 512;
+constexpr std::size_t kMaxLoggedBytes = 512;
 
 struct LogLevelWord {
   std::string_view word;
@@ -197,7 +197,7 @@
 // A record of who changed what; questions only show at the level of debugging.
 void OperatorsServer::Private::Note(const StatementRequest& request,
                                     const StatementResult& result) {
-  const std::string text = request.text.substr(0, kLoggedBytes);
+  const std::string text = request.text.substr(0, kMaxLoggedBytes);
   const std::string answer =
       result.answer.notes.empty() ? "" : result.answer.notes.front();
   if (!result.command_id.has_value()) {
--- a/src/plugins/operators/statement_runner.cc
+++ b/src/plugins/operators/statement_runner.cc
@@ -103,7 +103,7 @@
     return Invalid(
         "a command id has 1 to 128 letters, digits or \". _ - / :\"");
   }
-  const auto proposed = control_.Propose(command, kPatience);
+  const auto proposed = control_.Propose(command, kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&proposed)) {
     return Failed(*failure, command.id);
   }
@@ -121,7 +121,7 @@
   // answer says how far it is.
   constexpr Duration kCoverageWait = Seconds(1);
   const TimePoint end = environment_.now() + kCoverageWait;
-  auto covered = control_.CoverageOf(version, kCoveragePatience);
+  auto covered = control_.CoverageOf(version, kCoverageTimeout);
   while (true) {
     const auto* coverage = std::get_if<spread::Coverage>(&covered);
     const bool is_open = coverage != nullptr && !coverage->complete();
@@ -129,7 +129,7 @@
       break;
     }
     environment_.sleep(kPollInterval);
-    covered = control_.CoverageOf(version, kCoveragePatience);
+    covered = control_.CoverageOf(version, kCoverageTimeout);
   }
   if (const auto* failure = std::get_if<ControlFailure>(&covered)) {
     answer.notes.push_back(
@@ -156,7 +156,8 @@
   asked.command_id = environment_.make_command_id();
   language::ChangeStatement change = statement.change;
   change.id.reset();
-  const auto planned = control_.Plan(MakeCommand(change, asked), kPatience);
+  const auto planned =
+      control_.Plan(MakeCommand(change, asked), kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&planned)) {
     return Unanswered(*failure);
   }
@@ -174,7 +175,7 @@
   const TimePoint end = environment_.now() + statement.timeout;
   while (true) {
     const auto covered =
-        control_.CoverageOf(statement.version, kCoveragePatience);
+        control_.CoverageOf(statement.version, kCoverageTimeout);
     const auto* coverage = std::get_if<spread::Coverage>(&covered);
     // A replica that just began to lead has no reports yet: "on 0 of 0" says
     // nothing.
--- a/src/plugins/operators/statement_runner.h
+++ b/src/plugins/operators/statement_runner.h
@@ -52,9 +52,9 @@
 class StatementRunner {
  public:
   // How long a change waits for its outcome.
-  static constexpr Duration kPatience = Seconds(5);
+  static constexpr Duration kOutcomeTimeout = Seconds(5);
   // How long an accepted change waits to learn how far it is in force.
-  static constexpr Duration kCoveragePatience = Seconds(1);
+  static constexpr Duration kCoverageTimeout = Seconds(1);
   static constexpr Duration kPollInterval = Milliseconds(100);
   static constexpr Duration kMaxWait = Seconds(300);
 
--- a/src/plugins/query/query_client.cc
+++ b/src/plugins/query/query_client.cc
@@ -105,16 +105,16 @@
                              const CommandId& id) {
   const net::HttpRequest request = MakeRequest(statement, id);
   const Reading reading = Read(statement);
-  const Duration patience = options_.patience + reading.wait;
+  const Duration answer_timeout = options_.answer_timeout + reading.wait;
   const std::size_t count = options_.entries.size();
   bool is_uncertain = false;
   std::string error = "no address was given";
-  for (std::size_t i = 0; i < options_.rounds * count; ++i) {
+  for (std::size_t i = 0; i < options_.max_rounds * count; ++i) {
     if (i > 0 && i % count == 0) {
-      loop_.SleepFor(options_.pause);
+      loop_.SleepFor(options_.retry_delay);
     }
     const std::size_t place = (first_ + i) % count;
-    Try tried = TryOnce(options_.entries[place], request, patience);
+    Try tried = TryOnce(options_.entries[place], request, answer_timeout);
     if (tried.result.has_value()) {
       first_ = place;
       return std::move(*tried.result);
@@ -128,8 +128,8 @@
 
 QueryClient::Try QueryClient::TryOnce(const net::Endpoint& entry,
                                       const net::HttpRequest& request,
-                                      Duration patience) {
-  const auto sent = client_.Send(entry, request, patience);
+                                      Duration answer_timeout) {
+  const auto sent = client_.Send(entry, request, answer_timeout);
   if (const auto* error = std::get_if<net::HttpError>(&sent)) {
     return {std::nullopt, error->text,
             error->kind != net::HttpErrorKind::kConnect};
--- a/src/plugins/query/query_client.h
+++ b/src/plugins/query/query_client.h
@@ -39,10 +39,10 @@
   // Expected version for changes that name none.
   std::optional<ConfigVersion> read_version;
   // How often the whole list is gone through, and the pause in between.
-  std::size_t rounds = 3;
-  Duration pause = Milliseconds(300);
+  std::size_t max_rounds = 3;
+  Duration retry_delay = Milliseconds(300);
   // Wait for one answer, beyond what a `wait` statement asks for.
-  Duration patience = Seconds(10);
+  Duration answer_timeout = Seconds(10);
 };
 
 struct QueryResult {
@@ -66,7 +66,7 @@
 
   Try TryOnce(const net::Endpoint& entry,
               const net::HttpRequest& request,
-              Duration patience);
+              Duration answer_timeout);
   net::HttpRequest MakeRequest(const std::string& statement,
                                const CommandId& id) const;
   void NoteIndex(const net::HttpResponse& response);
--- a/src/plugins/spreading/spread_driver.cc
+++ b/src/plugins/spreading/spread_driver.cc
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr Duration kSendPatience = Milliseconds(500);
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kSendTimeout = Milliseconds(500);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
 constexpr Duration kTopologyInterval = Milliseconds(500);
 
 }  // namespace
@@ -91,8 +91,8 @@
     Handle(spread::SpreaderTick{});
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        spreader_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        spreader_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
@@ -140,8 +140,7 @@
   Json envelope =
       json::object{{"address", hooks_.own_address}, {"message", params}};
   loop_.Spawn([this, endpoint, method, envelope = std::move(envelope)] {
-    const auto result =
-        client_.Call(*endpoint, method, envelope, kSendPatience);
+    const auto result = client_.Call(*endpoint, method, envelope, kSendTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
--- a/tests/auto/operators/fake_operator_control.h
+++ b/tests/auto/operators/fake_operator_control.h
@@ -21,14 +21,14 @@
 
   std::variant<config::Outcome, control::ControlFailure> Propose(
       const config::Command& command,
-      Duration patience) override;
+      Duration timeout) override;
   std::variant<config::PlanResult, control::ControlFailure> Plan(
       const config::Command& command,
-      Duration patience) override;
+      Duration timeout) override;
   // Takes the first of `coverages` away unless it is the last.
   std::variant<spread::Coverage, control::ControlFailure> CoverageOf(
       ConfigVersion version,
-      Duration patience) override;
+      Duration timeout) override;
   const config::Configuration& configuration() const override {
     return machine.configuration();
   }
--- a/tests/auto/query/query_client_test.cc
+++ b/tests/auto/query/query_client_test.cc
@@ -62,8 +62,8 @@
   QueryOptions options;
   options.credential = "secret";
   options.operator_name = "kim";
-  options.pause = Duration(0);
-  options.rounds = 2;
+  options.retry_delay = Duration(0);
+  options.max_rounds = 2;
   return options;
 }
 
