--- a/src/plugins/control/claim_service.cc
+++ b/src/plugins/control/claim_service.cc
@@ -19,7 +19,7 @@
   server.Register("claims.finish",
                   [this](const Json& params) { return OnFinish(params); });
   server.Register("claims.votes",
-                  [this](const Json& params) { return OnVotes(params); });
+                  [this](const Json& params) { return OnCanVote(params); });
 }
 
 attempts::LedgerExport ClaimService::StopAndExport() {
@@ -55,7 +55,7 @@
   return Json(true);
 }
 
-std::optional<boost::json::value> ClaimService::OnVotes(
+std::optional<boost::json::value> ClaimService::OnCanVote(
     const Json& params) const {
   const auto* object = params.if_object();
   const auto roster = object != nullptr
--- a/src/plugins/control/claim_service.h
+++ b/src/plugins/control/claim_service.h
@@ -34,7 +34,7 @@
   std::optional<Json> OnRelease(const Json& params);
   std::optional<Json> OnFinish(const Json& params);
   // {"roster": VERSION}: whether this holder votes on claims under it.
-  std::optional<Json> OnVotes(const Json& params) const;
+  std::optional<Json> OnCanVote(const Json& params) const;
 
   attempts::ClaimHolder holder_;
 };
--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -27,7 +27,7 @@
           "No leader of the control group can be reached; nothing was done."};
 }
 
-ControlFailure Unknown() {
+ControlFailure OutcomeUnknown() {
   return {ControlFailureKind::kUnknown,
           "The answer was lost; resend the order with the same command id."};
 }
@@ -111,8 +111,8 @@
     // Also seen again by a replica that restarts, which founds nothing: taken
     // for a founder, it would grant claims that it has forgotten.
     if (membership != nullptr && entry.index == LogIndex(1)) {
-      has_founded_ =
-          is_blank_ && membership->IsVoter(replica_->replica().self());
+      has_bootstrapped_ =
+          is_new_folder_ && membership->IsVoter(replica_->replica().self());
     }
     const auto* bytes = std::get_if<consensus::Command>(&entry.payload);
     if (bytes == nullptr) {
@@ -124,7 +124,7 @@
                             "a committed command can be read");
     const ConfigVersion before = state_machine_.configuration().version();
     const config::Digest digest = state_machine_.configuration().digest();
-    NoteOutcome(entry.index, state_machine_.Apply(*command, entry.index));
+    RecordOutcome(entry.index, state_machine_.Apply(*command, entry.index));
     if (state_machine_.configuration().version() == before) {
       continue;
     }
@@ -137,7 +137,7 @@
   }
 }
 
-void ConfigService::NoteOutcome(LogIndex index, config::Outcome outcome) {
+void ConfigService::RecordOutcome(LogIndex index, config::Outcome outcome) {
   constexpr std::size_t kMaxKeptOutcomes = 2048;
   outcomes_[index] = std::move(outcome);
   if (outcomes_.size() > kMaxKeptOutcomes) {
@@ -164,31 +164,31 @@
 }
 
 void ConfigService::RefreshNodes() {
-  nodes_.clear();
+  node_addresses_.clear();
   agents_.clear();
   for (const SeedMember& seed : seeds_) {
-    nodes_[seed.node] = seed.address;
+    node_addresses_[seed.node] = seed.address;
   }
   for (const auto& [node, row] :
        configuration().table<config::ControlMemberSpec>()) {
     if (const auto endpoint = net::ParseEndpoint(row.spec.address)) {
-      nodes_[node] = *endpoint;
+      node_addresses_[node] = *endpoint;
     }
   }
   for (const auto& [node, peer] : directory().peers().peers()) {
     if (const auto endpoint = net::ParseEndpoint(peer.info.peer_address)) {
-      nodes_[node] = *endpoint;
+      node_addresses_[node] = *endpoint;
     }
   }
   for (const membership::TargetView& view : directory().targets(SteadyNow())) {
-    const bool is_child = view.announcement != nullptr && view.direct &&
-                          view.reason != membership::OfferReason::kGone;
-    if (!is_child) {
+    const bool is_direct_agent = view.announcement != nullptr && view.direct &&
+                                 view.reason != membership::OfferReason::kGone;
+    if (!is_direct_agent) {
       continue;
     }
     const auto endpoint = net::ParseEndpoint(view.announcement->address);
     if (endpoint.has_value()) {
-      nodes_[view.announcement->node] = *endpoint;
+      node_addresses_[view.announcement->node] = *endpoint;
       agents_.push_back(view.announcement->node);
     }
   }
@@ -217,8 +217,8 @@
 }
 
 std::optional<net::Endpoint> ConfigService::FindNode(const NodeId& node) const {
-  const auto found = nodes_.find(node);
-  if (found != nodes_.end()) {
+  const auto found = node_addresses_.find(node);
+  if (found != node_addresses_.end()) {
     return found->second;
   }
   for (const SeedMember& seed : seeds_) {
@@ -252,11 +252,11 @@
     const config::Command& command,
     Duration timeout) {
   if (leads()) {
-    return ProposeHere(command, timeout);
+    return ProposeLocally(command, timeout);
   }
-  const LeaderAnswer answer =
-      AskLeader("control.propose",
-                json::object{{"command", config::ToJson(command)}}, timeout);
+  const LeaderResult answer =
+      CallLeader("control.propose",
+                 json::object{{"command", config::ToJson(command)}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
@@ -266,19 +266,19 @@
                            ? config::OutcomeFromJson(*outcome_json)
                            : std::nullopt;
   if (!outcome.has_value()) {
-    return Unknown();
+    return OutcomeUnknown();
   }
   return *outcome;
 }
 
-std::variant<config::Outcome, ControlFailure> ConfigService::ProposeHere(
+std::variant<config::Outcome, ControlFailure> ConfigService::ProposeLocally(
     const config::Command& command,
     Duration timeout) {
   const TimePoint deadline = SteadyNow() + timeout;
   const auto result = replica_->Propose(config::ToBytes(command), timeout);
   if (!result.has_value() ||
       std::holds_alternative<consensus::LostLeadershipUnknown>(*result)) {
-    return Unknown();
+    return OutcomeUnknown();
   }
   if (std::holds_alternative<consensus::Busy>(*result)) {
     return ControlFailure{ControlFailureKind::kBusy,
@@ -296,16 +296,16 @@
   // order that used it before.
   const auto outcome = outcomes_.find(accepted->index);
   if (outcome == outcomes_.end()) {
-    return Unknown();
+    return OutcomeUnknown();
   }
   return outcome->second;
 }
 
 // Tries the hinted leader, then each control replica, until one leads. Asking
 // twice is harmless: the command id makes the second the first one's outcome.
-ConfigService::LeaderAnswer ConfigService::AskLeader(const std::string& method,
-                                                     const Json& params,
-                                                     Duration timeout) {
+ConfigService::LeaderResult ConfigService::CallLeader(const std::string& method,
+                                                      const Json& params,
+                                                      Duration timeout) {
   const TimePoint deadline = SteadyNow() + timeout;
   bool may_have_run = false;
   while (SteadyNow() < deadline) {
@@ -341,10 +341,10 @@
     }
     loop_.SleepFor(kRetryDelay);
   }
-  return may_have_run ? Unknown() : NoLeader();
+  return may_have_run ? OutcomeUnknown() : NoLeader();
 }
 
-boost::json::value ConfigService::NotLeader() const {
+boost::json::value ConfigService::NotLeaderReply() const {
   json::value hint;
   if (leader_hint_.has_value()) {
     hint = json::string(leader_hint_->value());
@@ -363,15 +363,15 @@
     return std::nullopt;
   }
   if (!leads()) {
-    return NotLeader();
+    return NotLeaderReply();
   }
-  const auto outcome = ProposeHere(*command, kCallTimeout);
+  const auto outcome = ProposeLocally(*command, kCallTimeout);
   if (const auto* known = std::get_if<config::Outcome>(&outcome)) {
     return json::object{{"outcome", config::ToJson(*known)}};
   }
   const auto& failure = std::get<ControlFailure>(outcome);
   if (failure.kind == ControlFailureKind::kNoLeader) {
-    return NotLeader();
+    return NotLeaderReply();
   }
   // Without an outcome the caller asks again with the same command id.
   return json::object{{"failure", failure.detail}};
@@ -394,14 +394,14 @@
   if (leads()) {
     return spread_.spreader().coverage(version, SteadyNow());
   }
-  const LeaderAnswer answer = AskLeader(
+  const LeaderResult answer = CallLeader(
       "control.coverage", json::object{{"version", version.value()}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
   const auto coverage = CoverageFromJson(std::get<Json>(answer));
   if (!coverage.has_value()) {
-    return Unknown();
+    return OutcomeUnknown();
   }
   return *coverage;
 }
@@ -418,7 +418,7 @@
     return std::nullopt;
   }
   if (!leads()) {
-    return NotLeader();
+    return NotLeaderReply();
   }
   return ToJson(
       spread_.spreader().coverage(ConfigVersion(number), SteadyNow()));
--- a/src/plugins/control/config_service.h
+++ b/src/plugins/control/config_service.h
@@ -36,11 +36,11 @@
                 spreading::SpreadDriver& spread,
                 std::vector<SeedMember> seeds);
 
-  // On a control replica, before its first event. `is_blank`: its folder is
-  // new.
-  void SetReplica(ReplicaDriver* replica, bool is_blank) {
+  // On a control replica, before its first event. `is_new_folder`: its folder
+  // is new.
+  void SetReplica(ReplicaDriver* replica, bool is_new_folder) {
     replica_ = replica;
-    is_blank_ = is_blank;
+    is_new_folder_ = is_new_folder;
   }
   // Whose reports operators get.
   void SetGroups(const GroupDriver* groups) { groups_ = groups; }
@@ -63,7 +63,7 @@
   std::vector<NodeId> control_members() const;
   // Whether this replica was one of those that founded the log, from this
   // folder and since this start.
-  bool has_founded() const { return has_founded_; }
+  bool has_bootstrapped() const { return has_bootstrapped_; }
 
   // Whether this replica leads the control group.
   bool leads() const;
@@ -95,25 +95,26 @@
  private:
   using Json = boost::json::value;
   // One call to whoever leads: an answer, or why there is none.
-  using LeaderAnswer = std::variant<Json, ControlFailure>;
+  using LeaderResult = std::variant<Json, ControlFailure>;
 
-  std::variant<config::Outcome, ControlFailure> ProposeHere(
+  std::variant<config::Outcome, ControlFailure> ProposeLocally(
       const config::Command& command,
       Duration timeout);
-  LeaderAnswer AskLeader(const std::string& method,
-                         const Json& params,
-                         Duration timeout);
+  LeaderResult CallLeader(const std::string& method,
+                          const Json& params,
+                          Duration timeout);
   std::optional<Json> OnPropose(const Json& params);
   std::optional<Json> OnCoverage(const Json& params);
-  Json NotLeader() const;
+  Json NotLeaderReply() const;
 
-  void NoteOutcome(LogIndex index, config::Outcome outcome);
+  void RecordOutcome(LogIndex index, config::Outcome outcome);
   void RunMembership();
-  void ObserveMembers();
-  void DriveReplacement();
+  void ProposeObservedMembers();
+  void AdvanceReplacement();
   std::vector<config::ControlMemberSpec> ObservedMembers() const;
-  config::ControlMemberSpec Describe(const NodeId& node,
-                                     config::MemberStanding standing) const;
+  config::ControlMemberSpec MakeMemberSpec(
+      const NodeId& node,
+      config::MemberStanding standing) const;
   void RefreshNodes();
 
   net::NetworkLoop& loop_;
@@ -126,14 +127,14 @@
   const GroupDriver* groups_ = nullptr;
   config::StateMachine state_machine_;
   std::optional<NodeId> leader_hint_;
-  std::map<NodeId, net::Endpoint> nodes_;
+  std::map<NodeId, net::Endpoint> node_addresses_;
   std::vector<NodeId> agents_;
-  bool is_blank_ = false;
-  bool has_founded_ = false;
+  bool is_new_folder_ = false;
+  bool has_bootstrapped_ = false;
   RecentReports reports_;
   // Of the latest entries applied here, for those who proposed them.
   std::map<LogIndex, config::Outcome> outcomes_;
-  std::uint64_t own_commands_ = 0;
+  std::uint64_t command_count_ = 0;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/config_service_membership.cc
+++ b/src/plugins/control/config_service_membership.cc
@@ -32,14 +32,14 @@
     if (!leads()) {
       continue;
     }
-    DriveReplacement();
-    ObserveMembers();
+    AdvanceReplacement();
+    ProposeObservedMembers();
   }
 }
 
 // Carries an operator's replacement into the log once the successor, with its
 // new folder, has asked to be admitted.
-void ConfigService::DriveReplacement() {
+void ConfigService::AdvanceReplacement() {
   const consensus::Replica& replica = replica_->replica();
   const consensus::Membership& membership = replica.log().membership();
   const ControlMemberSpec* leaving = nullptr;
@@ -73,8 +73,8 @@
   }
 }
 
-ControlMemberSpec ConfigService::Describe(const NodeId& node,
-                                          MemberStanding standing) const {
+ControlMemberSpec ConfigService::MakeMemberSpec(const NodeId& node,
+                                                MemberStanding standing) const {
   ControlMemberSpec spec;
   const auto* known = configuration().Find<ControlMemberSpec>(node);
   if (known != nullptr) {
@@ -105,16 +105,16 @@
                              !IsVoter(membership, node);
     if (is_incoming) {
       is_pending = true;
-      members.push_back(Describe(node, MemberStanding::kLearner));
+      members.push_back(MakeMemberSpec(node, MemberStanding::kLearner));
     }
   }
   for (const consensus::MemberId& voter : membership.voters) {
     const auto* known = configuration().Find<ControlMemberSpec>(voter.node);
     const bool is_leaving = is_pending && known != nullptr &&
                             known->standing == MemberStanding::kLeaving;
-    members.push_back(Describe(voter.node, is_leaving
-                                               ? MemberStanding::kLeaving
-                                               : MemberStanding::kVoter));
+    members.push_back(MakeMemberSpec(voter.node, is_leaving
+                                                     ? MemberStanding::kLeaving
+                                                     : MemberStanding::kVoter));
   }
   std::sort(members.begin(), members.end(),
             [](const ControlMemberSpec& left, const ControlMemberSpec& right) {
@@ -123,7 +123,7 @@
   return members;
 }
 
-void ConfigService::ObserveMembers() {
+void ConfigService::ProposeObservedMembers() {
   if (replica_->replica().log().membership().is_joint()) {
     return;
   }
@@ -143,12 +143,12 @@
   command.id = CommandId("members-" +
                          std::to_string(replica_->replica().term().value()) +
                          "-" + std::to_string(net::WallNanoseconds()) + "-" +
-                         std::to_string(++own_commands_));
+                         std::to_string(++command_count_));
   command.operator_id = config::OperatorId("system");
   command.expected = config::Expectation{configuration().version(),
                                          config::CompareScope::kObjects};
   command.changes.push_back(config::ObserveControlMembers{observed});
-  const auto outcome = ProposeHere(command, kChangeTimeout);
+  const auto outcome = ProposeLocally(command, kChangeTimeout);
   const auto* known = std::get_if<config::Outcome>(&outcome);
   const auto* refused =
       known != nullptr ? std::get_if<config::Refused>(known) : nullptr;
--- a/src/plugins/control/control_process.cc
+++ b/src/plugins/control/control_process.cc
@@ -128,16 +128,16 @@
                     std::vector<NodeId> known_peers);
   // A new folder without initial members waits here until it has heard of the
   // entries, some of which are the control group that it is to join.
-  void JoinLater(std::unique_ptr<storage::DataFolder> folder);
+  void JoinAfterDiscovery(std::unique_ptr<storage::DataFolder> folder);
   // The entries that gossip tells of.
   std::vector<NodeId> OtherEntries() const;
-  void FeedTargets();
-  void FeedConfiguration();
-  void FeedEntries();
+  void RunFeedLoop();
+  void PushConfiguration();
+  void PushEntries();
   std::optional<boost::json::value> OnDemand(const boost::json::value& params);
   void PopReports();
   attempts::ClaimHolder MakeHolder(bool first_start) const;
-  storage::Result<void> BeginHolder();
+  storage::Result<void> InitializeHolder();
   void StoreLedger();
   spreading::SpreadHooks MakeSpreadHooks();
   ReplicaHooks MakeReplicaHooks();
@@ -165,7 +165,7 @@
   std::unique_ptr<ReplicaDriver> replica;
   bool is_config_pending = false;
   net::FiberSignal feed_due;
-  TimePoint entries_fed_at;
+  TimePoint entries_pushed_at;
   rings::BoundedRing<CallerReport> reports;
   std::unique_ptr<links::LinkServer> server;
   std::thread thread;
@@ -218,7 +218,7 @@
   config.Start();
   groups.Start();
   log.Info("Started.", {{"peers", settings.peers_listen.ToString()}});
-  FeedTargets();
+  RunFeedLoop();
 }
 
 std::string ControlProcess::Private::OpenReplica() {
@@ -236,11 +236,11 @@
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(folder, storage::DataFolder::Open(files, options));
-        BOOST_LEAF_CHECK(BeginHolder());
-        const bool is_blank =
+        BOOST_LEAF_CHECK(InitializeHolder());
+        const bool is_new_folder =
             folder->recovered().hard_state.cluster == consensus::ClusterId(0);
-        if (is_blank && settings.initial_members.empty()) {
-          JoinLater(std::move(folder));
+        if (is_new_folder && settings.initial_members.empty()) {
+          JoinAfterDiscovery(std::move(folder));
           return {};
         }
         StartReplica(std::move(folder), {});
@@ -253,15 +253,15 @@
   return error;
 }
 
-storage::Result<void> ControlProcess::Private::BeginHolder() {
+storage::Result<void> ControlProcess::Private::InitializeHolder() {
   ledger_file = std::make_unique<LedgerFile>(files, settings.data_folder);
-  BOOST_LEAF_AUTO(start, ledger_file->Begin());
+  BOOST_LEAF_AUTO(start, ledger_file->ReadAndClear());
   holder_incarnation = start.incarnation;
   attempts::ClaimHolder holder = MakeHolder(/*first_start=*/false);
-  const bool is_whole =
+  const bool is_imported =
       start.ledger.has_value() && holder.Import(*start.ledger, SteadyNow());
-  log.Info(is_whole ? "Took over the ledger of claims."
-                    : "No ledger of claims; abstaining for a window.");
+  log.Info(is_imported ? "Took over the ledger of claims."
+                       : "No ledger of claims; abstaining for a window.");
   claims.ReplaceHolder(std::move(holder));
   return {};
 }
@@ -289,17 +289,17 @@
     options.initial_voters.push_back(member.node);
   }
   options.known_peers = std::move(known_peers);
-  const bool is_blank =
+  const bool is_new_folder =
       folder->recovered().hard_state.cluster == consensus::ClusterId(0);
   replica = std::make_unique<ReplicaDriver>(loop, client, std::move(folder),
                                             options, std::random_device()(),
                                             MakeReplicaHooks());
-  config.SetReplica(replica.get(), is_blank);
+  config.SetReplica(replica.get(), is_new_folder);
   replica->Register(*server);
   replica->Start();
 }
 
-void ControlProcess::Private::JoinLater(
+void ControlProcess::Private::JoinAfterDiscovery(
     std::unique_ptr<storage::DataFolder> folder) {
   auto shared =
       std::make_shared<std::unique_ptr<storage::DataFolder>>(std::move(folder));
@@ -333,9 +333,9 @@
 ReplicaHooks ControlProcess::Private::MakeReplicaHooks() {
   ReplicaHooks hooks;
   hooks.apply = [this](const std::vector<consensus::LogEntry>& entries) {
-    const bool had_founded = config.has_founded();
+    const bool had_bootstrapped = config.has_bootstrapped();
     config.Apply(entries);
-    if (!had_founded && config.has_founded()) {
+    if (!had_bootstrapped && config.has_bootstrapped()) {
       // The deployment has never run, so there is no vote to have forgotten.
       claims.ReplaceHolder(MakeHolder(/*first_start=*/true));
       is_config_pending = true;
@@ -376,7 +376,7 @@
                                SteadyNow());
 }
 
-void ControlProcess::Private::FeedConfiguration() {
+void ControlProcess::Private::PushConfiguration() {
   const bool is_known = config.configuration().version() > ConfigVersion(0);
   if (!is_config_pending || !is_known) {
     return;
@@ -386,21 +386,21 @@
   // A roster without members would count as an older one for a whole window,
   // and no claim can win a majority of nobody.
   const bool has_roster = !roster.roster.members.empty();
-  const bool is_taken =
+  const bool is_pushed =
       (!has_roster || push(std::move(roster))) &&
       push(ConfigUpdate{
           std::make_shared<const config::Configuration>(config.configuration()),
           spread.spreader().stale(SteadyNow())});
   // Where the ring was full it is tried again with the next picture.
-  is_config_pending = !is_taken;
+  is_config_pending = !is_pushed;
 }
 
-void ControlProcess::Private::FeedEntries() {
+void ControlProcess::Private::PushEntries() {
   const TimePoint now = SteadyNow();
-  if (now - entries_fed_at < kEntriesInterval) {
+  if (now - entries_pushed_at < kEntriesInterval) {
     return;
   }
-  entries_fed_at = now;
+  entries_pushed_at = now;
   EntriesUpdate update;
   for (const auto& [domain, nodes] : config.Topology().entries) {
     for (const NodeId& node : nodes) {
@@ -446,12 +446,12 @@
       [this](CallerReport&& report) { config.AddReport(std::move(report)); });
 }
 
-void ControlProcess::Private::FeedTargets() {
+void ControlProcess::Private::RunFeedLoop() {
   while (true) {
     // Where the ring is full the next picture replaces this one.
     push(directory.MakeTargetsUpdate(SteadyNow()));
-    FeedConfiguration();
-    FeedEntries();
+    PushConfiguration();
+    PushEntries();
     // News of a target goes on at once.
     feed_due.WaitUntil(SteadyNow() + kFeedInterval);
   }
@@ -488,7 +488,7 @@
   return error.get();
 }
 
-bool ControlProcess::TakeReport(CallerReport&& report) {
+bool ControlProcess::EnqueueReport(CallerReport&& report) {
   return d_->reports.TryPush(std::move(report));
 }
 
--- a/src/plugins/control/control_process.h
+++ b/src/plugins/control/control_process.h
@@ -51,7 +51,7 @@
 
   // From the callers thread. False where the ring is full: the report is lost,
   // which only operators who ask why can notice, and counted.
-  bool TakeReport(CallerReport&& report);
+  bool EnqueueReport(CallerReport&& report);
 
   // From any thread: readiness goes first, then peers are told.
   void StartDraining();
--- a/src/plugins/control/ledger_file.cc
+++ b/src/plugins/control/ledger_file.cc
@@ -18,37 +18,37 @@
 
 }  // namespace
 
-storage::Result<std::string> LedgerFile::ReadIfThere() {
+storage::Result<std::string> LedgerFile::ReadIfExists() {
   BOOST_LEAF_AUTO(names, files_.List(folder_));
-  const bool is_there =
+  const bool exists =
       std::find(names.begin(), names.end(), kFileName) != names.end();
-  if (!is_there) {
+  if (!exists) {
     return std::string();
   }
   return files_.Read(folder_ + "/" + kFileName);
 }
 
-storage::Result<LedgerStart> LedgerFile::Begin() {
-  BOOST_LEAF_AUTO(text, ReadIfThere());
-  LedgerStart start;
+storage::Result<RecoveredLedger> LedgerFile::ReadAndClear() {
+  BOOST_LEAF_AUTO(text, ReadIfExists());
+  RecoveredLedger recovered;
   boost::system::error_code error;
   const json::value value = json::parse(text, error);
   const auto* object = error ? nullptr : value.if_object();
   const auto* number =
       object != nullptr ? object->if_contains("incarnation") : nullptr;
   if (number != nullptr && number->is_int64()) {
-    start.incarnation =
+    recovered.incarnation =
         Incarnation(static_cast<std::uint64_t>(number->as_int64()) + 1);
   }
   const auto* ledger =
       object != nullptr ? object->if_contains("ledger") : nullptr;
   if (ledger != nullptr) {
-    start.ledger = attempts::LedgerFromJson(*ledger);
+    recovered.ledger = attempts::LedgerFromJson(*ledger);
   }
-  incarnation_ = start.incarnation;
+  incarnation_ = recovered.incarnation;
   BOOST_LEAF_CHECK(Write(
       json::serialize(json::object{{"incarnation", incarnation_.value()}})));
-  return start;
+  return recovered;
 }
 
 storage::Result<void> LedgerFile::Store(const attempts::LedgerExport& ledger) {
--- a/src/plugins/control/ledger_file.h
+++ b/src/plugins/control/ledger_file.h
@@ -18,7 +18,7 @@
 namespace bilberryspool::control {
 
 // What a start found.
-struct LedgerStart {
+struct RecoveredLedger {
   // One above that of the start before.
   Incarnation incarnation{1};
   // Only after a planned stop.
@@ -32,12 +32,12 @@
       : files_(files), folder_(std::move(folder)) {}
 
   // Reads the file and leaves it without a ledger. To be called once a start.
-  storage::Result<LedgerStart> Begin();
+  storage::Result<RecoveredLedger> ReadAndClear();
   // At a planned stop, after the holder's last vote.
   storage::Result<void> Store(const attempts::LedgerExport& ledger);
 
  private:
-  storage::Result<std::string> ReadIfThere();
+  storage::Result<std::string> ReadIfExists();
   storage::Result<void> Write(const std::string& text);
 
   storage::FileSystem& files_;
--- a/src/plugins/entry/entry_process.cc
+++ b/src/plugins/entry/entry_process.cc
@@ -36,7 +36,7 @@
                                     return callers.TakeFeed(std::move(feed));
                                   });
   callers.SetReporter([&control](control::CallerReport&& report) {
-    control.TakeReport(std::move(report));
+    control.EnqueueReport(std::move(report));
   });
   std::unique_ptr<operators::OperatorsServer> operators;
   control.SetOperators(
--- a/tests/auto/control/ledger_file_test.cc
+++ b/tests/auto/control/ledger_file_test.cc
@@ -19,15 +19,15 @@
   return folder.string();
 }
 
-LedgerStart Begin(LedgerFile& file) {
-  LedgerStart start;
+RecoveredLedger ReadAndClear(LedgerFile& file) {
+  RecoveredLedger recovered;
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
-        BOOST_LEAF_ASSIGN(start, file.Begin());
+        BOOST_LEAF_ASSIGN(recovered, file.ReadAndClear());
         return {};
       },
       [] { FAIL("the ledger file can't be read"); });
-  return start;
+  return recovered;
 }
 
 void Store(LedgerFile& file, const attempts::LedgerExport& ledger) {
@@ -43,19 +43,19 @@
   storage::PosixFileSystem files;
   const std::string folder = MakeFolder("ledger-once");
   LedgerFile first(files, folder);
-  const LedgerStart new_folder = Begin(first);
+  const RecoveredLedger new_folder = ReadAndClear(first);
   CHECK(new_folder.incarnation == Incarnation(1));
   CHECK_FALSE(new_folder.ledger.has_value());
   Store(first, {NodeId("h"), new_folder.incarnation, {}});
 
   LedgerFile second(files, folder);
-  const LedgerStart after_stop = Begin(second);
+  const RecoveredLedger after_stop = ReadAndClear(second);
   CHECK(after_stop.incarnation == Incarnation(2));
   REQUIRE(after_stop.ledger.has_value());
   CHECK(after_stop.ledger->incarnation == Incarnation(1));
 
   LedgerFile third(files, folder);
-  const LedgerStart after_kill = Begin(third);
+  const RecoveredLedger after_kill = ReadAndClear(third);
   CHECK(after_kill.incarnation == Incarnation(3));
   CHECK_FALSE(after_kill.ledger.has_value());
   std::filesystem::remove_all(folder);
