--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -130,9 +130,9 @@
     }
     const auto delta = state_machine_.DeltaFrom(before);
     if (delta.has_value()) {
-      spread_.TakeStep(*delta, digest);
+      spread_.ApplyCommittedStep(*delta, digest);
     } else {
-      spread_.TakeState(state_machine_.configuration());
+      spread_.ApplyCommittedState(state_machine_.configuration());
     }
   }
 }
@@ -151,7 +151,7 @@
   BILBERRYSPOOL_INVARIANT(state.has_value(),
                           "a snapshot of the log can be read");
   state_machine_ = config::StateMachine(std::move(*state));
-  spread_.TakeState(state_machine_.configuration());
+  spread_.ApplyCommittedState(state_machine_.configuration());
 }
 
 std::string ConfigService::MakeSnapshot() const {
--- a/src/plugins/control/directory_driver.cc
+++ b/src/plugins/control/directory_driver.cc
@@ -31,12 +31,12 @@
   }
 }
 
-// `has_better`: some target that is fully offered serves the same. A target of
-// last resort has a small weight beside it; where there is none the weight
-// stays, or an entry that hears no heartbeats would believe in no room at all
-// and refuse what its targets could run.
+// `has_offered_alternative`: some target that is fully offered serves the same.
+// A target of last resort has a small weight beside it; where there is none the
+// weight stays, or an entry that hears no heartbeats would believe in no room
+// at all and refuse what its targets could run.
 routing::TargetView ToRoutingView(const membership::TargetView& view,
-                                  bool has_better) {
+                                  bool has_offered_alternative) {
   constexpr double kLastResortWeight = 0.05;
   const membership::Announcement& description = *view.announcement;
   routing::TargetView target;
@@ -51,7 +51,7 @@
   target.load.limit = view.load.limit;
   target.load.age = view.load.age;
   target.group_weight = view.share;
-  if (view.offer == membership::Offer::kLastResort && has_better) {
+  if (view.offer == membership::Offer::kLastResort && has_offered_alternative) {
     target.group_weight = std::min(view.share, kLastResortWeight);
   }
   return target;
@@ -95,13 +95,13 @@
     const membership::DirectoryEvent& event) {
   std::optional<membership::AnnounceReply> reply;
   for (const auto& action : directory_.Handle(event, SteadyNow())) {
-    Carry(action, &reply);
+    Execute(action, &reply);
   }
   return reply;
 }
 
-void DirectoryDriver::Carry(const membership::DirectoryAction& action,
-                            std::optional<membership::AnnounceReply>* reply) {
+void DirectoryDriver::Execute(const membership::DirectoryAction& action,
+                              std::optional<membership::AnnounceReply>* reply) {
   std::visit(
       Overloaded{[&](const membership::ReplyToAgent& answer) {
                    *reply = answer.reply;
@@ -178,11 +178,11 @@
 
 TargetsUpdate DirectoryDriver::MakeTargetsUpdate(TimePoint now) const {
   const std::vector<membership::TargetView> views = directory_.targets(now);
-  std::set<ServiceId> offered;
+  std::set<ServiceId> offered_services;
   for (const membership::TargetView& view : views) {
     if (view.offer == membership::Offer::kYes) {
-      offered.insert(view.announcement->services.begin(),
-                     view.announcement->services.end());
+      offered_services.insert(view.announcement->services.begin(),
+                              view.announcement->services.end());
     }
   }
   TargetsUpdate update;
@@ -196,12 +196,13 @@
       continue;
     }
     const auto& services = view.announcement->services;
-    const bool has_better = std::any_of(services.begin(), services.end(),
-                                        [&offered](const ServiceId& service) {
-                                          return offered.contains(service);
-                                        });
-    update.targets.push_back({ToRoutingView(view, has_better), *agent,
-                              view.announcement->claim.incarnation});
+    const bool has_offered_alternative =
+        std::any_of(services.begin(), services.end(),
+                    [&offered_services](const ServiceId& service) {
+                      return offered_services.contains(service);
+                    });
+    update.targets.push_back({ToRoutingView(view, has_offered_alternative),
+                              *agent, view.announcement->claim.incarnation});
   }
   return update;
 }
--- a/src/plugins/control/directory_driver.h
+++ b/src/plugins/control/directory_driver.h
@@ -50,8 +50,8 @@
   // Carries out the actions; returns the reply to the calling agent, if any.
   std::optional<membership::AnnounceReply> Handle(
       const membership::DirectoryEvent& event);
-  void Carry(const membership::DirectoryAction& action,
-             std::optional<membership::AnnounceReply>* reply);
+  void Execute(const membership::DirectoryAction& action,
+               std::optional<membership::AnnounceReply>* reply);
   void SendToPeer(const membership::SendToPeer& send);
   std::optional<Json> OnAnnounce(const Json& params);
   std::optional<Json> OnHeartbeat(const Json& params);
--- a/src/plugins/control/disk_worker.cc
+++ b/src/plugins/control/disk_worker.cc
@@ -70,28 +70,28 @@
     return;
   }
   std::visit(Overloaded{[this](const consensus::Persist& persist) {
-                          written_ = persist.ticket;
-                          has_written_ = true;
+                          last_written_ = persist.ticket;
+                          has_unsynced_ = true;
                         },
                         [this](const consensus::PersistSnapshot& persist) {
-                          written_ = persist.ticket;
-                          has_written_ = true;
+                          last_written_ = persist.ticket;
+                          has_unsynced_ = true;
                         },
                         [](const consensus::CompactLog&) {}},
              job);
 }
 
 void DiskWorker::SyncBatch() {
-  if (has_failed_ || !has_written_) {
+  if (has_failed_ || !has_unsynced_) {
     return;
   }
-  has_written_ = false;
+  has_unsynced_ = false;
   leaf::try_handle_all(
       [this]() -> leaf::result<void> { return folder_->Sync(); },
       [this](const storage::StorageError& error) { Fail(Describe(error)); },
       [this] { Fail("unknown error"); });
   if (!has_failed_) {
-    on_synced_(written_);
+    on_synced_(last_written_);
   }
 }
 
--- a/src/plugins/control/disk_worker.h
+++ b/src/plugins/control/disk_worker.h
@@ -51,8 +51,8 @@
   OnSynced on_synced_;
   OnFailed on_failed_;
   // The newest write of the present batch.
-  consensus::PersistTicket written_;
-  bool has_written_ = false;
+  consensus::PersistTicket last_written_;
+  bool has_unsynced_ = false;
   // After a failure nothing more is promised from this folder.
   bool has_failed_ = false;
   // Last, so that its thread ends before what it uses.
--- a/src/plugins/control/group_run.cc
+++ b/src/plugins/control/group_run.cc
@@ -253,18 +253,18 @@
   }
   for (const groups::ControllerAction& action :
        controller_.Handle(event, now)) {
-    std::visit([this](const auto& each) { CarryOut(each); }, action);
+    std::visit([this](const auto& each) { Execute(each); }, action);
   }
 }
 
-void GroupRun::CarryOut(const groups::SendOrder& action) {
+void GroupRun::Execute(const groups::SendOrder& action) {
   const auto found = contacts_.ranks.find(action.rank);
   if (found != contacts_.ranks.end()) {
     Send(found->second, "group.order", groups::ToJson(action.order));
   }
 }
 
-void GroupRun::CarryOut(const groups::RecordMap& action) {
+void GroupRun::Execute(const groups::RecordMap& action) {
   if (is_recording_) {
     return;
   }
@@ -292,11 +292,11 @@
   });
 }
 
-void GroupRun::CarryOut(const groups::GroupStateChanged& action) {
+void GroupRun::Execute(const groups::GroupStateChanged& action) {
   log_.Info("Group state.", {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
-void GroupRun::CarryOut(const groups::MapRefused& action) {
+void GroupRun::Execute(const groups::MapRefused& action) {
   log_.Warn("Map refused.", {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
--- a/src/plugins/control/group_run.h
+++ b/src/plugins/control/group_run.h
@@ -65,10 +65,10 @@
   void AskForMap(TimePoint now);
   std::optional<placement::ExpertMap> AskPolicy(TimePoint now);
   void Handle(const groups::ControllerEvent& event, TimePoint now);
-  void CarryOut(const groups::SendOrder& action);
-  void CarryOut(const groups::RecordMap& action);
-  void CarryOut(const groups::GroupStateChanged& action);
-  void CarryOut(const groups::MapRefused& action);
+  void Execute(const groups::SendOrder& action);
+  void Execute(const groups::RecordMap& action);
+  void Execute(const groups::GroupStateChanged& action);
+  void Execute(const groups::MapRefused& action);
   void Send(const std::string& address,
             const std::string& method,
             const Json& params);
--- a/src/plugins/control/replica_driver.cc
+++ b/src/plugins/control/replica_driver.cc
@@ -40,20 +40,20 @@
                              consensus::ReplicaOptions options,
                              std::uint64_t seed,
                              ReplicaHooks hooks,
-                             SnapshotPolicy snapshots)
+                             SnapshotPolicy snapshot_policy)
     : loop_(loop),
       client_(client),
       hooks_(std::move(hooks)),
       log_("replica"),
       replica_(folder->recovered(), std::move(options), seed),
-      snapshots_(snapshots),
+      snapshot_policy_(snapshot_policy),
       disk_(
           std::move(folder),
           [this](consensus::PersistTicket ticket) {
             loop_.Post([this, ticket] {
               unsynced_.erase(unsynced_.begin(), unsynced_.upper_bound(ticket));
               Handle(consensus::Persisted{ticket});
-              PumpDisk();
+              FlushBacklog();
             });
           },
           [this](const std::string& what) {
@@ -76,7 +76,7 @@
 void ReplicaDriver::Run() {
   while (!has_failed_) {
     Handle(consensus::Tick{});
-    PumpDisk();
+    FlushBacklog();
     const TimePoint now = SteadyNow();
     const TimePoint due =
         replica_.next_deadline().value_or(now + kMaxTickInterval);
@@ -106,11 +106,11 @@
     return;
   }
   for (const consensus::Action& action : replica_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void ReplicaDriver::Carry(const consensus::Action& action) {
+void ReplicaDriver::Execute(const consensus::Action& action) {
   std::visit(
       Overloaded{
           [this](const consensus::Send& send) { Send(send); },
@@ -129,15 +129,15 @@
             hooks_.restore(*restore.snapshot);
           },
           [this](const consensus::ProposalOutcome& outcome) {
-            const auto found = waiters_.find(outcome.ticket);
-            if (found != waiters_.end()) {
+            const auto found = proposal_waiters_.find(outcome.ticket);
+            if (found != proposal_waiters_.end()) {
               found->second->result = outcome.result;
               found->second->signal.NotifyAll();
             }
           },
           [this](const consensus::ReadOutcome& outcome) {
-            const auto found = reads_.find(outcome.ticket);
-            if (found != reads_.end()) {
+            const auto found = read_waiters_.find(outcome.ticket);
+            if (found != read_waiters_.end()) {
               found->second->is_current =
                   std::holds_alternative<consensus::ReadAt>(outcome.result);
               found->second->signal.NotifyAll();
@@ -177,12 +177,12 @@
 
 void ReplicaDriver::Write(DiskJob job) {
   backlog_.push_back(std::move(job));
-  PumpDisk();
+  FlushBacklog();
 }
 
 // The order of the jobs is what makes them safe, so one that finds the ring
 // full waits here and all after it behind it.
-void ReplicaDriver::PumpDisk() {
+void ReplicaDriver::FlushBacklog() {
   while (!backlog_.empty() && disk_.TryPush(std::move(backlog_.front()))) {
     backlog_.pop_front();
   }
@@ -195,8 +195,8 @@
     bytes_since_snapshot_ += consensus::SizeOf(entry);
   }
   const bool is_due =
-      applied.value() >= last_snapshot_.value() + snapshots_.entries ||
-      bytes_since_snapshot_ >= snapshots_.bytes;
+      applied.value() >= last_snapshot_.value() + snapshot_policy_.entries ||
+      bytes_since_snapshot_ >= snapshot_policy_.bytes;
   if (!is_due) {
     return;
   }
@@ -212,7 +212,8 @@
                                                             Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::Propose{ticket, std::move(bytes)}, timeout);
+  return AwaitOutcome(ticket, consensus::Propose{ticket, std::move(bytes)},
+                      timeout);
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Change(
@@ -220,21 +221,22 @@
     Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::ChangeMembership{ticket, change}, timeout);
+  return AwaitOutcome(ticket, consensus::ChangeMembership{ticket, change},
+                      timeout);
 }
 
-std::optional<ReplicaDriver::Result> ReplicaDriver::Wait(
+std::optional<ReplicaDriver::Result> ReplicaDriver::AwaitOutcome(
     consensus::RequestTicket ticket,
     const consensus::Event& event,
     Duration timeout) {
   auto waiter = std::make_shared<Waiter>();
-  waiters_[ticket] = waiter;
+  proposal_waiters_[ticket] = waiter;
   const TimePoint deadline = SteadyNow() + timeout;
   Handle(event);
   while (!waiter->result.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
   }
-  waiters_.erase(ticket);
+  proposal_waiters_.erase(ticket);
   return waiter->result;
 }
 
@@ -242,13 +244,13 @@
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
   auto waiter = std::make_shared<ReadWaiter>();
-  reads_[ticket] = waiter;
+  read_waiters_[ticket] = waiter;
   const TimePoint deadline = SteadyNow() + timeout;
   Handle(consensus::ReadBarrier{ticket});
   while (!waiter->is_current.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
   }
-  reads_.erase(ticket);
+  read_waiters_.erase(ticket);
   return waiter->is_current.value_or(false);
 }
 
@@ -256,7 +258,7 @@
   Handle(consensus::PeersLearned{std::move(peers)});
 }
 
-void ReplicaDriver::HandOver() {
+void ReplicaDriver::TransferLeadership() {
   Handle(consensus::TransferLeadership{});
 }
 
--- a/src/plugins/control/replica_driver.h
+++ b/src/plugins/control/replica_driver.h
@@ -50,7 +50,7 @@
                 consensus::ReplicaOptions options,
                 std::uint64_t seed,
                 ReplicaHooks hooks,
-                SnapshotPolicy snapshots = {});
+                SnapshotPolicy snapshot_policy = {});
 
   void Register(links::LinkServer& server);
   void Start();
@@ -75,7 +75,7 @@
   // Further nodes that hold replicas.
   void LearnPeers(std::vector<NodeId> peers);
   // Asks the leader, where this is it, to hand over.
-  void HandOver();
+  void TransferLeadership();
 
   const consensus::Replica& replica() const { return replica_; }
   bool is_leader(TimePoint now) const;
@@ -97,14 +97,14 @@
 
   void Run();
   void Handle(const consensus::Event& event);
-  void Carry(const consensus::Action& action);
+  void Execute(const consensus::Action& action);
   void Send(const consensus::Send& send);
   void Write(DiskJob job);
-  void PumpDisk();
+  void FlushBacklog();
   void Apply(const consensus::Apply& apply);
-  std::optional<Result> Wait(consensus::RequestTicket ticket,
-                             const consensus::Event& event,
-                             Duration timeout);
+  std::optional<Result> AwaitOutcome(consensus::RequestTicket ticket,
+                                     const consensus::Event& event,
+                                     Duration timeout);
 
   net::NetworkLoop& loop_;
   links::LinkClient& client_;
@@ -115,9 +115,9 @@
   // Jobs that found the ring to the disk thread full, in order.
   std::deque<DiskJob> backlog_;
   consensus::RequestTicket last_ticket_;
-  std::map<consensus::RequestTicket, std::shared_ptr<Waiter>> waiters_;
-  std::map<consensus::RequestTicket, std::shared_ptr<ReadWaiter>> reads_;
-  SnapshotPolicy snapshots_;
+  std::map<consensus::RequestTicket, std::shared_ptr<Waiter>> proposal_waiters_;
+  std::map<consensus::RequestTicket, std::shared_ptr<ReadWaiter>> read_waiters_;
+  SnapshotPolicy snapshot_policy_;
   LogIndex last_snapshot_;
   std::uint64_t bytes_since_snapshot_ = 0;
   // Writes that are not synced yet, with when they were asked for.
--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -168,7 +168,7 @@
   if (driver_->is_leader(now) && driver_->disk_lag(now) > kStalledDisk) {
     log_.Warn("Handing over: the disk does not answer.",
               {{"waited_ms", driver_->disk_lag(now).count() / 1000}});
-    driver_->HandOver();
+    driver_->TransferLeadership();
   }
 }
 
--- a/src/plugins/spreading/spread_driver.cc
+++ b/src/plugins/spreading/spread_driver.cc
@@ -37,8 +37,8 @@
 template <typename Message>
 std::optional<boost::json::value> SpreadDriver::OnMessage(
     const Json& params,
-    std::optional<Message> (*read)(const Json&),
-    const std::function<void(Message)>& take) {
+    std::optional<Message> (*parse)(const Json&),
+    const std::function<void(Message)>& on_message) {
   const auto* object = params.if_object();
   const auto* address =
       object != nullptr ? object->if_contains("address") : nullptr;
@@ -47,13 +47,13 @@
   if (address == nullptr || !address->is_string() || body == nullptr) {
     return std::nullopt;
   }
-  auto message = read(*body);
+  auto message = parse(*body);
   const auto endpoint = net::ParseEndpoint(std::string(address->as_string()));
   if (!message.has_value() || !endpoint.has_value()) {
     return std::nullopt;
   }
   senders_[message->sender.node] = *endpoint;
-  take(std::move(*message));
+  on_message(std::move(*message));
   return Json(true);
 }
 
@@ -84,8 +84,8 @@
 
 void SpreadDriver::Run() {
   while (true) {
-    if (SteadyNow() - topology_at_ >= kTopologyInterval) {
-      topology_at_ = SteadyNow();
+    if (SteadyNow() - topology_refreshed_at_ >= kTopologyInterval) {
+      topology_refreshed_at_ = SteadyNow();
       Handle(hooks_.topology());
     }
     Handle(spread::SpreaderTick{});
@@ -98,18 +98,18 @@
 
 void SpreadDriver::Handle(const spread::SpreaderEvent& event) {
   for (const auto& action : spreader_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void SpreadDriver::Carry(const spread::SpreaderAction& action) {
+void SpreadDriver::Execute(const spread::SpreaderAction& action) {
   std::visit(
       Overloaded{[this](const spread::SendDelta& send) {
                    Send(send.to, "spread.delta", spread::ToJson(send.message));
                  },
                  [this](const spread::SendFull& send) {
                    spread::FullMessage message = send.message;
-                   message.at = point();
+                   message.at = applied_point();
                    message.bytes = config::ToBytes(applied_.configuration());
                    Send(send.to, "spread.full", spread::ToJson(message));
                  },
@@ -151,27 +151,27 @@
   for (const spread::DeltaStep& step : apply.steps) {
     const auto delta = config::DeltaFromBytes(step.bytes);
     if (!delta.has_value()) {
-      Report(config::ApplyResult::kDiverged);
+      ReportApplyResult(config::ApplyResult::kDiverged);
       return;
     }
     const config::ApplyResult result = applied_.Apply(*delta);
     const bool is_in_force = result == config::ApplyResult::kApplied ||
                              result == config::ApplyResult::kStale;
     if (!is_in_force) {
-      Report(result);
+      ReportApplyResult(result);
       return;
     }
   }
-  Report(config::ApplyResult::kApplied);
+  ReportApplyResult(config::ApplyResult::kApplied);
 }
 
 void SpreadDriver::ApplyFull(const spread::ApplyFull& apply) {
   const auto state = config::ConfigurationFromBytes(apply.bytes);
-  Report(state.has_value() ? applied_.Replace(*state)
-                           : config::ApplyResult::kDiverged);
+  ReportApplyResult(state.has_value() ? applied_.Replace(*state)
+                                      : config::ApplyResult::kDiverged);
 }
 
-void SpreadDriver::Report(config::ApplyResult result) {
+void SpreadDriver::ReportApplyResult(config::ApplyResult result) {
   const bool is_in_force = result == config::ApplyResult::kApplied ||
                            result == config::ApplyResult::kStale;
   if (!is_in_force) {
@@ -180,16 +180,16 @@
     Handle(spread::ApplyFailed{});
     return;
   }
-  Handle(spread::Applied{point()});
+  Handle(spread::Applied{applied_point()});
   hooks_.in_force_changed();
 }
 
-spread::ConfigPoint SpreadDriver::point() const {
+spread::ConfigPoint SpreadDriver::applied_point() const {
   return {applied_.version(), applied_.configuration().digest().value()};
 }
 
-void SpreadDriver::TakeStep(const config::Delta& delta,
-                            config::Digest from_digest) {
+void SpreadDriver::ApplyCommittedStep(const config::Delta& delta,
+                                      config::Digest from_digest) {
   applied_.Apply(delta);
   spread::DeltaStep step;
   step.from = {delta.from, from_digest.value()};
@@ -199,9 +199,9 @@
   hooks_.in_force_changed();
 }
 
-void SpreadDriver::TakeState(const config::Configuration& state) {
+void SpreadDriver::ApplyCommittedState(const config::Configuration& state) {
   applied_.Replace(state);
-  Handle(spread::StateAdopted{point()});
+  Handle(spread::StateAdopted{applied_point()});
   hooks_.in_force_changed();
 }
 
--- a/src/plugins/spreading/spread_driver.h
+++ b/src/plugins/spreading/spread_driver.h
@@ -44,8 +44,9 @@
   void Start();
 
   // On a control replica: the log has committed these states.
-  void TakeStep(const config::Delta& delta, config::Digest from_digest);
-  void TakeState(const config::Configuration& state);
+  void ApplyCommittedStep(const config::Delta& delta,
+                          config::Digest from_digest);
+  void ApplyCommittedState(const config::Configuration& state);
   void SetLeading(bool is_leading);
   void SetRole(spread::SpreaderRole role) { spreader_.SetRole(role); }
 
@@ -60,16 +61,16 @@
 
   void Run();
   void Handle(const spread::SpreaderEvent& event);
-  void Carry(const spread::SpreaderAction& action);
+  void Execute(const spread::SpreaderAction& action);
   void Send(const NodeId& to, const std::string& method, const Json& params);
   template <typename Message>
   std::optional<Json> OnMessage(const Json& params,
-                                std::optional<Message> (*read)(const Json&),
-                                const std::function<void(Message)>& take);
+                                std::optional<Message> (*parse)(const Json&),
+                                const std::function<void(Message)>& on_message);
   void ApplySteps(const spread::ApplySteps& apply);
   void ApplyFull(const spread::ApplyFull& apply);
-  void Report(config::ApplyResult result);
-  spread::ConfigPoint point() const;
+  void ReportApplyResult(config::ApplyResult result);
+  spread::ConfigPoint applied_point() const;
 
   net::NetworkLoop& loop_;
   links::LinkClient& client_;
@@ -78,7 +79,7 @@
   telemetry::Logger log_;
   config::AppliedConfiguration applied_;
   std::map<NodeId, net::Endpoint> senders_;
-  TimePoint topology_at_;
+  TimePoint topology_refreshed_at_;
 };
 
 }  // namespace bilberryspool::spreading
