--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -468,8 +468,8 @@
   return status;
 }
 
-std::map<GroupId, HeardGroupReport> ConfigService::group_reports() const {
-  return groups_ == nullptr ? std::map<GroupId, HeardGroupReport>()
+std::map<GroupId, ReceivedGroupReport> ConfigService::group_reports() const {
+  return groups_ == nullptr ? std::map<GroupId, ReceivedGroupReport>()
                             : groups_->reports();
 }
 
@@ -478,7 +478,7 @@
   return reports_.reasons(service);
 }
 
-std::optional<std::string> ConfigService::request_trail(
+std::optional<std::string> ConfigService::request_outcome(
     const RequestId& request) const {
   return reports_.trail(request);
 }
--- a/src/plugins/control/config_service.h
+++ b/src/plugins/control/config_service.h
@@ -86,10 +86,10 @@
   std::optional<Duration> config_age(TimePoint now) const override;
   const membership::Directory& directory() const override;
   ReplicaStatus replica_status(TimePoint now) const override;
-  std::map<GroupId, HeardGroupReport> group_reports() const override;
+  std::map<GroupId, ReceivedGroupReport> group_reports() const override;
   std::vector<std::string> routing_reasons(
       const ServiceId& service) const override;
-  std::optional<std::string> request_trail(
+  std::optional<std::string> request_outcome(
       const RequestId& request) const override;
 
  private:
--- a/src/plugins/control/group_driver.cc
+++ b/src/plugins/control/group_driver.cc
@@ -45,29 +45,29 @@
   while (true) {
     loop_.SleepFor(kTickInterval);
     if (!config_.leads()) {
-      DropAll();
+      CloseAll();
       continue;
     }
     Reconcile();
-    for (const auto& [group, run] : runs_) {
-      run->Tick(SteadyNow());
+    for (const auto& [group, controlled] : controlled_groups_) {
+      controlled->Tick(SteadyNow());
     }
-    SpreadReports(SteadyNow());
+    BroadcastReports(SteadyNow());
   }
 }
 
-void GroupDriver::DropAll() {
-  for (const auto& [group, run] : runs_) {
-    run->Close();
+void GroupDriver::CloseAll() {
+  for (const auto& [group, controlled] : controlled_groups_) {
+    controlled->Close();
   }
-  runs_.clear();
+  controlled_groups_.clear();
 }
 
 // A group that was declared anew with other ranks or another model gets a new
 // controller, and with it a new lease.
 void GroupDriver::Reconcile() {
   const auto& declared = config_.committed().table<config::GroupSpec>();
-  std::erase_if(runs_, [&](const auto& item) {
+  std::erase_if(controlled_groups_, [&](const auto& item) {
     const auto found = declared.find(item.first);
     const bool is_present =
         found != declared.end() && found->second.spec == item.second->spec();
@@ -77,24 +77,24 @@
     return !is_present;
   });
   for (const auto& [group, row] : declared) {
-    if (!runs_.contains(group)) {
-      runs_[group] = std::make_shared<GroupRun>(loop_, client_, config_,
-                                                options_, row.spec);
+    if (!controlled_groups_.contains(group)) {
+      controlled_groups_[group] = std::make_shared<ControlledGroup>(
+          loop_, client_, config_, options_, row.spec);
     }
   }
 }
 
-void GroupDriver::SpreadReports(TimePoint now) {
-  if (now < next_reports_) {
+void GroupDriver::BroadcastReports(TimePoint now) {
+  if (now < next_reports_at_) {
     return;
   }
-  next_reports_ = now + kReportInterval;
-  for (const auto& [group, run] : runs_) {
-    const std::optional<GroupReport> report = run->report();
+  next_reports_at_ = now + kReportInterval;
+  for (const auto& [group, controlled] : controlled_groups_) {
+    const std::optional<GroupReport> report = controlled->report();
     if (!report.has_value()) {
       continue;
     }
-    Take(*report);
+    StoreReport(*report);
     for (const auto& [node, peer] : config_.directory().peers().peers()) {
       const auto endpoint = net::ParseEndpoint(peer.info.peer_address);
       if (!endpoint.has_value() || node == options_.self) {
@@ -109,11 +109,11 @@
 }
 
 // A controller that was replaced may still report for a moment.
-void GroupDriver::Take(const GroupReport& report) {
+void GroupDriver::StoreReport(const GroupReport& report) {
   const auto known = reports_.find(report.group);
-  const bool is_late =
+  const bool is_outdated =
       known != reports_.end() && report.token < known->second.report.token;
-  if (!is_late) {
+  if (!is_outdated) {
     reports_[report.group] = {report, SteadyNow()};
   }
 }
@@ -123,7 +123,7 @@
   if (!report.has_value()) {
     return std::nullopt;
   }
-  Take(*report);
+  StoreReport(*report);
   return Json(true);
 }
 
@@ -132,8 +132,8 @@
   if (!counts.has_value()) {
     return std::nullopt;
   }
-  const auto found = runs_.find(counts->group);
-  const bool is_controlled = found != runs_.end();
+  const auto found = controlled_groups_.find(counts->group);
+  const bool is_controlled = found != controlled_groups_.end();
   if (is_controlled) {
     found->second->OnCounts(*counts, SteadyNow());
   }
@@ -148,8 +148,8 @@
   if (target == nullptr || !target->is_string() || !status.has_value()) {
     return std::nullopt;
   }
-  const auto found = runs_.find(status->group);
-  const bool is_controlled = found != runs_.end();
+  const auto found = controlled_groups_.find(status->group);
+  const bool is_controlled = found != controlled_groups_.end();
   if (is_controlled) {
     found->second->OnStatus(TargetId(std::string(target->as_string())), *status,
                             SteadyNow());
--- a/src/plugins/control/group_driver.h
+++ b/src/plugins/control/group_driver.h
@@ -26,7 +26,7 @@
   void Start();
 
   // What the controllers of the groups, here or elsewhere, have told last.
-  const std::map<GroupId, HeardGroupReport>& reports() const {
+  const std::map<GroupId, ReceivedGroupReport>& reports() const {
     return reports_;
   }
 
@@ -34,12 +34,12 @@
   using Json = boost::json::value;
 
   void Run();
-  // Makes `runs_` those of the declared groups.
+  // Makes `controlled_groups_` those of the declared groups.
   void Reconcile();
-  void DropAll();
+  void CloseAll();
   // Tells all entries how the groups are.
-  void SpreadReports(TimePoint now);
-  void Take(const GroupReport& report);
+  void BroadcastReports(TimePoint now);
+  void StoreReport(const GroupReport& report);
   std::optional<Json> OnReport(const Json& params);
   std::optional<Json> OnStatus(const Json& params);
   std::optional<Json> OnCounts(const Json& params);
@@ -48,9 +48,9 @@
   links::LinkClient& client_;
   ConfigService& config_;
   GroupDriverOptions options_;
-  std::map<GroupId, std::shared_ptr<GroupRun>> runs_;
-  std::map<GroupId, HeardGroupReport> reports_;
-  TimePoint next_reports_;
+  std::map<GroupId, std::shared_ptr<ControlledGroup>> controlled_groups_;
+  std::map<GroupId, ReceivedGroupReport> reports_;
+  TimePoint next_reports_at_;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/group_maps.cc
+++ b/src/plugins/control/group_maps.cc
@@ -58,27 +58,28 @@
   return std::min(group.experts, kCopiesPerExpert * EvenShare(group) + 1);
 }
 
-groups::MapRecord RecordFor(const config::GroupSpec& group,
-                            const config::MapSpec* recorded) {
+groups::MapRecord InitialRecord(const config::GroupSpec& group,
+                                const config::MapSpec* recorded) {
   groups::MapRecord record;
   if (recorded != nullptr) {
     record.version = recorded->version;
     record.in_force = MapOf(*recorded, recorded->in_force);
   }
-  const bool has_shape = recorded != nullptr &&
-                         recorded->layers == group.layers &&
-                         recorded->experts == group.experts;
+  const bool matches_model = recorded != nullptr &&
+                             recorded->layers == group.layers &&
+                             recorded->experts == group.experts;
   const std::uint32_t slots =
       std::min(group.experts, kCopiesPerExpert * EvenShare(group));
-  record.chosen = has_shape ? MapOf(*recorded, recorded->chosen)
-                            : ExpertMap::RoundRobin(group.layers, group.experts,
-                                                    group.ranks, slots);
+  record.chosen = matches_model
+                      ? MapOf(*recorded, recorded->chosen)
+                      : ExpertMap::RoundRobin(group.layers, group.experts,
+                                              group.ranks, slots);
   return record;
 }
 
-config::MapSpec ToSpec(const GroupId& group,
-                       FencingToken token,
-                       const groups::MapRecord& record) {
+config::MapSpec ToMapSpec(const GroupId& group,
+                          FencingToken token,
+                          const groups::MapRecord& record) {
   return {group,
           record.version,
           token,
@@ -88,9 +89,9 @@
           HoldersOf(record.in_force)};
 }
 
-ExpertMap WithOrders(ExpertMap chosen,
-                     const GroupId& group,
-                     const config::Configuration& configuration) {
+ExpertMap WithOperatorOrders(ExpertMap chosen,
+                             const GroupId& group,
+                             const config::Configuration& configuration) {
   for (const auto& [key, row] : configuration.table<config::MoveSpec>()) {
     const ExpertKey expert = KeyAt(key.layer, key.expert.value());
     const bool is_due =
--- a/src/plugins/control/group_maps.h
+++ b/src/plugins/control/group_maps.h
@@ -18,18 +18,19 @@
 
 // The record that a controller starts from: the recorded map, or two copies of
 // each expert spread evenly where none is recorded for a model of this shape.
-groups::MapRecord RecordFor(const config::GroupSpec& group,
-                            const config::MapSpec* recorded);
+groups::MapRecord InitialRecord(const config::GroupSpec& group,
+                                const config::MapSpec* recorded);
 
-config::MapSpec ToSpec(const GroupId& group,
-                       FencingToken token,
-                       const groups::MapRecord& record);
+config::MapSpec ToMapSpec(const GroupId& group,
+                          FencingToken token,
+                          const groups::MapRecord& record);
 
 // `chosen` with the operators' moves, pins and forbids of the group. Applying
 // it to its own result changes nothing.
-placement::ExpertMap WithOrders(placement::ExpertMap chosen,
-                                const GroupId& group,
-                                const config::Configuration& configuration);
+placement::ExpertMap WithOperatorOrders(
+    placement::ExpertMap chosen,
+    const GroupId& group,
+    const config::Configuration& configuration);
 
 }  // namespace bilberryspool::control
 
--- a/src/plugins/control/group_policy.cc
+++ b/src/plugins/control/group_policy.cc
@@ -54,11 +54,11 @@
     : spec_(std::move(spec)), popularity_(MakeEstimatorOptions(spec_)) {}
 
 void GroupPolicy::Observe(const groups::ExpertCounts& counts, TimePoint now) {
-  const bool has_shape =
+  const bool matches_model =
       counts.layers == spec_.layers && counts.experts == spec_.experts &&
       counts.tokens.size() ==
           static_cast<std::size_t>(spec_.layers) * spec_.experts;
-  if (!has_shape || counts.rank.value() >= spec_.ranks) {
+  if (!matches_model || counts.rank.value() >= spec_.ranks) {
     return;
   }
   placement::CountReport report;
@@ -70,8 +70,8 @@
   report.tokens = placement::ExpertLoads(counts.layers, counts.experts);
   std::copy(counts.tokens.begin(), counts.tokens.end(),
             report.tokens.values().begin());
-  const bool is_news = popularity_.Observe(report, now);
-  if (is_news && !observed_since_.has_value()) {
+  const bool is_new = popularity_.Observe(report, now);
+  if (is_new && !observed_since_.has_value()) {
     observed_since_ = now;
   }
 }
@@ -113,8 +113,8 @@
   settings.move_weight = spec_.rebalance_weight;
   placement::Decision decision = placement::DecidePlacement(
       MakeInput(situation, configuration, now), settings, now);
-  if (const auto* stay = std::get_if<placement::NoMove>(&decision)) {
-    why_ = "no move: " + stay->why;
+  if (const auto* no_move = std::get_if<placement::NoMove>(&decision)) {
+    why_ = "no move: " + no_move->why;
     return std::nullopt;
   }
   auto& plan = std::get<placement::MovePlan>(decision);
--- a/src/plugins/control/group_report.h
+++ b/src/plugins/control/group_report.h
@@ -29,9 +29,9 @@
 };
 
 // A report and when this entry got it.
-struct HeardGroupReport {
+struct ReceivedGroupReport {
   GroupReport report;
-  TimePoint heard;
+  TimePoint received_at;
 };
 
 boost::json::value ToJson(const GroupReport& report);
--- a/src/plugins/control/group_run.cc
+++ b/src/plugins/control/group_run.cc
@@ -36,7 +36,7 @@
   return options;
 }
 
-const char* WordOf(groups::GroupState state) {
+const char* StateName(groups::GroupState state) {
   switch (state) {
     case groups::GroupState::kServing:
       return "serving";
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-GroupRun::GroupRun(net::NetworkLoop& loop,
-                   links::LinkClient& client,
-                   ConfigService& config,
-                   GroupDriverOptions options,
-                   config::GroupSpec spec)
+ControlledGroup::ControlledGroup(net::NetworkLoop& loop,
+                                 links::LinkClient& client,
+                                 ConfigService& config,
+                                 GroupDriverOptions options,
+                                 config::GroupSpec spec)
     : loop_(loop),
       client_(client),
       config_(config),
@@ -83,18 +83,18 @@
   contacts_.controller = options_.address;
 }
 
-CommandId GroupRun::MakeCommandId(const std::string& what) {
-  return CommandId(what + "-" + options_.self.value() + "-" +
+CommandId ControlledGroup::MakeCommandId(const std::string& id_prefix) {
+  return CommandId(id_prefix + "-" + options_.self.value() + "-" +
                    std::to_string(net::WallNanoseconds()) + "-" +
-                   std::to_string(++commands_));
+                   std::to_string(++command_count_));
 }
 
-void GroupRun::Tick(TimePoint now) {
-  if (!HoldLease(now)) {
+void ControlledGroup::Tick(TimePoint now) {
+  if (!MaintainLease(now)) {
     return;
   }
   RefreshContacts(now);
-  AskForMap(now);
+  RequestMapChange(now);
   Handle(groups::ControllerTick{}, now);
 }
 
@@ -103,34 +103,34 @@
 // under the old token two views could get one name, and ranks with different
 // maps would take each other for members of one view. So each such start gets a
 // token of its own.
-bool GroupRun::HoldLease(TimePoint now) {
+bool ControlledGroup::MaintainLease(TimePoint now) {
   const auto* lease = config_.committed().Find<config::LeaseSpec>(spec_.id);
   const bool is_ours = token_.has_value() && now < lease_until_ &&
                        lease != nullptr && lease->token == *token_;
   if (!is_ours) {
     token_.reset();
     Handle(groups::LeaseLost{}, now);
-    AskForLease(lease == nullptr ? FencingToken() : lease->token);
+    RequestLease(lease == nullptr ? FencingToken() : lease->token);
     return false;
   }
   lease_until_ = now + kLeaseTime;
   groups::LeaseGranted granted{*token_, lease_until_, {}};
-  if (started_ != token_) {
-    started_ = token_;
+  if (controller_token_ != token_) {
+    controller_token_ = token_;
     contacts_.token = *token_;
-    asked_.reset();
-    granted.record =
-        RecordFor(spec_, config_.committed().Find<config::MapSpec>(spec_.id));
+    last_requested_map_.reset();
+    granted.record = InitialRecord(
+        spec_, config_.committed().Find<config::MapSpec>(spec_.id));
   }
   Handle(granted, now);
   return true;
 }
 
-void GroupRun::AskForLease(FencingToken previous) {
-  if (is_asking_) {
+void ControlledGroup::RequestLease(FencingToken previous) {
+  if (is_requesting_lease_) {
     return;
   }
-  is_asking_ = true;
+  is_requesting_lease_ = true;
   loop_.Spawn([self = shared_from_this(), previous] {
     const auto result = self->config_.Propose(
         MakeCommand(self->MakeCommandId("lease"),
@@ -144,16 +144,16 @@
       self->log_.Info("Controls a group.", {{"group", self->spec_.id.value()},
                                             {"token", self->token_->value()}});
     }
-    self->is_asking_ = false;
+    self->is_requesting_lease_ = false;
   });
 }
 
 // A target that may hold a rank says in its statuses which one it holds.
-void GroupRun::RefreshContacts(TimePoint now) {
-  if (now < next_contacts_) {
+void ControlledGroup::RefreshContacts(TimePoint now) {
+  if (now < next_contacts_at_) {
     return;
   }
-  next_contacts_ = now + kContactsInterval;
+  next_contacts_at_ = now + kContactsInterval;
   candidates_.clear();
   for (const membership::TargetView& view : config_.directory().targets(now)) {
     const membership::Announcement* target = view.announcement;
@@ -169,24 +169,26 @@
   }
 }
 
-void GroupRun::AskForMap(TimePoint now) {
+void ControlledGroup::RequestMapChange(TimePoint now) {
   placement::ExpertMap base =
-      AskPolicy(now).value_or(controller_.record().chosen);
-  placement::ExpertMap wanted =
-      WithOrders(std::move(base), spec_.id, config_.committed());
-  const bool is_new = wanted != controller_.record().chosen && wanted != asked_;
+      ConsultPolicy(now).value_or(controller_.record().chosen);
+  placement::ExpertMap desired_map =
+      WithOperatorOrders(std::move(base), spec_.id, config_.committed());
+  const bool is_new = desired_map != controller_.record().chosen &&
+                      desired_map != last_requested_map_;
   if (!is_new) {
     return;
   }
-  asked_ = wanted;
-  Handle(groups::MapChosen{std::move(wanted)}, now);
+  last_requested_map_ = desired_map;
+  Handle(groups::MapChosen{std::move(desired_map)}, now);
 }
 
-std::optional<placement::ExpertMap> GroupRun::AskPolicy(TimePoint now) {
-  if (now < next_decision_) {
+std::optional<placement::ExpertMap> ControlledGroup::ConsultPolicy(
+    TimePoint now) {
+  if (now < next_decision_at_) {
     return std::nullopt;
   }
-  next_decision_ = now + kDecisionInterval;
+  next_decision_at_ = now + kDecisionInterval;
   const auto& view = controller_.view();
   PlacementSituation situation;
   situation.chosen = controller_.record().chosen;
@@ -205,13 +207,14 @@
   return map;
 }
 
-void GroupRun::OnCounts(const groups::ExpertCounts& counts, TimePoint now) {
+void ControlledGroup::OnCounts(const groups::ExpertCounts& counts,
+                               TimePoint now) {
   policy_.Observe(counts, now);
 }
 
-void GroupRun::OnStatus(const TargetId& target,
-                        const groups::RankStatus& status,
-                        TimePoint now) {
+void ControlledGroup::OnStatus(const TargetId& target,
+                               const groups::RankStatus& status,
+                               TimePoint now) {
   const auto candidate = candidates_.find(target);
   const bool is_member = candidate != candidates_.end() &&
                          status.group == spec_.id &&
@@ -227,14 +230,14 @@
   Handle(groups::StatusReceived{status}, now);
 }
 
-std::optional<GroupReport> GroupRun::report() const {
+std::optional<GroupReport> ControlledGroup::report() const {
   if (!token_.has_value()) {
     return std::nullopt;
   }
   GroupReport report;
   report.group = spec_.id;
   report.token = *token_;
-  report.state = WordOf(controller_.state());
+  report.state = StateName(controller_.state());
   report.why = controller_.why();
   report.pending_fetches = controller_.pending_fetches();
   report.decision = policy_.why();
@@ -247,7 +250,8 @@
   return report;
 }
 
-void GroupRun::Handle(const groups::ControllerEvent& event, TimePoint now) {
+void ControlledGroup::Handle(const groups::ControllerEvent& event,
+                             TimePoint now) {
   if (is_closed_) {
     return;
   }
@@ -257,14 +261,14 @@
   }
 }
 
-void GroupRun::Execute(const groups::SendOrder& action) {
+void ControlledGroup::Execute(const groups::SendOrder& action) {
   const auto found = contacts_.ranks.find(action.rank);
   if (found != contacts_.ranks.end()) {
     Send(found->second, "group.order", groups::ToJson(action.order));
   }
 }
 
-void GroupRun::Execute(const groups::RecordMap& action) {
+void ControlledGroup::Execute(const groups::RecordMap& action) {
   if (is_recording_) {
     return;
   }
@@ -272,8 +276,8 @@
   loop_.Spawn([self = shared_from_this(), action] {
     const auto result = self->config_.Propose(
         MakeCommand(self->MakeCommandId("map"),
-                    config::RecordMap{
-                        ToSpec(self->spec_.id, action.token, action.record)}),
+                    config::RecordMap{ToMapSpec(self->spec_.id, action.token,
+                                                action.record)}),
         kProposalTimeout);
     self->is_recording_ = false;
     // Where an earlier proposal took effect without an answer, this one was
@@ -292,17 +296,17 @@
   });
 }
 
-void GroupRun::Execute(const groups::GroupStateChanged& action) {
+void ControlledGroup::Execute(const groups::GroupStateChanged& action) {
   log_.Info("Group state.", {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
-void GroupRun::Execute(const groups::MapRefused& action) {
+void ControlledGroup::Execute(const groups::MapRefused& action) {
   log_.Warn("Map refused.", {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
-void GroupRun::Send(const std::string& address,
-                    const std::string& method,
-                    const Json& params) {
+void ControlledGroup::Send(const std::string& address,
+                           const std::string& method,
+                           const Json& params) {
   const auto endpoint = net::ParseEndpoint(address);
   if (!endpoint.has_value()) {
     return;
--- a/src/plugins/control/group_run.h
+++ b/src/plugins/control/group_run.h
@@ -34,13 +34,13 @@
 };
 
 // Held by a shared pointer, as its proposals may outlast it.
-class GroupRun : public std::enable_shared_from_this<GroupRun> {
+class ControlledGroup : public std::enable_shared_from_this<ControlledGroup> {
  public:
-  GroupRun(net::NetworkLoop& loop,
-           links::LinkClient& client,
-           ConfigService& config,
-           GroupDriverOptions options,
-           config::GroupSpec spec);
+  ControlledGroup(net::NetworkLoop& loop,
+                  links::LinkClient& client,
+                  ConfigService& config,
+                  GroupDriverOptions options,
+                  config::GroupSpec spec);
 
   const config::GroupSpec& spec() const { return spec_; }
   // Nothing while this replica has no lease for the group.
@@ -58,12 +58,12 @@
  private:
   using Json = boost::json::value;
 
-  bool HoldLease(TimePoint now);
-  void AskForLease(FencingToken previous);
+  bool MaintainLease(TimePoint now);
+  void RequestLease(FencingToken previous);
   void RefreshContacts(TimePoint now);
   // A map that operators' orders or else the policy ask for.
-  void AskForMap(TimePoint now);
-  std::optional<placement::ExpertMap> AskPolicy(TimePoint now);
+  void RequestMapChange(TimePoint now);
+  std::optional<placement::ExpertMap> ConsultPolicy(TimePoint now);
   void Handle(const groups::ControllerEvent& event, TimePoint now);
   void Execute(const groups::SendOrder& action);
   void Execute(const groups::RecordMap& action);
@@ -72,7 +72,7 @@
   void Send(const std::string& address,
             const std::string& method,
             const Json& params);
-  CommandId MakeCommandId(const std::string& what);
+  CommandId MakeCommandId(const std::string& id_prefix);
 
   net::NetworkLoop& loop_;
   links::LinkClient& client_;
@@ -82,22 +82,23 @@
   telemetry::Logger log_;
   groups::GroupController controller_;
   GroupPolicy policy_;
-  TimePoint next_decision_;
+  TimePoint next_decision_at_;
   bool is_closed_ = false;
-  bool is_asking_ = false;
+  bool is_requesting_lease_ = false;
   bool is_recording_ = false;
-  std::uint64_t commands_ = 0;
+  std::uint64_t command_count_ = 0;
   // The token that this object was granted itself, and until when it may act.
   std::optional<FencingToken> token_;
-  std::optional<FencingToken> started_;  // the controller knows of this one
+  std::optional<FencingToken>
+      controller_token_;  // the controller knows of this one
   TimePoint lease_until_;
-  TimePoint next_contacts_;
+  TimePoint next_contacts_at_;
   // Agents of the targets that may hold a rank.
   std::map<TargetId, std::string> candidates_;
   groups::GroupContacts contacts_;
   std::map<RankIndex, Incarnation> incarnations_;
   // The map that operators' orders came to last.
-  std::optional<placement::ExpertMap> asked_;
+  std::optional<placement::ExpertMap> last_requested_map_;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/operator_control.h
+++ b/src/plugins/control/operator_control.h
@@ -79,7 +79,7 @@
   virtual ReplicaStatus replica_status(TimePoint now) const = 0;
 
   // What was heard last of each group that has a controller.
-  virtual std::map<GroupId, HeardGroupReport> group_reports() const {
+  virtual std::map<GroupId, ReceivedGroupReport> group_reports() const {
     return {};
   }
 
@@ -88,7 +88,7 @@
   virtual std::vector<std::string> routing_reasons(
       const ServiceId& service) const = 0;
   // What this entry knows of a request: "answered, 1 attempt on drafter-11".
-  virtual std::optional<std::string> request_trail(
+  virtual std::optional<std::string> request_outcome(
       const RequestId& request) const = 0;
 };
 
--- a/src/plugins/control/recent_reports.cc
+++ b/src/plugins/control/recent_reports.cc
@@ -12,14 +12,14 @@
     return;
   }
   const auto [row, is_new] =
-      trails_.insert_or_assign(report.request, std::move(report.text));
+      outcomes_.insert_or_assign(report.request, std::move(report.text));
   if (!is_new) {
     return;
   }
-  order_.push_back(row->first);
-  if (order_.size() > kMaxRequests) {
-    trails_.erase(order_.front());
-    order_.pop_front();
+  insertion_order_.push_back(row->first);
+  if (insertion_order_.size() > kMaxRequests) {
+    outcomes_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
   }
 }
 
@@ -32,10 +32,10 @@
   return {found->second.begin(), found->second.end()};
 }
 
-std::optional<std::string> RecentReports::trail(
+std::optional<std::string> RecentReports::outcome(
     const RequestId& request) const {
-  const auto found = trails_.find(request);
-  if (found == trails_.end()) {
+  const auto found = outcomes_.find(request);
+  if (found == outcomes_.end()) {
     return std::nullopt;
   }
   return found->second;
--- a/src/plugins/control/recent_reports.h
+++ b/src/plugins/control/recent_reports.h
@@ -24,12 +24,12 @@
 
   // Newest first.
   std::vector<std::string> reasons(const ServiceId& service) const;
-  std::optional<std::string> trail(const RequestId& request) const;
+  std::optional<std::string> outcome(const RequestId& request) const;
 
  private:
   std::map<ServiceId, std::deque<std::string>> reasons_;
-  std::unordered_map<RequestId, std::string> trails_;
-  std::deque<RequestId> order_;
+  std::unordered_map<RequestId, std::string> outcomes_;
+  std::deque<RequestId> insertion_order_;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/operators/explanations.cc
+++ b/src/plugins/operators/explanations.cc
@@ -128,7 +128,7 @@
                   std::to_string(report.map.value()) + " at ranks" + ranks +
                   ", " + std::to_string(report.pending_fetches) +
                   " fetches pending, told " +
-                  SecondsText(now - found->second.heard) + " ago");
+                  SecondsText(now - found->second.received_at) + " ago");
   if (!report.decision.empty()) {
     notes.push_back("last decision on placement: " + report.decision);
   }
@@ -177,11 +177,11 @@
 
 Answer AnswerRequest(const RequestId& request,
                      const control::OperatorControl& control) {
-  const auto trail = control.request_trail(request);
+  const auto outcome = control.request_outcome(request);
   return {AnswerStatus::kDone,
           std::nullopt,
-          {trail.has_value()
-               ? "request " + request.value() + ": " + *trail
+          {outcome.has_value()
+               ? "request " + request.value() + ": " + *outcome
                : "this entry knows nothing of request " + request.value() +
                      "; ask the entry that its caller used"}};
 }
--- a/src/plugins/operators/live_tables.cc
+++ b/src/plugins/operators/live_tables.cc
@@ -162,7 +162,7 @@
     cells.insert(cells.end(),
                  {report.map.value(), report.state, report.why,
                   Number(report.ranks.size()), report.pending_fetches,
-                  RoundedSeconds(now - found->second.heard)});
+                  RoundedSeconds(now - found->second.received_at)});
   }
 }
 
@@ -226,14 +226,15 @@
   for (const membership::TargetView& view : views) {
     const membership::Announcement& announcement = *view.announcement;
     const Offering offering = OfferingOf(view, configuration);
-    const bool heard = !view.heard_by.value().empty();
+    const bool is_known = !view.heard_by.value().empty();
     table.rows.push_back(
         {announcement.target.value(), announcement.domain.value(),
          JoinIds(announcement.services), std::string(OfferWord(offering.offer)),
          offering.reason, offering.drained_by.value_or("-"),
          Number(view.load.running), Number(view.load.queued),
          Number(announcement.slots), RoundedSeconds(view.load.age),
-         RoundedSeconds(view.heard_age), heard ? view.heard_by.value() : "-"});
+         RoundedSeconds(view.heard_age),
+         is_known ? view.heard_by.value() : "-"});
   }
   return table;
 }
--- a/src/plugins/operators/offering.cc
+++ b/src/plugins/operators/offering.cc
@@ -27,13 +27,14 @@
 
 Offering OfferingOf(const membership::TargetView& view,
                     const config::Configuration& configuration) {
-  const std::string heard = membership::ToString(view.reason);
+  const std::string liveness_reason = membership::ToString(view.reason);
   const auto drained = DrainedBy(*view.announcement, configuration);
   if (!drained.has_value()) {
-    return {view.offer, heard, std::nullopt};
+    return {view.offer, liveness_reason, std::nullopt};
   }
-  const std::string reason =
-      view.offer == membership::Offer::kNo ? "drained, " + heard : "drained";
+  const std::string reason = view.offer == membership::Offer::kNo
+                                 ? "drained, " + liveness_reason
+                                 : "drained";
   return {membership::Offer::kNo, reason, drained};
 }
 
--- a/tests/auto/control/group_maps_test.cc
+++ b/tests/auto/control/group_maps_test.cc
@@ -32,7 +32,7 @@
   const Row rows[] = {{4, 8, 2, 5}, {3, 7, 2, 7}, {1, 4, 1, 4}, {8, 4, 4, 3}};
   for (const Row& row : rows) {
     const config::GroupSpec group = Group(row.ranks, row.experts);
-    const groups::MapRecord record = RecordFor(group, nullptr);
+    const groups::MapRecord record = InitialRecord(group, nullptr);
     CHECK(record.version == MapVersion(0));
     CHECK(record.in_force == ExpertMap());
     CHECK(SlotsOf(group) == row.slots);
@@ -44,16 +44,16 @@
 
 TEST_CASE("a recorded map comes back whole, unless the model has changed") {
   const config::GroupSpec group = Group(4, 8);
-  groups::MapRecord record = RecordFor(group, nullptr);
+  groups::MapRecord record = InitialRecord(group, nullptr);
   record.version = MapVersion(7);
   record.in_force = record.chosen;
   record.in_force.Remove(Expert(3), record.chosen.holders(Expert(3)).front());
-  const config::MapSpec spec = ToSpec(group.id, FencingToken(2), record);
-  const groups::MapRecord again = RecordFor(group, &spec);
+  const config::MapSpec spec = ToMapSpec(group.id, FencingToken(2), record);
+  const groups::MapRecord again = InitialRecord(group, &spec);
   CHECK(again.version == record.version);
   CHECK(again.chosen == record.chosen);
   CHECK(again.in_force == record.in_force);
-  const groups::MapRecord other = RecordFor(Group(4, 9), &spec);
+  const groups::MapRecord other = InitialRecord(Group(4, 9), &spec);
   CHECK(other.version == record.version);
   CHECK(other.chosen.experts() == 9);
 }
@@ -80,11 +80,11 @@
   put(config::MoveSpec{key("g", 9), RankIndex(1), RankIndex(2)});
   put(config::PinSpec{key("g", 2), RankIndex(3)});
   put(config::ForbidSpec{key("g", 2), RankIndex(2)});
-  const ExpertMap once = WithOrders(map, GroupId("g"), configuration);
+  const ExpertMap once = WithOperatorOrders(map, GroupId("g"), configuration);
   CHECK(once.holders(Expert(0)) == std::vector{RankIndex(2)});
   CHECK(once.holders(Expert(1)) == std::vector{RankIndex(1)});
   CHECK(once.holders(Expert(2)) == std::vector{RankIndex(3)});
-  CHECK(WithOrders(once, GroupId("g"), configuration) == once);
+  CHECK(WithOperatorOrders(once, GroupId("g"), configuration) == once);
 }
 
 }  // namespace
--- a/tests/auto/control/group_policy_test.cc
+++ b/tests/auto/control/group_policy_test.cc
@@ -30,7 +30,7 @@
 
 PlacementSituation Settled() {
   PlacementSituation situation;
-  situation.chosen = RecordFor(Group(), nullptr).chosen;
+  situation.chosen = InitialRecord(Group(), nullptr).chosen;
   situation.is_settled = true;
   situation.seconds_per_fetch = 0.05;
   return situation;
@@ -72,7 +72,8 @@
       hot, config::Entry<config::MoveSpec>{move, ConfigVersion(1), {}}});
   GroupPolicy policy(Group());
   PlacementSituation situation = Settled();
-  situation.chosen = WithOrders(situation.chosen, GroupId("g"), configuration);
+  situation.chosen =
+      WithOperatorOrders(situation.chosen, GroupId("g"), configuration);
   TimePoint now = TimeAt(Seconds(100));
   for (std::uint64_t second = 1; second <= 11; ++second) {
     now += Seconds(1);
--- a/tests/auto/control/recent_reports_test.cc
+++ b/tests/auto/control/recent_reports_test.cc
@@ -16,8 +16,8 @@
   const auto reasons = reports.reasons(service);
   REQUIRE(reasons.size() == RecentReports::kMaxReasonsPerService);
   CHECK(reasons.front() == std::to_string(RecentReports::kMaxRequests));
-  CHECK_FALSE(reports.trail(RequestId("r0")).has_value());
-  CHECK(reports.trail(RequestId("r1")) == "1");
+  CHECK_FALSE(reports.outcome(RequestId("r0")).has_value());
+  CHECK(reports.outcome(RequestId("r1")) == "1");
   CHECK(reports.reasons(ServiceId("other")).empty());
 }
 
--- a/tests/auto/operators/fake_operator_control.cc
+++ b/tests/auto/operators/fake_operator_control.cc
@@ -70,7 +70,7 @@
   return {"request r1 to t1: least work of 2 targets"};
 }
 
-std::optional<std::string> FakeOperatorControl::request_trail(
+std::optional<std::string> FakeOperatorControl::request_outcome(
     const RequestId& request) const {
   if (request != RequestId("r1")) {
     return std::nullopt;
--- a/tests/auto/operators/fake_operator_control.h
+++ b/tests/auto/operators/fake_operator_control.h
@@ -37,19 +37,20 @@
   }
   const membership::Directory& directory() const override { return targets; }
   control::ReplicaStatus replica_status(TimePoint) const override;
-  std::map<GroupId, control::HeardGroupReport> group_reports() const override {
+  std::map<GroupId, control::ReceivedGroupReport> group_reports()
+      const override {
     return reports;
   }
   std::vector<std::string> routing_reasons(
       const ServiceId& service) const override;
-  std::optional<std::string> request_trail(
+  std::optional<std::string> request_outcome(
       const RequestId& request) const override;
 
   void Announce(const char* target, const char* domain, TimePoint now);
 
   config::StateMachine machine;
   membership::Directory targets;
-  std::map<GroupId, control::HeardGroupReport> reports;
+  std::map<GroupId, control::ReceivedGroupReport> reports;
   std::deque<Failure> failures;
   std::deque<std::variant<spread::Coverage, control::ControlFailure>> coverages;
   std::vector<config::Command> proposed;
