--- a/src/plugins/operators/coverage_answer.cc
+++ b/src/plugins/operators/coverage_answer.cc
@@ -34,14 +34,14 @@
   }
 }
 
-Answer AnswerReached(ConfigVersion version, const spread::Coverage& coverage) {
+Answer AnswerInForce(ConfigVersion version, const spread::Coverage& coverage) {
   return {AnswerStatus::kDone,
           std::nullopt,
           {"version " + std::to_string(version.value()) + " is " +
            InForceText(coverage)}};
 }
 
-Answer AnswerNotReached(ConfigVersion version,
+Answer AnswerNotInForce(ConfigVersion version,
                         const spread::Coverage& coverage,
                         Duration waited) {
   Answer answer{AnswerStatus::kRefused,
--- a/src/plugins/operators/coverage_answer.h
+++ b/src/plugins/operators/coverage_answer.h
@@ -19,9 +19,9 @@
 void AddLacking(const spread::Coverage& coverage, language::Answer& answer);
 
 // The answers of `wait`.
-language::Answer AnswerReached(ConfigVersion version,
+language::Answer AnswerInForce(ConfigVersion version,
                                const spread::Coverage& coverage);
-language::Answer AnswerNotReached(ConfigVersion version,
+language::Answer AnswerNotInForce(ConfigVersion version,
                                   const spread::Coverage& coverage,
                                   Duration waited);
 
--- a/src/plugins/operators/explanations.cc
+++ b/src/plugins/operators/explanations.cc
@@ -35,7 +35,7 @@
   return views;
 }
 
-void ExplainHearing(const TargetView& view, std::vector<std::string>& notes) {
+void ExplainLiveness(const TargetView& view, std::vector<std::string>& notes) {
   const std::string by =
       view.direct ? "this entry"
                   : (view.heard_by.value().empty() ? std::string("nobody yet")
@@ -71,17 +71,19 @@
     return;
   }
   answer.table = TargetsTable({*view}, control.configuration());
-  const Offering offering = OfferingOf(*view, control.configuration());
-  answer.notes.push_back(OfferText(offering.offer) + offering.reason);
+  const EffectiveOffer effective_offer =
+      EffectiveOfferOf(*view, control.configuration());
+  answer.notes.push_back(OfferText(effective_offer.offer) +
+                         effective_offer.reason);
   if (view->share < 1) {
     answer.notes.push_back(
         "gets " + std::to_string(static_cast<int>(view->share * kPercent)) +
         " % of its usual work while its failure domain ramps up");
   }
-  if (offering.drained_by.has_value()) {
-    answer.notes.push_back("drained as " + *offering.drained_by);
+  if (effective_offer.drained_by.has_value()) {
+    answer.notes.push_back("drained as " + *effective_offer.drained_by);
   }
-  ExplainHearing(*view, answer.notes);
+  ExplainLiveness(*view, answer.notes);
 }
 
 void ExplainService(const ServiceId& service,
--- a/src/plugins/operators/live_tables.cc
+++ b/src/plugins/operators/live_tables.cc
@@ -24,7 +24,7 @@
   return number;
 }
 
-const char* OfferWord(membership::Offer offer) {
+const char* OfferName(membership::Offer offer) {
   switch (offer) {
     case membership::Offer::kYes:
       return "yes";
@@ -38,7 +38,7 @@
 
 bool IsOffered(const membership::TargetView& view,
                const config::Configuration& configuration) {
-  return OfferingOf(view, configuration).offer == membership::Offer::kYes;
+  return EffectiveOfferOf(view, configuration).offer == membership::Offer::kYes;
 }
 
 // What one failure domain adds up to.
@@ -116,10 +116,10 @@
 
 // Adds to each declared service how many targets may serve it, and how many of
 // them are offered now.
-void AddServing(const membership::Directory& directory,
-                const config::Configuration& configuration,
-                TimePoint now,
-                AnswerTable& table) {
+void AddServingCounts(const membership::Directory& directory,
+                      const config::Configuration& configuration,
+                      TimePoint now,
+                      AnswerTable& table) {
   const std::vector<membership::TargetView> views = directory.targets(now);
   table.columns.insert(table.columns.end(), {"targets", "offered"});
   std::size_t row = 0;
@@ -207,7 +207,7 @@
     return std::nullopt;
   }
   if (subject == Subject::kServices) {
-    AddServing(control.directory(), configuration, now, *declared->table);
+    AddServingCounts(control.directory(), configuration, now, *declared->table);
   }
   if (subject == Subject::kGroups) {
     AddGroupStates(control, now, *declared->table);
@@ -225,15 +225,16 @@
       {}};
   for (const membership::TargetView& view : views) {
     const membership::Announcement& announcement = *view.announcement;
-    const Offering offering = OfferingOf(view, configuration);
+    const EffectiveOffer effective_offer =
+        EffectiveOfferOf(view, configuration);
     const bool is_known = !view.heard_by.value().empty();
     table.rows.push_back(
         {announcement.target.value(), announcement.domain.value(),
-         JoinIds(announcement.services), std::string(OfferWord(offering.offer)),
-         offering.reason, offering.drained_by.value_or("-"),
-         Number(view.load.running), Number(view.load.queued),
-         Number(announcement.slots), RoundedSeconds(view.load.age),
-         RoundedSeconds(view.heard_age),
+         JoinIds(announcement.services),
+         std::string(OfferName(effective_offer.offer)), effective_offer.reason,
+         effective_offer.drained_by.value_or("-"), Number(view.load.running),
+         Number(view.load.queued), Number(announcement.slots),
+         RoundedSeconds(view.load.age), RoundedSeconds(view.heard_age),
          is_known ? view.heard_by.value() : "-"});
   }
   return table;
@@ -250,9 +251,9 @@
     return answer;
   }
   answer.notes.push_back(AsOfNote(control, now));
-  const bool asks_of_replicas = statement.subject == Subject::kMembers ||
-                                statement.subject == Subject::kVersion;
-  if (asks_of_replicas) {
+  const bool concerns_replicas = statement.subject == Subject::kMembers ||
+                                 statement.subject == Subject::kVersion;
+  if (concerns_replicas) {
     answer.notes.push_back(ReplicaNote(status));
   }
   return answer;
--- a/src/plugins/operators/offering.cc
+++ b/src/plugins/operators/offering.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::optional<std::string> DrainedBy(
+std::optional<std::string> FindDrain(
     const membership::Announcement& announcement,
     const config::Configuration& configuration) {
   const auto& drains = configuration.table<config::DrainSpec>();
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-Offering OfferingOf(const membership::TargetView& view,
-                    const config::Configuration& configuration) {
+EffectiveOffer EffectiveOfferOf(const membership::TargetView& view,
+                                const config::Configuration& configuration) {
   const std::string liveness_reason = membership::ToString(view.reason);
-  const auto drained = DrainedBy(*view.announcement, configuration);
+  const auto drained = FindDrain(*view.announcement, configuration);
   if (!drained.has_value()) {
     return {view.offer, liveness_reason, std::nullopt};
   }
--- a/src/plugins/operators/offering.h
+++ b/src/plugins/operators/offering.h
@@ -11,15 +11,15 @@
 
 // Whether a target receives new work, by all that is known: what it is heard
 // to be, and what operators drained.
-struct Offering {
+struct EffectiveOffer {
   membership::Offer offer = membership::Offer::kNo;
   std::string reason;
   // "domain marka by kim at version 7"; none where nobody drained it.
   std::optional<std::string> drained_by;
 };
 
-Offering OfferingOf(const membership::TargetView& view,
-                    const config::Configuration& configuration);
+EffectiveOffer EffectiveOfferOf(const membership::TargetView& view,
+                                const config::Configuration& configuration);
 
 }  // namespace bilberryspool::operators
 
--- a/src/plugins/operators/operator_credential.cc
+++ b/src/plugins/operators/operator_credential.cc
@@ -15,13 +15,13 @@
 OperatorCredential::OperatorCredential(std::string_view secret)
     : hash_(HashOf(secret)) {}
 
-bool OperatorCredential::IsShownBy(const net::HttpRequest& request) const {
+bool OperatorCredential::Authorizes(const net::HttpRequest& request) const {
   const std::string_view field = request.headers.ValueOr("Authorization", "");
   if (!field.starts_with(kScheme)) {
     return false;
   }
-  const Hash shown = HashOf(field.substr(kScheme.size()));
-  return sodium_memcmp(shown.data(), hash_.data(), hash_.size()) == 0;
+  const Hash presented = HashOf(field.substr(kScheme.size()));
+  return sodium_memcmp(presented.data(), hash_.data(), hash_.size()) == 0;
 }
 
 OperatorCredential::Hash OperatorCredential::HashOf(std::string_view text) {
--- a/src/plugins/operators/operator_credential.h
+++ b/src/plugins/operators/operator_credential.h
@@ -17,7 +17,7 @@
 
   explicit OperatorCredential(std::string_view secret);
 
-  bool IsShownBy(const net::HttpRequest& request) const;
+  bool Authorizes(const net::HttpRequest& request) const;
 
  private:
   using Hash = std::array<unsigned char, kHashBytes>;
--- a/src/plugins/operators/operators_server.cc
+++ b/src/plugins/operators/operators_server.cc
@@ -117,7 +117,8 @@
   void HandleLogLevel(net::HttpExchange& exchange);
   void HandleStatus(net::HttpExchange& exchange);
   void Respond(net::HttpExchange& exchange, const StatementResult& result);
-  void Note(const StatementRequest& request, const StatementResult& result);
+  void LogStatement(const StatementRequest& request,
+                    const StatementResult& result);
 
   net::NetworkLoop& loop;
   const settings::EntrySettings& settings;
@@ -146,7 +147,7 @@
   const Route routes[] = {{"/statement", "POST", &Private::HandleStatement},
                           {"/log-level", "POST", &Private::HandleLogLevel},
                           {"/status", "GET", &Private::HandleStatus}};
-  if (!credential->IsShownBy(exchange.request())) {
+  if (!credential->Authorizes(exchange.request())) {
     log.Warn("Refused an operator without the credential.",
              {{"peer", exchange.peer_address()}});
     RespondText(exchange, net::status::kUnauthorized,
@@ -186,17 +187,17 @@
                     std::string(kIssuedAfterHeader) + " are numbers");
     return;
   }
-  const auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
-  request.is_abandoned = [left] { return *left; };
+  const auto caller_disconnected = std::make_shared<bool>(false);
+  exchange.WatchCaller([caller_disconnected] { *caller_disconnected = true; });
+  request.is_abandoned = [caller_disconnected] { return *caller_disconnected; };
   const StatementResult result = runner.Run(request);
-  Note(request, result);
+  LogStatement(request, result);
   Respond(exchange, result);
 }
 
 // A record of who changed what; questions only show at the level of debugging.
-void OperatorsServer::Private::Note(const StatementRequest& request,
-                                    const StatementResult& result) {
+void OperatorsServer::Private::LogStatement(const StatementRequest& request,
+                                            const StatementResult& result) {
   const std::string text = request.text.substr(0, kMaxLoggedBytes);
   const std::string answer =
       result.answer.notes.empty() ? "" : result.answer.notes.front();
--- a/src/plugins/operators/statement_runner.cc
+++ b/src/plugins/operators/statement_runner.cc
@@ -28,7 +28,8 @@
 }
 
 // What a change is answered that the replicas didn't decide.
-StatementResult Failed(const ControlFailure& failure, const CommandId& id) {
+StatementResult ChangeFailed(const ControlFailure& failure,
+                             const CommandId& id) {
   StatementResult result;
   result.command_id = id;
   result.failure = failure.kind;
@@ -45,7 +46,7 @@
 }
 
 // What a question is answered that the replicas didn't answer.
-StatementResult Unanswered(const ControlFailure& failure) {
+StatementResult QueryFailed(const ControlFailure& failure) {
   const std::string detail =
       failure.detail.empty() ? "" : " (" + failure.detail + ")";
   return {{AnswerStatus::kRefused,
@@ -74,13 +75,13 @@
 config::Command StatementRunner::MakeCommand(
     const language::ChangeStatement& statement,
     const StatementRequest& request) const {
-  const bool names_id = statement.id.has_value() || request.command_id;
+  const bool has_explicit_id = statement.id.has_value() || request.command_id;
   const CommandId fallback =
       request.command_id
           ? *request.command_id
-          : (names_id ? CommandId() : environment_.make_command_id());
+          : (has_explicit_id ? CommandId() : environment_.make_command_id());
   std::optional<LogIndex> issued_after = request.issued_after;
-  if (!issued_after.has_value() && !names_id) {
+  if (!issued_after.has_value() && !has_explicit_id) {
     // An id made here was never sent before.
     issued_after = AppliedIndex(control_, environment_.now());
   }
@@ -105,7 +106,7 @@
   }
   const auto proposed = control_.Propose(command, kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&proposed)) {
-    return Failed(*failure, command.id);
+    return ChangeFailed(*failure, command.id);
   }
   const auto& outcome = std::get<config::Outcome>(proposed);
   StatementResult result{language::AnswerOutcome(outcome), command.id,
@@ -121,17 +122,17 @@
   // answer says how far it is.
   constexpr Duration kCoverageWait = Seconds(1);
   const TimePoint end = environment_.now() + kCoverageWait;
-  auto covered = control_.CoverageOf(version, kCoverageTimeout);
+  auto coverage_result = control_.CoverageOf(version, kCoverageTimeout);
   while (true) {
-    const auto* coverage = std::get_if<spread::Coverage>(&covered);
-    const bool is_open = coverage != nullptr && !coverage->complete();
-    if (!is_open || environment_.now() >= end) {
+    const auto* coverage = std::get_if<spread::Coverage>(&coverage_result);
+    const bool is_incomplete = coverage != nullptr && !coverage->complete();
+    if (!is_incomplete || environment_.now() >= end) {
       break;
     }
     environment_.sleep(kPollInterval);
-    covered = control_.CoverageOf(version, kCoverageTimeout);
+    coverage_result = control_.CoverageOf(version, kCoverageTimeout);
   }
-  if (const auto* failure = std::get_if<ControlFailure>(&covered)) {
+  if (const auto* failure = std::get_if<ControlFailure>(&coverage_result)) {
     answer.notes.push_back(
         "how far it is in force isn't known yet" +
         (failure->detail.empty() ? std::string()
@@ -139,7 +140,7 @@
         "; ask: wait version " + std::to_string(version.value()));
     return;
   }
-  const auto& coverage = std::get<spread::Coverage>(covered);
+  const auto& coverage = std::get<spread::Coverage>(coverage_result);
   answer.notes.front() += ", " + InForceText(coverage);
   AddLacking(coverage, answer);
 }
@@ -147,19 +148,19 @@
 StatementResult StatementRunner::Execute(
     const language::PlanStatement& statement,
     const StatementRequest& request) {
-  StatementRequest asked = request;
-  if (!config::IsValidName(asked.operator_id.value())) {
-    asked.operator_id = config::OperatorId("plan");
+  StatementRequest plan_request = request;
+  if (!config::IsValidName(plan_request.operator_id.value())) {
+    plan_request.operator_id = config::OperatorId("plan");
   }
   // An id of its own: a plan under the id of an earlier command would be
   // answered with that command's outcome.
-  asked.command_id = environment_.make_command_id();
+  plan_request.command_id = environment_.make_command_id();
   language::ChangeStatement change = statement.change;
   change.id.reset();
   const auto planned =
-      control_.Plan(MakeCommand(change, asked), kOutcomeTimeout);
+      control_.Plan(MakeCommand(change, plan_request), kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&planned)) {
-    return Unanswered(*failure);
+    return QueryFailed(*failure);
   }
   return {language::AnswerPlan(std::get<config::PlanResult>(planned))};
 }
@@ -174,25 +175,25 @@
   }
   const TimePoint end = environment_.now() + statement.timeout;
   while (true) {
-    const auto covered =
+    const auto coverage_result =
         control_.CoverageOf(statement.version, kCoverageTimeout);
-    const auto* coverage = std::get_if<spread::Coverage>(&covered);
+    const auto* coverage = std::get_if<spread::Coverage>(&coverage_result);
     // A replica that just began to lead has no reports yet: "on 0 of 0" says
     // nothing.
     const bool is_known = coverage != nullptr && coverage->nodes > 0;
     if (is_known && coverage->complete()) {
-      return {AnswerReached(statement.version, *coverage)};
+      return {AnswerInForce(statement.version, *coverage)};
     }
     const bool abandoned = request.is_abandoned && request.is_abandoned();
-    const Duration left = end - environment_.now();
-    if (left > Duration(0) && !abandoned) {
-      environment_.sleep(std::min(left, kPollInterval));
+    const Duration remaining = end - environment_.now();
+    if (remaining > Duration(0) && !abandoned) {
+      environment_.sleep(std::min(remaining, kPollInterval));
       continue;
     }
     if (coverage == nullptr) {
-      return Unanswered(std::get<ControlFailure>(covered));
+      return QueryFailed(std::get<ControlFailure>(coverage_result));
     }
-    return {AnswerNotReached(statement.version, *coverage, statement.timeout)};
+    return {AnswerNotInForce(statement.version, *coverage, statement.timeout)};
   }
 }
 
--- a/src/plugins/query/query_client.cc
+++ b/src/plugins/query/query_client.cc
@@ -34,7 +34,7 @@
 struct Reading {
   // True also for a text that only a newer entry may understand.
   bool may_change = true;
-  bool names_id = false;
+  bool has_explicit_id = false;
   // How long the statement itself asks the entry to wait.
   Duration wait{};
 };
@@ -48,7 +48,7 @@
   Reading reading;
   const auto* change = std::get_if<language::ChangeStatement>(known);
   reading.may_change = change != nullptr;
-  reading.names_id = change != nullptr && change->id.has_value();
+  reading.has_explicit_id = change != nullptr && change->id.has_value();
   if (const auto* wait = std::get_if<language::WaitStatement>(known)) {
     reading.wait = wait->timeout;
   }
@@ -92,7 +92,7 @@
   }
   // A statement that names its id may be an old one given again: then this is
   // not the index of its first time.
-  if (applied_index_.has_value() && !Read(statement).names_id) {
+  if (applied_index_.has_value() && !Read(statement).has_explicit_id) {
     headers.Add(std::string(operators::kIssuedAfterHeader), *applied_index_);
   }
   if (options_.json) {
@@ -122,8 +122,9 @@
     is_uncertain = is_uncertain || tried.is_uncertain;
     error = options_.entries[place].ToString() + ": " + tried.error;
   }
-  return GiveUp(error, is_uncertain && reading.may_change,
-                reading.names_id ? std::nullopt : std::make_optional(id));
+  return GiveUp(
+      error, is_uncertain && reading.may_change,
+      reading.has_explicit_id ? std::nullopt : std::make_optional(id));
 }
 
 QueryClient::Try QueryClient::TryOnce(const net::Endpoint& entry,
--- a/tests/auto/operators/operators_server_test.cc
+++ b/tests/auto/operators/operators_server_test.cc
@@ -61,11 +61,11 @@
   FakeOperatorControl control;
   WithServer(control, [&](const Send& send) {
     for (const char* target : {"/statement", "/status", "/log-level", "/x"}) {
-      for (const std::string shown :
+      for (const std::string presented :
            {"", "Bearer", "Bearer ", "Bearer an operators' credentiaL",
             "Basic an operators' credential"}) {
         net::HttpRequest request = Request("POST", target, "drain target t1");
-        request.headers.Set("Authorization", shown);
+        request.headers.Set("Authorization", presented);
         const net::HttpResponse response = send(request);
         CHECK(response.head.status == 401);
         CHECK(response.body.find("credential") != std::string::npos);
--- a/tests/auto/operators/page_test.cc
+++ b/tests/auto/operators/page_test.cc
@@ -20,36 +20,39 @@
 }
 
 // What happens behind an operator's back before some of the page's statements.
-std::map<std::string, std::function<void(RunnerWorld&)>> Events() {
+std::map<std::string, std::function<void(RunnerFixture&)>> Events() {
   using control::ControlFailureKind;
   const spread::Coverage partial{
       9, 7, {NodeId("agent-7")}, {FailureDomain("abdali")}};
   return {
       {"drain target t2 at version 2",
-       [](RunnerWorld& world) {
-         world.Run("declare workspace dairy weight 2", "c-81", "lee");
+       [](RunnerFixture& fixture) {
+         fixture.Run("declare workspace dairy weight 2", "c-81", "lee");
        }},
       {"undrain target t1 as \"ops-7\"",
-       [](RunnerWorld& world) {
-         world.control.failures = {{{ControlFailureKind::kUnknown,
-                                     "the leader went away before it answered"},
-                                    true}};
+       [](RunnerFixture& fixture) {
+         fixture.control.failures = {
+             {{ControlFailureKind::kUnknown,
+               "the leader went away before it answered"},
+              true}};
        }},
       {"declare priority urgent level 10",
-       [](RunnerWorld& world) {
-         world.control.failures = {
+       [](RunnerFixture& fixture) {
+         fixture.control.failures = {
              {{ControlFailureKind::kNoLeader, "entry-2 and entry-3 are silent"},
               false}};
        }},
       {"set dedupe-window-s 900",
-       [partial](RunnerWorld& world) { world.control.coverages = {partial}; }},
+       [partial](RunnerFixture& fixture) {
+         fixture.control.coverages = {partial};
+       }},
   };
 }
 
 // Runs the statements of the page in their order and returns it with the
 // answers they give.
-std::string Replayed(const std::string& page) {
-  RunnerWorld world;
+std::string ReplayPage(const std::string& page) {
+  RunnerFixture fixture;
   auto events = Events();
   std::istringstream in(page);
   std::ostringstream out;
@@ -69,9 +72,9 @@
     const std::string statement = line.substr(std::size(kPrompt) - 1);
     // Once each: a resend on the page is answered.
     if (const auto event = events.extract(statement)) {
-      event.mapped()(world);
+      event.mapped()(fixture);
     }
-    std::istringstream answer(world.TextOf(statement));
+    std::istringstream answer(fixture.TextOf(statement));
     for (std::string part; std::getline(answer, part);) {
       out << kIndent << WithoutTrailingBlanks(part) << "\n";
     }
@@ -84,7 +87,7 @@
 TEST_CASE("the examples of the page give the answers that stand there") {
   std::stringstream page;
   page << std::ifstream(OPERATORS_PAGE).rdbuf();
-  const std::string replayed = Replayed(page.str());
+  const std::string replayed = ReplayPage(page.str());
   if (std::getenv("BILBERRYSPOOL_WRITE_PAGE") != nullptr) {
     std::ofstream(OPERATORS_PAGE) << replayed;
     return;
--- a/tests/auto/operators/runner_world.cc
+++ b/tests/auto/operators/runner_world.cc
@@ -4,20 +4,22 @@
 
 namespace bilberryspool::operators {
 
-RunnerWorld::RunnerWorld()
+RunnerFixture::RunnerFixture()
     : runner(control,
              {[this] { return now; },
               [this](Duration duration) { now += duration; },
-              [this] { return CommandId("made-" + std::to_string(++made)); }}) {
+              [this] {
+                return CommandId("made-" + std::to_string(++ids_made));
+              }}) {
   control.Announce("t1", "sahab", now);
   control.Announce("t2", "marka", now);
   now += Milliseconds(500);
   Run("declare service drafter engine; allow service drafter on any");
 }
 
-StatementResult RunnerWorld::Run(const std::string& text,
-                                 const char* id,
-                                 const char* operator_name) {
+StatementResult RunnerFixture::Run(const std::string& text,
+                                   const char* id,
+                                   const char* operator_name) {
   StatementRequest request;
   request.text = text;
   request.operator_id = config::OperatorId(operator_name);
@@ -27,7 +29,7 @@
   return runner.Run(request);
 }
 
-std::string RunnerWorld::TextOf(const std::string& text) {
+std::string RunnerFixture::TextOf(const std::string& text) {
   return language::RenderText(Run(text).answer);
 }
 
--- a/tests/auto/operators/runner_world.h
+++ b/tests/auto/operators/runner_world.h
@@ -10,8 +10,8 @@
 
 // A runner over a fake control, with a clock that only sleeping moves. Two
 // targets, t1 in sahab and t2 in marka, may serve the service drafter.
-struct RunnerWorld {
-  RunnerWorld();
+struct RunnerFixture {
+  RunnerFixture();
 
   StatementResult Run(const std::string& text,
                       const char* id = nullptr,
@@ -19,7 +19,7 @@
   std::string TextOf(const std::string& text);
 
   TimePoint now = TimeAt(Seconds(100));
-  int made = 0;
+  int ids_made = 0;
   FakeOperatorControl control;
   StatementRunner runner;
 };
--- a/tests/auto/operators/statement_runner_test.cc
+++ b/tests/auto/operators/statement_runner_test.cc
@@ -86,8 +86,8 @@
       {"help", AnswerStatus::kDone, {"drain|undrain", "show config|domains"}},
   };
   for (const Row& row : rows) {
-    RunnerWorld world;
-    const StatementResult result = world.Run(row.statement);
+    RunnerFixture fixture;
+    const StatementResult result = fixture.Run(row.statement);
     const std::string text = language::RenderText(result.answer);
     CAPTURE(row.statement);
     CAPTURE(text);
@@ -99,27 +99,27 @@
 }
 
 TEST_CASE("filters leave rows out") {
-  RunnerWorld world;
-  const std::string text = world.TextOf("show targets where domain = marka");
+  RunnerFixture fixture;
+  const std::string text = fixture.TextOf("show targets where domain = marka");
   CHECK(text.find("t2") != std::string::npos);
   CHECK(text.find("t1") == std::string::npos);
 }
 
 TEST_CASE("a drain, a pin and a group are explained with their operators") {
-  RunnerWorld world;
-  world.Run(
+  RunnerFixture fixture;
+  fixture.Run(
       "declare group g1 service drafter ranks 1 layers 1 experts 8 "
       "members t1; pin group g1 layer 0 expert 7 to rank 0");
-  world.Run("drain domain marka");
-  const std::string target = world.TextOf("why target t2");
+  fixture.Run("drain domain marka");
+  const std::string target = fixture.TextOf("why target t2");
   CHECK(target.find("not offered: drained") != std::string::npos);
   CHECK(target.find("drained as domain marka by kim at version 3") !=
         std::string::npos);
-  CHECK(world.TextOf("show targets where offered = yes").find("t2") ==
+  CHECK(fixture.TextOf("show targets where offered = yes").find("t2") ==
         std::string::npos);
-  CHECK(world.TextOf("show services where offered = 1").find("drafter") !=
+  CHECK(fixture.TextOf("show services where offered = 1").find("drafter") !=
         std::string::npos);
-  const std::string group = world.TextOf("why group g1");
+  const std::string group = fixture.TextOf("why group g1");
   CAPTURE(group);
   CHECK(group.find("t1") != std::string::npos);
   CHECK(group.find("t2") == std::string::npos);
@@ -127,9 +127,9 @@
 }
 
 TEST_CASE("a group is shown as its controller told of it last") {
-  RunnerWorld world;
-  world.Run("declare group g1 service drafter ranks 4 layers 1 experts 8");
-  CHECK(world.TextOf("show groups").find("no controller was heard") !=
+  RunnerFixture fixture;
+  fixture.Run("declare group g1 service drafter ranks 4 layers 1 experts 8");
+  CHECK(fixture.TextOf("show groups").find("no controller was heard") !=
         std::string::npos);
   control::GroupReport report;
   report.group = GroupId("g1");
@@ -138,12 +138,12 @@
   report.why = "a member is lost";
   report.ranks = {RankIndex(0), RankIndex(3)};
   report.decision = "nothing gains enough";
-  world.control.reports[report.group] = {report, world.now - Seconds(3)};
-  CHECK(world.TextOf("show groups where map = 7").find("a member is lost") !=
+  fixture.control.reports[report.group] = {report, fixture.now - Seconds(3)};
+  CHECK(fixture.TextOf("show groups where map = 7").find("a member is lost") !=
         std::string::npos);
-  CHECK(world.TextOf("show groups where state = out").find("g1") ==
+  CHECK(fixture.TextOf("show groups where state = out").find("g1") ==
         std::string::npos);
-  const std::string why = world.TextOf("why group g1");
+  const std::string why = fixture.TextOf("why group g1");
   CAPTURE(why);
   CHECK(why.find("stalled: a member is lost; map 7 at ranks 0 3") !=
         std::string::npos);
@@ -152,27 +152,27 @@
 }
 
 TEST_CASE("a plan has no effect") {
-  RunnerWorld world;
-  const config::Configuration before = world.control.configuration();
+  RunnerFixture fixture;
+  const config::Configuration before = fixture.control.configuration();
   // Not answered with the outcome of the command that had the id before.
-  const StatementResult planned = world.Run("plan drain target t1", "made-1");
+  const StatementResult planned = fixture.Run("plan drain target t1", "made-1");
   CHECK(planned.answer.status == AnswerStatus::kDone);
-  CHECK(world.control.configuration() == before);
-  CHECK(world.control.proposed.size() == 1);
+  CHECK(fixture.control.configuration() == before);
+  CHECK(fixture.control.proposed.size() == 1);
 }
 
 // Symptom: one operator's change silently undoes another's. Sequence: both read
 // version 1, both change the same service. Cause: the version that was read
 // isn't compared.
 TEST_CASE("of two changes on one version the second is told of the first") {
-  RunnerWorld world;
+  RunnerFixture fixture;
   StatementRequest request;
   request.text = "drain target t1";
   request.read_version = ConfigVersion(1);
   request.operator_id = config::OperatorId("lee");
-  CHECK(world.runner.Run(request).answer.status == AnswerStatus::kDone);
+  CHECK(fixture.runner.Run(request).answer.status == AnswerStatus::kDone);
   request.operator_id = config::OperatorId("kim");
-  const StatementResult second = world.runner.Run(request);
+  const StatementResult second = fixture.runner.Run(request);
   CHECK(second.answer.status == AnswerStatus::kRefused);
   const std::string text = language::RenderText(second.answer);
   CHECK(text.find("version 2 by lee") != std::string::npos);
@@ -183,95 +183,96 @@
 // Sequence: it is carried out, its answer is lost, it is sent again. Cause: the
 // resend isn't recognised by its id.
 TEST_CASE("a resend after a lost answer gives the first outcome") {
-  RunnerWorld world;
-  world.control.failures = {
+  RunnerFixture fixture;
+  fixture.control.failures = {
       {{ControlFailureKind::kUnknown, "leader lost"}, true}};
-  const StatementResult lost = world.Run("drain target t1", "c-1");
+  const StatementResult lost = fixture.Run("drain target t1", "c-1");
   CHECK(lost.answer.status == AnswerStatus::kUnknown);
   CHECK(lost.failure == ControlFailureKind::kUnknown);
   CHECK(language::RenderText(lost.answer).find("command id c-1") !=
         std::string::npos);
-  world.Run("declare workspace kiln");
-  const StatementResult resent = world.Run("drain target t1", "c-1");
+  fixture.Run("declare workspace kiln");
+  const StatementResult resent = fixture.Run("drain target t1", "c-1");
   CHECK(resent.answer.status == AnswerStatus::kDone);
   CHECK(language::RenderText(resent.answer).find("accepted at version 2,") !=
         std::string::npos);
-  CHECK(world.control.configuration().version() == ConfigVersion(3));
+  CHECK(fixture.control.configuration().version() == ConfigVersion(3));
 }
 
 TEST_CASE("a change without leader is said not to be done") {
   for (const auto kind :
        {ControlFailureKind::kNoLeader, ControlFailureKind::kBusy}) {
-    RunnerWorld world;
-    world.control.failures = {{{kind, "why"}, false}};
-    const StatementResult result = world.Run("drain target t1");
+    RunnerFixture fixture;
+    fixture.control.failures = {{{kind, "why"}, false}};
+    const StatementResult result = fixture.Run("drain target t1");
     CHECK(result.answer.status == AnswerStatus::kRefused);
     CHECK(result.answer.notes.front().starts_with("not done: "));
   }
 }
 
 TEST_CASE("an id made here stands for a command that was never sent") {
-  RunnerWorld world;
-  world.Run("drain target t1");
-  CHECK(world.control.proposed.back().issued_after == LogIndex(1));
-  world.Run("drain target t1 as \"c-2\"");
-  CHECK(world.control.proposed.back().id == CommandId("c-2"));
-  CHECK_FALSE(world.control.proposed.back().issued_after.has_value());
+  RunnerFixture fixture;
+  fixture.Run("drain target t1");
+  CHECK(fixture.control.proposed.back().issued_after == LogIndex(1));
+  fixture.Run("drain target t1 as \"c-2\"");
+  CHECK(fixture.control.proposed.back().id == CommandId("c-2"));
+  CHECK_FALSE(fixture.control.proposed.back().issued_after.has_value());
   // Symptom: an entry without a data folder has each new command refused as too
   // old. Cause: it has no index of its own and says 0.
-  world.control.has_replica = false;
-  world.Run("undrain target t1");
-  CHECK_FALSE(world.control.proposed.back().issued_after.has_value());
+  fixture.control.has_replica = false;
+  fixture.Run("undrain target t1");
+  CHECK_FALSE(fixture.control.proposed.back().issued_after.has_value());
 }
 
 TEST_CASE("who lacks an accepted version is named") {
-  RunnerWorld world;
-  world.control.coverages = {
+  RunnerFixture fixture;
+  fixture.control.coverages = {
       spread::Coverage{9, 6, {NodeId("agent-7")}, {FailureDomain("abdali")}}};
-  const std::string text = world.TextOf("drain target t1");
+  const std::string text = fixture.TextOf("drain target t1");
   CHECK(text.find("accepted at version 2, in force on 6 of 9 nodes") !=
         std::string::npos);
   CHECK(text.find("agent-7") != std::string::npos);
   CHECK(text.find("named are 1 of 3 nodes") != std::string::npos);
   CHECK(text.find("domain abdali is silent") != std::string::npos);
-  world.control.coverages = {ControlFailure{ControlFailureKind::kNoLeader, ""}};
-  CHECK(world.TextOf("undrain target t1").find("ask: wait version 3") !=
+  fixture.control.coverages = {
+      ControlFailure{ControlFailureKind::kNoLeader, ""}};
+  CHECK(fixture.TextOf("undrain target t1").find("ask: wait version 3") !=
         std::string::npos);
 }
 
 TEST_CASE("a wait ends with the coverage, or says at its end who lacks it") {
-  RunnerWorld world;
+  RunnerFixture fixture;
   const spread::Coverage partial{9, 8, {NodeId("agent-7")}, {}};
   const spread::Coverage whole{9, 9, {}, {}};
   const ControlFailure failure{ControlFailureKind::kNoLeader, ""};
-  const TimePoint start = world.now;
+  const TimePoint start = fixture.now;
   const spread::Coverage no_reports{0, 0, {}, {}};
-  world.control.coverages = {partial, failure, no_reports, whole};
-  CHECK(world.Run("wait version 1").answer.status == AnswerStatus::kDone);
-  CHECK(world.now - start == 3 * StatementRunner::kPollInterval);
+  fixture.control.coverages = {partial, failure, no_reports, whole};
+  CHECK(fixture.Run("wait version 1").answer.status == AnswerStatus::kDone);
+  CHECK(fixture.now - start == 3 * StatementRunner::kPollInterval);
 
-  world.control.coverages = {partial};
-  const StatementResult late = world.Run("wait version 1 timeout 2s");
+  fixture.control.coverages = {partial};
+  const StatementResult late = fixture.Run("wait version 1 timeout 2s");
   CHECK(late.answer.status == AnswerStatus::kRefused);
-  CHECK(world.now - start == 3 * StatementRunner::kPollInterval + Seconds(2));
+  CHECK(fixture.now - start == 3 * StatementRunner::kPollInterval + Seconds(2));
   const std::string text = language::RenderText(late.answer);
   CHECK(text.find("not in force everywhere after 2.0 s: in force on 8 of 9") !=
         std::string::npos);
   CHECK(text.find("agent-7") != std::string::npos);
 
-  world.control.coverages = {failure};
-  CHECK(world.Run("wait version 1").failure == ControlFailureKind::kNoLeader);
+  fixture.control.coverages = {failure};
+  CHECK(fixture.Run("wait version 1").failure == ControlFailureKind::kNoLeader);
 }
 
 TEST_CASE("a wait ends when nobody waits for it") {
-  RunnerWorld world;
-  world.control.coverages = {spread::Coverage{9, 8, {}, {}}};
-  const TimePoint start = world.now;
+  RunnerFixture fixture;
+  fixture.control.coverages = {spread::Coverage{9, 8, {}, {}}};
+  const TimePoint start = fixture.now;
   StatementRequest request;
   request.text = "wait version 1 timeout 60s";
-  request.is_abandoned = [&] { return world.now - start >= Seconds(1); };
-  world.runner.Run(request);
-  CHECK(world.now - start == Seconds(1));
+  request.is_abandoned = [&] { return fixture.now - start >= Seconds(1); };
+  fixture.runner.Run(request);
+  CHECK(fixture.now - start == Seconds(1));
 }
 
 // A word that may stand after `text`, or a value of some kind.
@@ -313,12 +314,12 @@
 TEST_CASE("random statements and bytes never stop the runner") {
   const char* seeds = std::getenv("BILBERRYSPOOL_SEEDS");
   const int runs = seeds == nullptr ? 300 : std::atoi(seeds);
-  RunnerWorld world;
+  RunnerFixture fixture;
   int understood = 0;
   for (int seed = 1; seed <= runs; ++seed) {
     CAPTURE(seed);
     Random random(static_cast<std::uint64_t>(seed));
-    const StatementResult result = world.Run(RandomStatement(random));
+    const StatementResult result = fixture.Run(RandomStatement(random));
     CHECK_FALSE(language::RenderJson(result.answer).empty());
     understood += result.answer.status == AnswerStatus::kInvalid ? 0 : 1;
   }
