--- a/src/plugins/query/prompt.cc
+++ b/src/plugins/query/prompt.cc
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Prompt::Prompt(AskFunction ask) : ask_(std::move(ask)) {}
+Prompt::Prompt(ExecuteFunction execute) : execute_(std::move(execute)) {}
 
 ExitCode Prompt::Run(std::istream& in, std::ostream& out) {
   ExitCode code = ExitCode::kDone;
@@ -55,7 +55,7 @@
       continue;
     }
     if (line.front() == '!') {
-      line = Recall(line);
+      line = ExpandHistory(line);
       out << (line.empty() ? "no such line; see history" : line) << "\n";
     }
     if (line.empty()) {
@@ -64,7 +64,7 @@
     if (history_.size() < kMaxHistory) {
       history_.push_back(line);
     }
-    const QueryResult result = ask_(line);
+    const QueryResult result = execute_(line);
     out << result.text;
     code = result.code;
   }
@@ -80,13 +80,13 @@
   }
 }
 
-std::string Prompt::Recall(const std::string& line) const {
+std::string Prompt::ExpandHistory(const std::string& line) const {
   std::size_t number = 0;
   const char* end = line.data() + line.size();
   const auto read = std::from_chars(line.data() + 1, end, number);
-  const bool is_there = read.ec == std::errc() && read.ptr == end &&
-                        number >= 1 && number <= history_.size();
-  return is_there ? history_[number - 1] : "";
+  const bool is_in_history = read.ec == std::errc() && read.ptr == end &&
+                             number >= 1 && number <= history_.size();
+  return is_in_history ? history_[number - 1] : "";
 }
 
 }  // namespace bilberryspool::query
--- a/src/plugins/query/prompt.h
+++ b/src/plugins/query/prompt.h
@@ -18,9 +18,10 @@
 //   quit        ends, as does the end of the input
 class Prompt {
  public:
-  using AskFunction = std::function<QueryResult(const std::string& statement)>;
+  using ExecuteFunction =
+      std::function<QueryResult(const std::string& statement)>;
 
-  explicit Prompt(AskFunction ask);
+  explicit Prompt(ExecuteFunction execute);
 
   // Returns the code of the last statement.
   ExitCode Run(std::istream& in, std::ostream& out);
@@ -28,9 +29,9 @@
  private:
   void PrintHistory(std::ostream& out) const;
   // The line that "!N" stands for; empty where there is none.
-  std::string Recall(const std::string& line) const;
+  std::string ExpandHistory(const std::string& line) const;
 
-  AskFunction ask_;
+  ExecuteFunction execute_;
   std::vector<std::string> history_;
 };
 
--- a/src/plugins/query/query_client.cc
+++ b/src/plugins/query/query_client.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-ExitCode CodeOf(int http_status) {
+ExitCode ExitCodeOf(int http_status) {
   if (http_status == net::status::kOk) {
     return ExitCode::kDone;
   }
@@ -24,14 +24,14 @@
 }
 
 // An entry that can't answer now, though another may.
-bool IsPassing(int http_status) {
+bool IsTransient(int http_status) {
   return http_status == net::status::kTooManyRequests ||
          http_status == net::status::kUnavailable ||
          http_status == net::status::kGatewayTimeout;
 }
 
 // What the client must know of a statement to send it rightly.
-struct Reading {
+struct StatementTraits {
   // True also for a text that only a newer entry may understand.
   bool may_change = true;
   bool has_explicit_id = false;
@@ -39,20 +39,20 @@
   Duration wait{};
 };
 
-Reading Read(const std::string& statement) {
+StatementTraits InspectStatement(const std::string& statement) {
   const auto parsed = language::ParseStatement(statement);
   const auto* known = std::get_if<Statement>(&parsed);
   if (known == nullptr) {
     return {};
   }
-  Reading reading;
+  StatementTraits traits;
   const auto* change = std::get_if<language::ChangeStatement>(known);
-  reading.may_change = change != nullptr;
-  reading.has_explicit_id = change != nullptr && change->id.has_value();
+  traits.may_change = change != nullptr;
+  traits.has_explicit_id = change != nullptr && change->id.has_value();
   if (const auto* wait = std::get_if<language::WaitStatement>(known)) {
-    reading.wait = wait->timeout;
+    traits.wait = wait->timeout;
   }
-  return reading;
+  return traits;
 }
 
 // The sentence that an answer begins with, as text or as JSON.
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-struct QueryClient::Try {
+struct QueryClient::Attempt {
   std::optional<QueryResult> result;
   std::string error;
   // True where the statement may have reached the control replicas.
-  bool is_uncertain = false;
+  bool is_outcome_unknown = false;
 };
 
 QueryClient::QueryClient(net::NetworkLoop& loop, QueryOptions options)
@@ -92,7 +92,8 @@
   }
   // A statement that names its id may be an old one given again: then this is
   // not the index of its first time.
-  if (applied_index_.has_value() && !Read(statement).has_explicit_id) {
+  if (applied_index_.has_value() &&
+      !InspectStatement(statement).has_explicit_id) {
     headers.Add(std::string(operators::kIssuedAfterHeader), *applied_index_);
   }
   if (options_.json) {
@@ -101,35 +102,36 @@
   return request;
 }
 
-QueryResult QueryClient::Ask(const std::string& statement,
-                             const CommandId& id) {
+QueryResult QueryClient::Execute(const std::string& statement,
+                                 const CommandId& id) {
   const net::HttpRequest request = MakeRequest(statement, id);
-  const Reading reading = Read(statement);
-  const Duration answer_timeout = options_.answer_timeout + reading.wait;
+  const StatementTraits traits = InspectStatement(statement);
+  const Duration answer_timeout = options_.answer_timeout + traits.wait;
   const std::size_t count = options_.entries.size();
-  bool is_uncertain = false;
+  bool is_outcome_unknown = false;
   std::string error = "no address was given";
   for (std::size_t i = 0; i < options_.max_rounds * count; ++i) {
     if (i > 0 && i % count == 0) {
       loop_.SleepFor(options_.retry_delay);
     }
-    const std::size_t place = (first_ + i) % count;
-    Try tried = TryOnce(options_.entries[place], request, answer_timeout);
-    if (tried.result.has_value()) {
-      first_ = place;
-      return std::move(*tried.result);
+    const std::size_t entry_index = (preferred_entry_ + i) % count;
+    Attempt attempt =
+        SendOnce(options_.entries[entry_index], request, answer_timeout);
+    if (attempt.result.has_value()) {
+      preferred_entry_ = entry_index;
+      return std::move(*attempt.result);
     }
-    is_uncertain = is_uncertain || tried.is_uncertain;
-    error = options_.entries[place].ToString() + ": " + tried.error;
+    is_outcome_unknown = is_outcome_unknown || attempt.is_outcome_unknown;
+    error = options_.entries[entry_index].ToString() + ": " + attempt.error;
   }
-  return GiveUp(
-      error, is_uncertain && reading.may_change,
-      reading.has_explicit_id ? std::nullopt : std::make_optional(id));
+  return MakeUnreachableResult(
+      error, is_outcome_unknown && traits.may_change,
+      traits.has_explicit_id ? std::nullopt : std::make_optional(id));
 }
 
-QueryClient::Try QueryClient::TryOnce(const net::Endpoint& entry,
-                                      const net::HttpRequest& request,
-                                      Duration answer_timeout) {
+QueryClient::Attempt QueryClient::SendOnce(const net::Endpoint& entry,
+                                           const net::HttpRequest& request,
+                                           Duration answer_timeout) {
   const auto sent = client_.Send(entry, request, answer_timeout);
   if (const auto* error = std::get_if<net::HttpError>(&sent)) {
     return {std::nullopt, error->text,
@@ -137,30 +139,31 @@
   }
   const auto& response = std::get<net::HttpResponse>(sent);
   const int status = response.head.status;
-  if (IsPassing(status)) {
+  if (IsTransient(status)) {
     return {std::nullopt, FirstSentence(response.body),
             status == net::status::kGatewayTimeout};
   }
-  NoteIndex(response);
+  RecordAppliedIndex(response);
   std::string text = response.body;
   if (!text.empty() && text.back() != '\n') {
     text += "\n";
   }
-  return {QueryResult{CodeOf(status), std::move(text)}, "", false};
+  return {QueryResult{ExitCodeOf(status), std::move(text)}, "", false};
 }
 
-void QueryClient::NoteIndex(const net::HttpResponse& response) {
+void QueryClient::RecordAppliedIndex(const net::HttpResponse& response) {
   const auto index = response.head.headers.Find(operators::kAppliedIndexHeader);
   if (index.has_value()) {
     applied_index_ = std::string(*index);
   }
 }
 
-QueryResult QueryClient::GiveUp(const std::string& last_error,
-                                bool is_uncertain,
-                                const std::optional<CommandId>& id) const {
+QueryResult QueryClient::MakeUnreachableResult(
+    const std::string& last_error,
+    bool is_outcome_unknown,
+    const std::optional<CommandId>& id) const {
   language::Answer answer;
-  if (is_uncertain) {
+  if (is_outcome_unknown) {
     answer.status = language::AnswerStatus::kUnknown;
     const std::string how =
         id.has_value() ? ", with --command_id=" + id->value() +
--- a/src/plugins/query/query_client.h
+++ b/src/plugins/query/query_client.h
@@ -51,35 +51,35 @@
   std::string text;
 };
 
-// Belongs to one NetworkLoop's thread; Ask() suspends the calling fiber.
+// Belongs to one NetworkLoop's thread; Execute() suspends the calling fiber.
 class QueryClient {
  public:
   QueryClient(net::NetworkLoop& loop, QueryOptions options);
 
   // Gives `statement` under `id`. Given again under the same id, a change
   // takes effect once.
-  QueryResult Ask(const std::string& statement, const CommandId& id);
+  QueryResult Execute(const std::string& statement, const CommandId& id);
 
  private:
   // What one try came to: a final answer, or none.
-  struct Try;
+  struct Attempt;
 
-  Try TryOnce(const net::Endpoint& entry,
-              const net::HttpRequest& request,
-              Duration answer_timeout);
+  Attempt SendOnce(const net::Endpoint& entry,
+                   const net::HttpRequest& request,
+                   Duration answer_timeout);
   net::HttpRequest MakeRequest(const std::string& statement,
                                const CommandId& id) const;
-  void NoteIndex(const net::HttpResponse& response);
+  void RecordAppliedIndex(const net::HttpResponse& response);
   // `id` where the statement doesn't name it.
-  QueryResult GiveUp(const std::string& last_error,
-                     bool is_uncertain,
-                     const std::optional<CommandId>& id) const;
+  QueryResult MakeUnreachableResult(const std::string& last_error,
+                                    bool is_outcome_unknown,
+                                    const std::optional<CommandId>& id) const;
 
   net::NetworkLoop& loop_;
   QueryOptions options_;
   net::HttpClient client_;
   // The entry that answered last is asked first.
-  std::size_t first_ = 0;
+  std::size_t preferred_entry_ = 0;
   std::optional<std::string> applied_index_;
 };
 
--- a/src/plugins/query/query_command.cc
+++ b/src/plugins/query/query_command.cc
@@ -103,7 +103,7 @@
 ExitCode RunStatement(QueryClient& client, const std::string& statement) {
   const CommandId id = FLAGS_command_id.empty() ? operators::MakeCommandId()
                                                 : CommandId(FLAGS_command_id);
-  const QueryResult result = client.Ask(statement, id);
+  const QueryResult result = client.Execute(statement, id);
   std::ostream& out =
       result.code == ExitCode::kDone || FLAGS_json ? std::cout : std::cerr;
   out << result.text << std::flush;
@@ -112,7 +112,7 @@
 
 ExitCode RunPrompt(QueryClient& client) {
   Prompt prompt([&client](const std::string& statement) {
-    return client.Ask(statement, operators::MakeCommandId());
+    return client.Execute(statement, operators::MakeCommandId());
   });
   return prompt.Run(std::cin, std::cout);
 }
--- a/tests/auto/query/prompt_test.cc
+++ b/tests/auto/query/prompt_test.cc
@@ -10,7 +10,7 @@
 TEST_CASE("lines at the prompt") {
   struct Row {
     const char* input;
-    std::vector<std::string> asked;
+    std::vector<std::string> executed;
     // Stands in the output.
     const char* text;
   };
@@ -29,9 +29,9 @@
       {"nonsense ?\n", {}, "no word is known"},
   };
   for (const Row& row : rows) {
-    std::vector<std::string> asked;
-    Prompt prompt([&asked](const std::string& statement) {
-      asked.push_back(statement);
+    std::vector<std::string> executed;
+    Prompt prompt([&executed](const std::string& statement) {
+      executed.push_back(statement);
       return QueryResult{ExitCode::kRefused, "answer\n"};
     });
     std::istringstream in(row.input);
@@ -39,8 +39,8 @@
     const ExitCode code = prompt.Run(in, out);
     CAPTURE(row.input);
     CAPTURE(out.str());
-    CHECK(code == (asked.empty() ? ExitCode::kDone : ExitCode::kRefused));
-    CHECK(asked == row.asked);
+    CHECK(code == (executed.empty() ? ExitCode::kDone : ExitCode::kRefused));
+    CHECK(executed == row.executed);
     CHECK(out.str().find(row.text) != std::string::npos);
   }
 }
--- a/tests/auto/query/query_client_test.cc
+++ b/tests/auto/query/query_client_test.cc
@@ -13,9 +13,9 @@
 namespace bilberryspool::query {
 namespace {
 
-constexpr int kLost = 0;
+constexpr int kConnectionLost = 0;
 
-// An entry that answers with these statuses in turn; kLost breaks the
+// An entry that answers with these statuses in turn; kConnectionLost breaks the
 // connection off after the request arrived.
 struct FakeEntry {
   FakeEntry(net::NetworkLoop& loop, std::deque<int> to_answer)
@@ -39,7 +39,7 @@
     answers.pop_front();
     net::HttpResponseHead head;
     head.headers.Add("Bilberryspool-Applied-Index", "41");
-    if (status == kLost) {
+    if (status == kConnectionLost) {
       exchange.BeginStream(std::move(head));
       exchange.AbortStream();
       return;
@@ -94,7 +94,7 @@
        ExitCode::kDone,
        "answer 200"},
       {"lost, then found",
-       {kLost},
+       {kConnectionLost},
        {200},
        "drain target t1",
        ExitCode::kDone,
@@ -106,13 +106,13 @@
        ExitCode::kUnreachable,
        "not done"},
       {"lost, and nobody has a leader",
-       {kLost, 503},
+       {kConnectionLost, 503},
        {503, 503},
        "drain target t1",
        ExitCode::kUnreachable,
        "--command_id=c-1 or with as \"c-1\" at its end"},
       {"lost, with an id of its own",
-       {kLost, 503},
+       {kConnectionLost, 503},
        {503, 503},
        "drain target t1 as \"c-9\"",
        ExitCode::kUnreachable,
@@ -124,8 +124,8 @@
        ExitCode::kUnreachable,
        "may or may not"},
       {"a question lost has no effect",
-       {kLost, kLost},
-       {kLost, kLost},
+       {kConnectionLost, kConnectionLost},
+       {kConnectionLost, kConnectionLost},
        "show version",
        ExitCode::kUnreachable,
        "not done"},
@@ -138,7 +138,8 @@
       QueryOptions options = Options();
       options.entries = {first.endpoint(), second.endpoint()};
       QueryClient client(loop, options);
-      const QueryResult result = client.Ask(row.statement, CommandId("c-1"));
+      const QueryResult result =
+          client.Execute(row.statement, CommandId("c-1"));
       CHECK(result.code == row.code);
       CAPTURE(result.text);
       CHECK(result.text.find(row.text) != std::string::npos);
@@ -155,13 +156,13 @@
 // entry as a new command. Cause: the resend has another id.
 TEST_CASE("a resend carries the id of the first send") {
   InLoop([](net::NetworkLoop& loop) {
-    FakeEntry first(loop, {kLost, 200});
+    FakeEntry first(loop, {kConnectionLost, 200});
     FakeEntry second(loop, {504});
     QueryOptions options = Options();
     options.read_version = ConfigVersion(7);
     options.entries = {first.endpoint(), second.endpoint()};
     QueryClient client(loop, options);
-    CHECK(client.Ask("drain target t1", CommandId("c-1")).code ==
+    CHECK(client.Execute("drain target t1", CommandId("c-1")).code ==
           ExitCode::kDone);
     for (const auto& [entry, request] :
          {std::pair(&first, 0), std::pair(&second, 0), std::pair(&first, 1)}) {
@@ -184,9 +185,9 @@
     QueryOptions options = Options();
     options.entries = {entry.endpoint()};
     QueryClient client(loop, options);
-    client.Ask("show version", CommandId("c-1"));
-    client.Ask("drain target t1", CommandId("c-2"));
-    client.Ask("drain target t1 as \"c-0\"", CommandId("c-3"));
+    client.Execute("show version", CommandId("c-1"));
+    client.Execute("drain target t1", CommandId("c-2"));
+    client.Execute("drain target t1 as \"c-0\"", CommandId("c-3"));
     CHECK(entry.Field(1, "Bilberryspool-Issued-After") == "41");
     CHECK(entry.Field(2, "Bilberryspool-Issued-After") == "none");
     entry.server.Drain();
@@ -200,8 +201,8 @@
     QueryOptions options = Options();
     options.entries = {first.endpoint(), second.endpoint()};
     QueryClient client(loop, options);
-    client.Ask("show version", CommandId("c-1"));
-    client.Ask("show version", CommandId("c-2"));
+    client.Execute("show version", CommandId("c-1"));
+    client.Execute("show version", CommandId("c-2"));
     CHECK(first.requests.size() == 1);
     CHECK(second.requests.size() == 2);
     first.server.Drain();
@@ -221,13 +222,16 @@
     QueryOptions options = Options();
     options.entries = {gone, entry.endpoint()};
     QueryClient client(loop, options);
-    CHECK(client.Ask("show version", CommandId("c-1")).code == ExitCode::kDone);
-    CHECK(client.Ask("show version", CommandId("c-2")).code == ExitCode::kDone);
+    CHECK(client.Execute("show version", CommandId("c-1")).code ==
+          ExitCode::kDone);
+    CHECK(client.Execute("show version", CommandId("c-2")).code ==
+          ExitCode::kDone);
     entry.server.Drain();
     options.entries = {gone};
     options.json = true;
-    QueryClient lonely(loop, options);
-    const QueryResult result = lonely.Ask("drain target t1", CommandId("c-3"));
+    QueryClient single_entry_client(loop, options);
+    const QueryResult result =
+        single_entry_client.Execute("drain target t1", CommandId("c-3"));
     CHECK(result.code == ExitCode::kUnreachable);
     CHECK(result.text.find("\"status\":\"refused\"") != std::string::npos);
   });
