--- a/src/plugins/control/group_run.cc
+++ b/src/plugins/control/controlled_group.cc
@@ -1,4 +1,4 @@
-#include "plugins/control/group_run.h"
+#include "plugins/control/controlled_group.h"
 
 #include <utility>
 
--- a/src/plugins/control/group_run.h
+++ b/src/plugins/control/controlled_group.h
@@ -1,8 +1,8 @@
 // One group under control of this replica: its lease, its controller, and the
 // ways to its ranks.
 
-#ifndef PLUGINS_CONTROL_GROUP_RUN_H_
-#define PLUGINS_CONTROL_GROUP_RUN_H_
+#ifndef PLUGINS_CONTROL_CONTROLLED_GROUP_H_
+#define PLUGINS_CONTROL_CONTROLLED_GROUP_H_
 
 #include <boost/json/value.hpp>
 #include <map>
@@ -103,4 +103,4 @@
 
 }  // namespace bilberryspool::control
 
-#endif  // PLUGINS_CONTROL_GROUP_RUN_H_
+#endif  // PLUGINS_CONTROL_CONTROLLED_GROUP_H_
--- a/src/plugins/control/group_driver.h
+++ b/src/plugins/control/group_driver.h
@@ -9,7 +9,7 @@
 #include <optional>
 
 #include "libs/links/link_server.h"
-#include "plugins/control/group_run.h"
+#include "plugins/control/controlled_group.h"
 
 namespace bilberryspool::control {
 
--- a/src/plugins/operators/offering.cc
+++ b/src/plugins/operators/effective_offer.cc
@@ -1,4 +1,4 @@
-#include "plugins/operators/offering.h"
+#include "plugins/operators/effective_offer.h"
 
 #include "libs/config/target_selector.h"
 
--- a/src/plugins/operators/offering.h
+++ b/src/plugins/operators/effective_offer.h
@@ -1,5 +1,5 @@
-#ifndef PLUGINS_OPERATORS_OFFERING_H_
-#define PLUGINS_OPERATORS_OFFERING_H_
+#ifndef PLUGINS_OPERATORS_EFFECTIVE_OFFER_H_
+#define PLUGINS_OPERATORS_EFFECTIVE_OFFER_H_
 
 #include <optional>
 #include <string>
@@ -23,4 +23,4 @@
 
 }  // namespace bilberryspool::operators
 
-#endif  // PLUGINS_OPERATORS_OFFERING_H_
+#endif  // PLUGINS_OPERATORS_EFFECTIVE_OFFER_H_
--- a/src/plugins/operators/explanations.cc
+++ b/src/plugins/operators/explanations.cc
@@ -8,8 +8,8 @@
 #include "libs/base/overloaded.h"
 #include "libs/config/key_text.h"
 #include "libs/language/config_answers.h"
+#include "plugins/operators/effective_offer.h"
 #include "plugins/operators/live_tables.h"
-#include "plugins/operators/offering.h"
 #include "plugins/operators/placement_match.h"
 #include "plugins/operators/text.h"
 
--- a/src/plugins/operators/live_tables.cc
+++ b/src/plugins/operators/live_tables.cc
@@ -7,7 +7,7 @@
 #include "libs/config/target_selector.h"
 #include "libs/language/config_answers.h"
 #include "libs/language/filter.h"
-#include "plugins/operators/offering.h"
+#include "plugins/operators/effective_offer.h"
 #include "plugins/operators/placement_match.h"
 #include "plugins/operators/text.h"
 
--- a/tests/auto/operators/page_test.cc
+++ b/tests/auto/operators/page_test.cc
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-#include "auto/operators/runner_world.h"
+#include "auto/operators/runner_fixture.h"
 
 namespace bilberryspool::operators {
 namespace {
--- a/tests/auto/operators/runner_world.cc
+++ b/tests/auto/operators/runner_fixture.cc
@@ -1,4 +1,4 @@
-#include "auto/operators/runner_world.h"
+#include "auto/operators/runner_fixture.h"
 
 #include "libs/language/rendering.h"
 
--- a/tests/auto/operators/runner_world.h
+++ b/tests/auto/operators/runner_fixture.h
@@ -1,5 +1,5 @@
-#ifndef AUTO_OPERATORS_RUNNER_WORLD_H_
-#define AUTO_OPERATORS_RUNNER_WORLD_H_
+#ifndef AUTO_OPERATORS_RUNNER_FIXTURE_H_
+#define AUTO_OPERATORS_RUNNER_FIXTURE_H_
 
 #include <string>
 
@@ -26,4 +26,4 @@
 
 }  // namespace bilberryspool::operators
 
-#endif  // AUTO_OPERATORS_RUNNER_WORLD_H_
+#endif  // AUTO_OPERATORS_RUNNER_FIXTURE_H_
--- a/tests/auto/operators/statement_runner_test.cc
+++ b/tests/auto/operators/statement_runner_test.cc
@@ -4,7 +4,7 @@
 
 #include <cstdlib>
 
-#include "auto/operators/runner_world.h"
+#include "auto/operators/runner_fixture.h"
 #include "libs/base/random.h"
 #include "libs/language/parser.h"
 #include "libs/language/rendering.h"
