--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -480,7 +480,7 @@
 
 std::optional<std::string> ConfigService::request_outcome(
     const RequestId& request) const {
-  return reports_.trail(request);
+  return reports_.outcome(request);
 }
 
 }  // namespace bilberryspool::control
