--- a/src/plugins/control/claim_service.h
+++ b/src/plugins/control/claim_service.h
@@ -1,4 +1,5 @@
-// Votes on claims of non-idempotent requests, for the other entries.
+// Serves the votes of this entry's claim holder on claims of non-idempotent
+// requests to the other entries.
 
 #ifndef PLUGINS_CONTROL_CLAIM_SERVICE_H_
 #define PLUGINS_CONTROL_CLAIM_SERVICE_H_
@@ -17,11 +18,11 @@
   explicit ClaimService(attempts::ClaimHolder holder);
 
   void Register(links::LinkServer& server);
-  // Only for a holder that has not voted yet.
+  // Only while the present holder has not voted yet.
   void ReplaceHolder(attempts::ClaimHolder holder) {
     holder_ = std::move(holder);
   }
-  // Stops voting for good.
+  // Stops voting permanently and returns the ledger of claims.
   attempts::LedgerExport StopAndExport();
   void AdoptRoster(attempts::RosterVersion version);
 
@@ -33,7 +34,7 @@
   std::optional<Json> OnClaim(const Json& params);
   std::optional<Json> OnRelease(const Json& params);
   std::optional<Json> OnFinish(const Json& params);
-  // {"roster": VERSION}: whether this holder votes on claims under it.
+  // {"roster": VERSION}: whether this holder votes on claims under that roster.
   std::optional<Json> OnCanVote(const Json& params) const;
 
   attempts::ClaimHolder holder_;
--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -108,8 +108,9 @@
   spread_.SetRole(spread::SpreaderRole::kControl);
   for (const consensus::LogEntry& entry : entries) {
     const auto* membership = std::get_if<consensus::Membership>(&entry.payload);
-    // Also seen again by a replica that restarts, which founds nothing: taken
-    // for a founder, it would grant claims that it has forgotten.
+    // A restarted replica applies the first entry again. It must not count as
+    // having bootstrapped the log: it would then grant claims although it no
+    // longer knows its earlier votes.
     if (membership != nullptr && entry.index == LogIndex(1)) {
       has_bootstrapped_ =
           is_new_folder_ && membership->IsVoter(replica_->replica().self());
@@ -119,7 +120,7 @@
       continue;
     }
     const auto command = config::CommandFromBytes(bytes->bytes);
-    // What was proposed was read back before it entered the log.
+    // Commands are decoded before they enter the log.
     BILBERRYSPOOL_INVARIANT(command.has_value(),
                             "a committed command can be read");
     const ConfigVersion before = state_machine_.configuration().version();
@@ -292,8 +293,8 @@
          SteadyNow() < deadline) {
     loop_.SleepFor(kPollInterval);
   }
-  // That of this very entry: the id alone would give the outcome of another
-  // order that used it before.
+  // Looked up by log index: a lookup by command id could return the outcome of
+  // an earlier command that used the same id.
   const auto outcome = outcomes_.find(accepted->index);
   if (outcome == outcomes_.end()) {
     return OutcomeUnknown();
@@ -301,8 +302,9 @@
   return outcome->second;
 }
 
-// Tries the hinted leader, then each control replica, until one leads. Asking
-// twice is harmless: the command id makes the second the first one's outcome.
+// Tries the hinted leader, then each control replica, until one of them leads
+// or the timeout expires. Repeating a call is safe: a command that has already
+// been applied is recognized by its id and returns the first outcome.
 ConfigService::LeaderResult ConfigService::CallLeader(const std::string& method,
                                                       const Json& params,
                                                       Duration timeout) {
@@ -373,7 +375,8 @@
   if (failure.kind == ControlFailureKind::kNoLeader) {
     return NotLeaderReply();
   }
-  // Without an outcome the caller asks again with the same command id.
+  // A reply without an outcome makes the caller resend with the same command
+  // id.
   return json::object{{"failure", failure.detail}};
 }
 
--- a/src/plugins/control/config_service.h
+++ b/src/plugins/control/config_service.h
@@ -1,5 +1,6 @@
-// The replicated configuration as one entry sees it: the state machine behind
-// the control replica, proposals from anywhere, and what is in force here.
+// Access of one entry to the replicated configuration: the state machine of its
+// control replica, proposals, which are forwarded to the leader, and the
+// configuration in force on this entry.
 
 #ifndef PLUGINS_CONTROL_CONFIG_SERVICE_H_
 #define PLUGINS_CONTROL_CONFIG_SERVICE_H_
@@ -21,7 +22,8 @@
 
 class GroupDriver;
 
-// A control replica of the settings, until the configuration names them.
+// A control replica named by the settings; used until the configuration lists
+// the control members.
 struct SeedMember {
   NodeId node;
   net::Endpoint address;
@@ -36,43 +38,47 @@
                 spreading::SpreadDriver& spread,
                 std::vector<SeedMember> seeds);
 
-  // On a control replica, before its first event. `is_new_folder`: its folder
-  // is new.
+  // Called on a control replica before its first event. `is_new_folder`: its
+  // data folder has never been part of a control group.
   void SetReplica(ReplicaDriver* replica, bool is_new_folder) {
     replica_ = replica;
     is_new_folder_ = is_new_folder;
   }
-  // Whose reports operators get.
+  // Source of the group reports that operators are shown.
   void SetGroups(const GroupDriver* groups) { groups_ = groups; }
   void Register(links::LinkServer& server);
   void Start();
 
   void AddReport(CallerReport report) { reports_.Add(std::move(report)); }
 
-  // Hooks of the replica.
+  // Called by the hooks of the replica.
   void Apply(const std::vector<consensus::LogEntry>& entries);
   void Restore(const consensus::Snapshot& snapshot);
   std::string MakeSnapshot() const;
   void RoleChanged(const consensus::RoleChanged& change);
 
-  // Where a node of the system is reached.
+  // Address of a node of the system, if it is known.
   std::optional<net::Endpoint> FindNode(const NodeId& node) const;
-  // Whom the spreader may speak to; also refreshes what FindNode knows.
+  // The nodes that the spreader may send to. Also refreshes the addresses that
+  // FindNode() returns.
   spread::TopologyChanged Topology();
-  // The control replicas, by the configuration in force or the settings.
+  // The control replicas named by the configuration in force, or by the
+  // settings where it names none.
   std::vector<NodeId> control_members() const;
-  // Whether this replica was one of those that founded the log, from this
-  // folder and since this start.
+  // Whether this replica has bootstrapped the log as one of its initial voters,
+  // with this data folder and since this start of the process.
   bool has_bootstrapped() const { return has_bootstrapped_; }
 
   // Whether this replica leads the control group.
   bool leads() const;
-  // What this replica has applied of the log; may be ahead of what is in force.
+  // The configuration after the last log entry applied here; may be newer than
+  // the one in force.
   const config::Configuration& committed() const {
     return state_machine_.configuration();
   }
 
-  // OperatorControl. Plans are made on what is in force here.
+  // OperatorControl. Plans are computed on this entry's own state: that of its
+  // replica, or without one the configuration in force.
   std::variant<config::Outcome, ControlFailure> Propose(
       const config::Command& command,
       Duration timeout) override;
@@ -94,7 +100,7 @@
 
  private:
   using Json = boost::json::value;
-  // One call to whoever leads: an answer, or why there is none.
+  // Result of a call to the leader: its reply, or why there is none.
   using LeaderResult = std::variant<Json, ControlFailure>;
 
   std::variant<config::Outcome, ControlFailure> ProposeLocally(
@@ -132,7 +138,8 @@
   bool is_new_folder_ = false;
   bool has_bootstrapped_ = false;
   RecentReports reports_;
-  // Of the latest entries applied here, for those who proposed them.
+  // Outcomes of the latest entries applied here, for the fibers that proposed
+  // them.
   std::map<LogIndex, config::Outcome> outcomes_;
   std::uint64_t command_count_ = 0;
 };
--- a/src/plugins/control/config_service_membership.cc
+++ b/src/plugins/control/config_service_membership.cc
@@ -1,5 +1,5 @@
 // The part of ConfigService that keeps the declared control members and the
-// log's membership in step. Only the leader acts.
+// log's membership consistent. Only the leader acts.
 
 #include <algorithm>
 
@@ -37,8 +37,8 @@
   }
 }
 
-// Carries an operator's replacement into the log once the successor, with its
-// new folder, has asked to be admitted.
+// Proposes the membership change for a replacement that an operator declared,
+// once the successor, which has a new data folder, has asked for admission.
 void ConfigService::AdvanceReplacement() {
   const consensus::Replica& replica = replica_->replica();
   const consensus::Membership& membership = replica.log().membership();
@@ -94,7 +94,8 @@
   return spec;
 }
 
-// An operator's replacement stays as declared until the log has carried it out.
+// A replacement that an operator declared stays as declared until the log's
+// membership includes the successor as a voter.
 std::vector<ControlMemberSpec> ConfigService::ObservedMembers() const {
   const consensus::Membership& membership =
       replica_->replica().log().membership();
@@ -153,7 +154,8 @@
   const auto* refused =
       known != nullptr ? std::get_if<config::Refused>(known) : nullptr;
   if (refused != nullptr) {
-    log_.Warn("Observed members were refused.", {{"detail", refused->detail}});
+    log_.Warn("The update of the control members was refused.",
+              {{"detail", refused->detail}});
   }
 }
 
--- a/src/plugins/control/control_feed.h
+++ b/src/plugins/control/control_feed.h
@@ -1,5 +1,5 @@
-// What the control thread and the callers thread tell each other, through a
-// bounded ring each way.
+// Messages between the control thread and the callers thread, which are passed
+// through one bounded ring per direction.
 
 #ifndef PLUGINS_CONTROL_CONTROL_FEED_H_
 #define PLUGINS_CONTROL_CONTROL_FEED_H_
@@ -23,7 +23,7 @@
 struct TargetRow {
   routing::TargetView view;
   net::Endpoint agent;
-  // As announced; another one means that the agent was started again.
+  // As announced; a change means that the agent has restarted.
   Incarnation incarnation;
 };
 
@@ -32,7 +32,7 @@
   std::vector<TargetRow> targets;
 };
 
-// The entries that hold votes on claims, and how to reach them.
+// The entries that vote on claims, and their addresses.
 struct RosterUpdate {
   attempts::Roster roster;
   std::map<NodeId, net::Endpoint> addresses;
@@ -44,12 +44,12 @@
   bool is_stale = false;
 };
 
-// The other entries that are heard.
+// The other entries known to be alive, with their addresses.
 struct EntriesUpdate {
   std::map<NodeId, net::Endpoint> entries;
 };
 
-// What another entry says its callers ask for.
+// The demand of another entry's callers, as reported by that entry.
 struct DemandUpdate {
   NodeId entry;
   std::vector<limits::WorkspaceDemand> demands;
@@ -61,8 +61,8 @@
                                  EntriesUpdate,
                                  DemandUpdate>;
 
-// What the callers thread tells the control thread, for operators who ask why:
-// a routing decision of a service, or what became of a request.
+// Report of the callers thread to the control thread, for operators' `why`
+// statements: a routing decision for a service, or the outcome of a request.
 struct CallerReport {
   ServiceId service;
   // Empty for a routing decision.
--- a/src/plugins/control/control_process.cc
+++ b/src/plugins/control/control_process.cc
@@ -27,12 +27,13 @@
 
 namespace {
 
-// How often routing gets a new picture of the targets.
 constexpr std::size_t kReportCapacity = 1024;
-// The other entries change seldom.
+// Longer than kFeedInterval, as the set of other entries rarely changes.
 constexpr Duration kEntriesInterval = Seconds(1);
+// How often the callers thread gets the current targets.
 constexpr Duration kFeedInterval = Milliseconds(250);
-// Gossip tells of no further entry for so many of these intervals.
+// Number of consecutive feed intervals in which gossip must report the same
+// entries before a new replica asks them to join.
 constexpr std::size_t kStableFeedIntervals = 10;
 
 membership::DirectoryOptions MakeDirectoryOptions(
@@ -63,7 +64,7 @@
   spread::SpreaderOptions options;
   options.self = common.node;
   options.domain = common.failure_domain;
-  // Also with a data folder, until there is a log in it.
+  // Also with a data folder, until it contains a log.
   options.role = spread::SpreaderRole::kEntry;
   return options;
 }
@@ -122,14 +123,14 @@
                 [this] { loop.Post([this] { PopReports(); }); }) {}
 
   void Run(std::promise<std::string>& started);
-  // Empty, or why the replica can't start.
+  // Returns an empty string, or why the replica can't start.
   std::string OpenReplica();
   void StartReplica(std::unique_ptr<storage::DataFolder> folder,
                     std::vector<NodeId> known_peers);
-  // A new folder without initial members waits here until it has heard of the
-  // entries, some of which are the control group that it is to join.
+  // Starts the replica of a new folder without initial members, once gossip has
+  // reported the other entries, among them the control group that it joins.
   void JoinAfterDiscovery(std::unique_ptr<storage::DataFolder> folder);
-  // The entries that gossip tells of.
+  // The other entries known from gossip.
   std::vector<NodeId> OtherEntries() const;
   void RunFeedLoop();
   void PushConfiguration();
@@ -160,7 +161,8 @@
   StartOperators start_operators;
   storage::PosixFileSystem files;
   std::unique_ptr<LedgerFile> ledger_file;
-  // That of the holder grows by one with each start of this data folder.
+  // Incarnation of the claim holder; grows by one with each start with this
+  // data folder.
   Incarnation holder_incarnation;
   std::unique_ptr<ReplicaDriver> replica;
   bool is_config_pending = false;
@@ -260,13 +262,14 @@
   attempts::ClaimHolder holder = MakeHolder(/*first_start=*/false);
   const bool is_imported =
       start.ledger.has_value() && holder.Import(*start.ledger, SteadyNow());
-  log.Info(is_imported ? "Took over the ledger of claims."
-                       : "No ledger of claims; abstaining for a window.");
+  log.Info(is_imported
+               ? "Imported the ledger of claims."
+               : "No ledger of claims found; abstaining for one window.");
   claims.ReplaceHolder(std::move(holder));
   return {};
 }
 
-// At a planned stop: no vote is given after this.
+// Called at a planned stop; the holder does not vote after this.
 void ControlProcess::Private::StoreLedger() {
   if (ledger_file == nullptr) {
     return;
@@ -304,8 +307,9 @@
   auto shared =
       std::make_shared<std::unique_ptr<storage::DataFolder>>(std::move(folder));
   loop.Spawn([this, shared] {
-    // The configuration names the members, but a control replica gets it from
-    // the log alone, which it has yet to join. So all entries are asked.
+    // The configuration names the members, but a control replica receives it
+    // only through the log, which it has not joined yet. So it asks all
+    // entries.
     std::vector<NodeId> peers;
     std::size_t stable_intervals = 0;
     while (stable_intervals < kStableFeedIntervals) {
@@ -336,7 +340,7 @@
     const bool had_bootstrapped = config.has_bootstrapped();
     config.Apply(entries);
     if (!had_bootstrapped && config.has_bootstrapped()) {
-      // The deployment has never run, so there is no vote to have forgotten.
+      // The deployment has never run before, so no earlier vote can be lost.
       claims.ReplaceHolder(MakeHolder(/*first_start=*/true));
       is_config_pending = true;
     }
@@ -383,15 +387,15 @@
   }
   RosterUpdate roster = MakeRosterUpdate(config);
   claims.AdoptRoster(roster.roster.version);
-  // A roster without members would count as an older one for a whole window,
-  // and no claim can win a majority of nobody.
+  // An empty roster is not pushed: it would count as the previous roster for a
+  // whole window, and no claim can get a majority of zero members.
   const bool has_roster = !roster.roster.members.empty();
   const bool is_pushed =
       (!has_roster || push(std::move(roster))) &&
       push(ConfigUpdate{
           std::make_shared<const config::Configuration>(config.configuration()),
           spread.spreader().stale(SteadyNow())});
-  // Where the ring was full it is tried again with the next picture.
+  // If the ring was full, the push is retried with the next update.
   is_config_pending = !is_pushed;
 }
 
@@ -448,11 +452,11 @@
 
 void ControlProcess::Private::RunFeedLoop() {
   while (true) {
-    // Where the ring is full the next picture replaces this one.
+    // If the ring is full, the next update replaces this one.
     push(directory.MakeTargetsUpdate(SteadyNow()));
     PushConfiguration();
     PushEntries();
-    // News of a target goes on at once.
+    // A change of a target or of the configuration ends the wait early.
     feed_due.WaitUntil(SteadyNow() + kFeedInterval);
   }
 }
--- a/src/plugins/control/control_process.h
+++ b/src/plugins/control/control_process.h
@@ -26,8 +26,8 @@
 
 class ControlProcess {
  public:
-  // Called on the control thread for each update; returns false where the
-  // ring to the callers thread was full, and is asked again soon.
+  // Called on the control thread for each update; returns false if the ring to
+  // the callers thread is full. A newer update follows soon in that case.
   using PushFeed = std::function<bool(ControlFeed&&)>;
 
   ControlProcess(const settings::CommonSettings& common,
@@ -39,21 +39,22 @@
   ControlProcess(const ControlProcess&) = delete;
   ControlProcess& operator=(const ControlProcess&) = delete;
 
-  // Called on the control thread at its start, before peers are served: the
-  // operators' server, which this plugin does not depend on. Returns an empty
-  // string, or why it can't start.
+  // Starts the operators' server; a callback, so that this plugin does not
+  // depend on it. Called on the control thread before Start() returns. Returns
+  // an empty string, or why the server can't start.
   using StartOperators =
       std::function<std::string(net::NetworkLoop&, OperatorControl&)>;
   void SetOperators(StartOperators start);
 
-  // Starts the thread. Empty, or why it can't start.
+  // Starts the thread. Returns an empty string, or why it can't start.
   std::string Start();
 
-  // From the callers thread. False where the ring is full: the report is lost,
-  // which only operators who ask why can notice, and counted.
+  // Called from the callers thread. Returns false if the ring is full: the
+  // report is dropped and counted, which affects only answers to `why`.
   bool EnqueueReport(CallerReport&& report);
 
-  // From any thread: readiness goes first, then peers are told.
+  // Callable from any thread. Stops voting on claims, stores the ledger, then
+  // transfers leadership and stops the replica.
   void StartDraining();
 
  private:
--- a/src/plugins/control/controlled_group.cc
+++ b/src/plugins/control/controlled_group.cc
@@ -15,16 +15,16 @@
 
 namespace {
 
-// How long a controller acts without looking at its lease again.
+// How long the controller may act after the last check of its lease.
 constexpr Duration kLeaseTime = Seconds(1);
 constexpr Duration kProposalTimeout = Seconds(2);
-// Orders are repeated, so a late one is worth nothing.
+// Short, as orders are repeated and a late one is of no use.
 constexpr Duration kCallTimeout = Milliseconds(300);
 constexpr Duration kContactsInterval = Milliseconds(300);
 constexpr Duration kDecisionInterval = Seconds(5);
 constexpr std::uint64_t kMinuteNanoseconds = 60ULL * 1000 * 1000 * 1000;
 constexpr std::uint64_t kMinutesOfDay = 24ULL * 60;
-// Taken for one expert until engines announce the size of theirs.
+// Size assumed for each expert, as engines do not announce it yet.
 constexpr double kAssumedExpertBytes = 5e7;
 
 groups::ControllerOptions MakeControllerOptions(const config::GroupSpec& spec) {
@@ -98,11 +98,11 @@
   Handle(groups::ControllerTick{}, now);
 }
 
-// Views are named by the token and a count that the controller keeps in memory.
-// One that was frozen past its lease, or begins anew, counts from 1 again:
-// under the old token two views could get one name, and ranks with different
-// maps would take each other for members of one view. So each such start gets a
-// token of its own.
+// A view is identified by the token and a counter that the controller keeps in
+// memory. A controller that was frozen past its lease, or that restarts, counts
+// from 1 again: under the old token two views could get the same identifier,
+// and ranks with different maps would treat each other as members of one view.
+// So each such start gets a new token.
 bool ControlledGroup::MaintainLease(TimePoint now) {
   const auto* lease = config_.committed().Find<config::LeaseSpec>(spec_.id);
   const bool is_ours = token_.has_value() && now < lease_until_ &&
@@ -141,14 +141,16 @@
     if (accepted != nullptr && accepted->token.has_value()) {
       self->token_ = *accepted->token;
       self->lease_until_ = SteadyNow() + kLeaseTime;
-      self->log_.Info("Controls a group.", {{"group", self->spec_.id.value()},
-                                            {"token", self->token_->value()}});
+      self->log_.Info("Acquired the lease of a group.",
+                      {{"group", self->spec_.id.value()},
+                       {"token", self->token_->value()}});
     }
     self->is_requesting_lease_ = false;
   });
 }
 
-// A target that may hold a rank says in its statuses which one it holds.
+// Sends the contacts to every target that may hold a rank. Which rank it holds
+// is known from its statuses.
 void ControlledGroup::RefreshContacts(TimePoint now) {
   if (now < next_contacts_at_) {
     return;
@@ -201,7 +203,7 @@
       net::WallNanoseconds() / kMinuteNanoseconds % kMinutesOfDay);
   auto map = policy_.Decide(situation, config_.committed(), now);
   if (map.has_value()) {
-    log_.Info("Placement changes.",
+    log_.Info("The placement policy chose a new map.",
               {{"group", spec_.id.value()}, {"why", policy_.why()}});
   }
   return map;
@@ -280,8 +282,8 @@
                                                 action.record)}),
         kProposalTimeout);
     self->is_recording_ = false;
-    // Where an earlier proposal took effect without an answer, this one was
-    // refused; what is recorded tells.
+    // If an earlier proposal took effect but its answer was lost, this one is
+    // refused. So the recorded map decides whether it is done.
     const auto* recorded =
         self->config_.committed().Find<config::MapSpec>(self->spec_.id);
     const bool is_done = recorded != nullptr &&
@@ -290,7 +292,7 @@
     if (is_done) {
       self->Handle(groups::MapRecorded{action.record.version}, SteadyNow());
     } else if (AcceptedOf(result) == nullptr) {
-      self->log_.Warn("Map was not recorded.",
+      self->log_.Warn("Failed to record the map of a group.",
                       {{"group", self->spec_.id.value()}});
     }
   });
@@ -301,7 +303,8 @@
 }
 
 void ControlledGroup::Execute(const groups::MapRefused& action) {
-  log_.Warn("Map refused.", {{"group", spec_.id.value()}, {"why", action.why}});
+  log_.Warn("The group controller refused a map.",
+            {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
 void ControlledGroup::Send(const std::string& address,
@@ -315,7 +318,7 @@
     const auto result =
         self->client_.Call(*endpoint, method, params, kCallTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
-      // An idle connection that leads nowhere must not be used again.
+      // Idle connections to an unreachable address must not be reused.
       self->client_.DropIdle(*endpoint);
     }
   });
--- a/src/plugins/control/controlled_group.h
+++ b/src/plugins/control/controlled_group.h
@@ -1,5 +1,5 @@
-// One group under control of this replica: its lease, its controller, and the
-// ways to its ranks.
+// One group that this replica controls: its lease, its controller, and the
+// addresses of its ranks.
 
 #ifndef PLUGINS_CONTROL_CONTROLLED_GROUP_H_
 #define PLUGINS_CONTROL_CONTROLLED_GROUP_H_
@@ -26,14 +26,16 @@
 
 class ConfigService;
 
-// The process that controls groups, as ranks and the configuration know it.
+// Identity of the process that controls groups, as known to ranks and to the
+// configuration.
 struct GroupDriverOptions {
   NodeId self;
   Incarnation incarnation;
   std::string address;  // "ip:port" that takes statuses
 };
 
-// Held by a shared pointer, as its proposals may outlast it.
+// Held by a shared pointer, as fibers with pending proposals may outlive its
+// removal.
 class ControlledGroup : public std::enable_shared_from_this<ControlledGroup> {
  public:
   ControlledGroup(net::NetworkLoop& loop,
@@ -43,25 +45,27 @@
                   config::GroupSpec spec);
 
   const config::GroupSpec& spec() const { return spec_; }
-  // Nothing while this replica has no lease for the group.
+  // Empty while this replica has no lease for the group.
   std::optional<GroupReport> report() const;
 
-  // To be called often, while this replica leads.
+  // Called at short intervals while this replica leads.
   void Tick(TimePoint now);
   void OnStatus(const TargetId& target,
                 const groups::RankStatus& status,
                 TimePoint now);
   void OnCounts(const groups::ExpertCounts& counts, TimePoint now);
-  // Nothing is sent or proposed from now on.
+  // Stops the controller: it sends and proposes nothing after this.
   void Close() { is_closed_ = true; }
 
  private:
   using Json = boost::json::value;
 
+  // Checks or requests the lease; returns whether this replica holds it.
   bool MaintainLease(TimePoint now);
   void RequestLease(FencingToken previous);
   void RefreshContacts(TimePoint now);
-  // A map that operators' orders or else the policy ask for.
+  // Hands the controller a new map if operators' orders or the policy require
+  // one.
   void RequestMapChange(TimePoint now);
   std::optional<placement::ExpertMap> ConsultPolicy(TimePoint now);
   void Handle(const groups::ControllerEvent& event, TimePoint now);
@@ -87,17 +91,19 @@
   bool is_requesting_lease_ = false;
   bool is_recording_ = false;
   std::uint64_t command_count_ = 0;
-  // The token that this object was granted itself, and until when it may act.
+  // Token of the lease that was granted to this object; it may act until
+  // `lease_until_`.
   std::optional<FencingToken> token_;
-  std::optional<FencingToken>
-      controller_token_;  // the controller knows of this one
+  // Token of the lease that was last passed to the controller.
+  std::optional<FencingToken> controller_token_;
   TimePoint lease_until_;
   TimePoint next_contacts_at_;
-  // Agents of the targets that may hold a rank.
+  // Agent addresses of the targets that may hold a rank.
   std::map<TargetId, std::string> candidates_;
   groups::GroupContacts contacts_;
   std::map<RankIndex, Incarnation> incarnations_;
-  // The map that operators' orders came to last.
+  // The map that was last handed to the controller, which is not handed over
+  // again.
   std::optional<placement::ExpertMap> last_requested_map_;
 };
 
--- a/src/plugins/control/directory_driver.cc
+++ b/src/plugins/control/directory_driver.cc
@@ -31,10 +31,11 @@
   }
 }
 
-// `has_offered_alternative`: some target that is fully offered serves the same.
-// A target of last resort has a small weight beside it; where there is none the
-// weight stays, or an entry that hears no heartbeats would believe in no room
-// at all and refuse what its targets could run.
+// `has_offered_alternative`: a fully offered target serves one of the same
+// services. A target of last resort gets a small weight beside it. Without such
+// an alternative it keeps its weight: otherwise an entry that receives no
+// heartbeats would assume that there is no capacity at all and refuse requests
+// that its targets could run.
 routing::TargetView ToRoutingView(const membership::TargetView& view,
                                   bool has_offered_alternative) {
   constexpr double kLastResortWeight = 0.05;
--- a/src/plugins/control/directory_driver.h
+++ b/src/plugins/control/directory_driver.h
@@ -28,19 +28,19 @@
                   membership::DirectoryOptions options,
                   std::uint64_t seed);
 
-  // Called when a target came, went or changed its state.
+  // Called when a target was added, was removed or changed its state.
   void SetOnTargetChanged(std::function<void()> on_changed) {
     on_target_changed_ = std::move(on_changed);
   }
 
-  // Registers the calls of agents and peers.
+  // Registers the methods that agents and peers call.
   void Register(links::LinkServer& server);
   // Starts the fiber that ticks the directory.
   void Start();
 
   const membership::Directory& directory() const { return directory_; }
 
-  // The targets as routing sees them.
+  // The current targets in the form that routing uses.
   TargetsUpdate MakeTargetsUpdate(TimePoint now) const;
 
  private:
--- a/src/plugins/control/disk_worker.h
+++ b/src/plugins/control/disk_worker.h
@@ -14,16 +14,16 @@
 
 namespace bilberryspool::control {
 
-// What the control thread asks the disk thread to do, in order.
+// Jobs of the disk thread, executed in the order in which they were pushed.
 using DiskJob = std::variant<consensus::Persist,
                              consensus::PersistSnapshot,
                              consensus::CompactLog>;
 
-// Writes on a thread of its own, so that a slow disk delays no heartbeat, and
-// syncs once for all that came in meanwhile.
+// Writes on a separate thread, so that a slow disk does not delay heartbeats.
+// One sync covers all jobs that arrived in the meantime.
 class DiskWorker {
  public:
-  // Both run on the disk thread.
+  // Both callbacks run on the disk thread.
   using OnSynced = std::function<void(consensus::PersistTicket)>;
   using OnFailed = std::function<void(const std::string& what)>;
 
@@ -31,12 +31,13 @@
              OnSynced on_synced,
              OnFailed on_failed);
 
-  // From the control thread. False where the ring is full; `job` is unchanged.
+  // Called from the control thread. Returns false if the ring is full; `job` is
+  // unchanged then.
   bool TryPush(DiskJob&& job) { return worker_.ring().TryPush(std::move(job)); }
 
-  // Writes what was taken and ends the thread.
+  // Writes the jobs that were pushed and ends the thread.
   void Stop() { worker_.Stop(); }
-  // Stop(), and lets go of the folder, so that it can be opened again.
+  // Like Stop(), and closes the folder, so that it can be opened again.
   void Close() {
     worker_.Stop();
     folder_.reset();
@@ -50,16 +51,16 @@
   std::unique_ptr<storage::DataFolder> folder_;
   OnSynced on_synced_;
   OnFailed on_failed_;
-  // The newest write of the present batch.
+  // Ticket of the newest write in the current batch.
   consensus::PersistTicket last_written_;
   bool has_unsynced_ = false;
-  // After a failure nothing more is promised from this folder.
+  // After a failure nothing more is written or reported as synced.
   bool has_failed_ = false;
-  // Last, so that its thread ends before what it uses.
+  // Declared last, so that its thread ends before the members that it uses.
   rings::Worker<DiskJob> worker_;
 };
 
-// "kind path: detail" of what went wrong in the data folder.
+// Error message of the data folder: "kind (path: detail)".
 std::string Describe(const storage::StorageError& error);
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/group_driver.cc
+++ b/src/plugins/control/group_driver.cc
@@ -63,7 +63,7 @@
   controlled_groups_.clear();
 }
 
-// A group that was declared anew with other ranks or another model gets a new
+// A group that was redeclared with other ranks or another model gets a new
 // controller, and with it a new lease.
 void GroupDriver::Reconcile() {
   const auto& declared = config_.committed().table<config::GroupSpec>();
@@ -101,14 +101,14 @@
         continue;
       }
       loop_.Spawn([this, endpoint, params = ToJson(*report)] {
-        // A lost report is made good by the next one.
+        // Not retried: the next report replaces a lost one.
         client_.Call(*endpoint, "group.report", params, kReportTimeout);
       });
     }
   }
 }
 
-// A controller that was replaced may still report for a moment.
+// Ignores a controller that was replaced and still sends reports.
 void GroupDriver::StoreReport(const GroupReport& report) {
   const auto known = reports_.find(report.group);
   const bool is_outdated =
--- a/src/plugins/control/group_driver.h
+++ b/src/plugins/control/group_driver.h
@@ -21,11 +21,11 @@
               ConfigService& config,
               GroupDriverOptions options);
 
-  // Registers the statuses of ranks.
+  // Registers the methods for rank statuses, expert counts and group reports.
   void Register(links::LinkServer& server);
   void Start();
 
-  // What the controllers of the groups, here or elsewhere, have told last.
+  // The latest report of each group's controller, on this entry or another.
   const std::map<GroupId, ReceivedGroupReport>& reports() const {
     return reports_;
   }
@@ -34,10 +34,10 @@
   using Json = boost::json::value;
 
   void Run();
-  // Makes `controlled_groups_` those of the declared groups.
+  // Adds and removes controllers to match the declared groups.
   void Reconcile();
   void CloseAll();
-  // Tells all entries how the groups are.
+  // Sends the reports of the groups controlled here to all entries.
   void BroadcastReports(TimePoint now);
   void StoreReport(const GroupReport& report);
   std::optional<Json> OnReport(const Json& params);
--- a/src/plugins/control/group_maps.cc
+++ b/src/plugins/control/group_maps.cc
@@ -31,7 +31,8 @@
   return holders;
 }
 
-// The configuration has checked that the holders are of this shape.
+// The configuration has validated that `holders` has an item for each expert of
+// each layer.
 ExpertMap MapOf(const config::MapSpec& spec,
                 const config::ExpertHolders& holders) {
   ExpertMap map(spec.layers, spec.experts);
--- a/src/plugins/control/group_policy.cc
+++ b/src/plugins/control/group_policy.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Counts of less than this say little of an expert's popularity.
+// Counts over a shorter time do not show an expert's popularity reliably.
 constexpr Duration kMinObservationTime = Seconds(10);
 
 placement::EstimatorOptions MakeEstimatorOptions(
--- a/src/plugins/control/group_policy.h
+++ b/src/plugins/control/group_policy.h
@@ -1,4 +1,4 @@
-// Feeds the placement policy of one group and follows it.
+// Runs the placement policy of one group on the expert counts of its ranks.
 
 #ifndef PLUGINS_CONTROL_GROUP_POLICY_H_
 #define PLUGINS_CONTROL_GROUP_POLICY_H_
@@ -15,7 +15,7 @@
 
 namespace bilberryspool::control {
 
-// What the policy must know besides the counts.
+// Inputs of the policy besides the expert counts.
 struct PlacementSituation {
   placement::ExpertMap chosen;
   // All ranks are in the view and no change is under way.
@@ -24,23 +24,25 @@
   std::uint32_t minute_of_day = 0;  // after midnight UTC
 };
 
-// No I/O; the time is an argument. Guards against decisions on too little: it
-// waits for counts of some seconds, and for the group to be whole.
+// No I/O; the time is an argument. Avoids decisions on too little data: it
+// makes none before counts over several seconds are there, nor while a rank is
+// missing.
 class GroupPolicy {
  public:
   explicit GroupPolicy(config::GroupSpec spec);
 
-  // `now` is when the counts came in.
+  // `now` is the time at which the counts were received.
   void Observe(const groups::ExpertCounts& counts, TimePoint now);
 
-  // A better map, or nothing; why() says why. Operators' pins and forbids are
-  // kept, and a standing move holds as a pin and a forbid.
+  // Returns a better map, or nothing; why() gives the reason. Keeps operators'
+  // pins and forbids. A declared move counts as a pin to its new rank and a
+  // forbid for its old one.
   std::optional<placement::ExpertMap> Decide(
       const PlacementSituation& situation,
       const config::Configuration& configuration,
       TimePoint now);
 
-  // The last decision with its reason, or what it waits for.
+  // The last decision with its reason, or what the policy waits for.
   const std::string& why() const { return why_; }
 
  private:
--- a/src/plugins/control/group_report.h
+++ b/src/plugins/control/group_report.h
@@ -1,4 +1,4 @@
-// What the controller of a group tells the entries about it.
+// Report on a group that its controller sends to all entries.
 
 #ifndef PLUGINS_CONTROL_GROUP_REPORT_H_
 #define PLUGINS_CONTROL_GROUP_REPORT_H_
@@ -19,7 +19,7 @@
   FencingToken token;  // of the controller's lease; a higher one is newer
   MapVersion map;      // in use at all members of the view
   std::string state;   // "serving", "changing", "stalled" or "out"
-  std::string why;     // a sentence for people
+  std::string why;     // human-readable reason of the state
   std::vector<RankIndex> ranks;  // members of the view
   std::uint64_t pending_fetches = 0;
   // The last decision on placement and its reason; empty before the first.
@@ -28,14 +28,14 @@
   bool operator==(const GroupReport&) const = default;
 };
 
-// A report and when this entry got it.
+// A report and when this entry received it.
 struct ReceivedGroupReport {
   GroupReport report;
   TimePoint received_at;
 };
 
 boost::json::value ToJson(const GroupReport& report);
-// Nothing for bad input.
+// Returns nothing for invalid input.
 std::optional<GroupReport> GroupReportFromJson(const boost::json::value& json);
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/ledger_file.cc
+++ b/src/plugins/control/ledger_file.cc
@@ -61,7 +61,7 @@
   const std::string temporary = folder_ + "/" + kTemporaryFileName;
   {
     BOOST_LEAF_AUTO(file, files_.OpenAppend(temporary));
-    // An earlier crash may have left a part of another text there.
+    // An earlier crash may have left an incomplete file.
     BOOST_LEAF_CHECK(files_.Truncate(temporary, 0));
     BOOST_LEAF_CHECK(file->Append(text));
     BOOST_LEAF_CHECK(file->Sync());
--- a/src/plugins/control/ledger_file.h
+++ b/src/plugins/control/ledger_file.h
@@ -1,10 +1,10 @@
-// Carries a holder's ledger of claims over a planned restart.
+// Keeps a holder's ledger of claims across a planned restart.
 //
-// Guards against two faults. A holder that restarts abstains for the whole
-// window, so restarting the control replicas one after the other would refuse
-// all non-idempotent work for that long. And a ledger that is read twice, by a
-// process that crashed and started again, would lack the votes in between: so
-// the file is emptied, and synced, before anything is granted.
+// Without its ledger a holder abstains for a whole window after a restart, so
+// restarting the control replicas one after the other would refuse all
+// non-idempotent requests for that long. A ledger must not be read twice: after
+// a crash it would lack the votes given since it was first read. So the file is
+// rewritten without the ledger, and synced, before anything is granted.
 
 #ifndef PLUGINS_CONTROL_LEDGER_FILE_H_
 #define PLUGINS_CONTROL_LEDGER_FILE_H_
@@ -17,11 +17,11 @@
 
 namespace bilberryspool::control {
 
-// What a start found.
+// What a start found in the file.
 struct RecoveredLedger {
-  // One above that of the start before.
+  // One more than that of the previous start.
   Incarnation incarnation{1};
-  // Only after a planned stop.
+  // Set only after a planned stop.
   std::optional<attempts::LedgerExport> ledger;
 };
 
@@ -31,9 +31,10 @@
   LedgerFile(storage::FileSystem& files, std::string folder)
       : files_(files), folder_(std::move(folder)) {}
 
-  // Reads the file and leaves it without a ledger. To be called once a start.
+  // Reads the file and rewrites it with the new incarnation and without a
+  // ledger. To be called once per start.
   storage::Result<RecoveredLedger> ReadAndClear();
-  // At a planned stop, after the holder's last vote.
+  // Called at a planned stop, after the holder's last vote.
   storage::Result<void> Store(const attempts::LedgerExport& ledger);
 
  private:
--- a/src/plugins/control/operator_control.h
+++ b/src/plugins/control/operator_control.h
@@ -1,4 +1,4 @@
-// What operators can ask of and order through an entry's control thread.
+// Interface of an entry's control thread for operators' statements.
 
 #ifndef PLUGINS_CONTROL_OPERATOR_CONTROL_H_
 #define PLUGINS_CONTROL_OPERATOR_CONTROL_H_
@@ -25,19 +25,19 @@
 enum class ControlFailureKind {
   // No leader could be reached; nothing was done.
   kNoLeader,
-  // The order may or may not take effect: resend it with the same command id.
+  // The command may or may not take effect: resend it with the same id.
   kUnknown,
-  // Too many orders wait; nothing was done.
+  // Too many commands are pending; nothing was done.
   kBusy,
 };
 
 struct ControlFailure {
   ControlFailureKind kind = ControlFailureKind::kNoLeader;
-  // A sentence for people.
+  // Human-readable explanation.
   std::string detail;
 };
 
-// One control replica as this entry sees the group.
+// State of this entry's control replica and its view of the control group.
 struct ReplicaStatus {
   // "leader", "follower", "candidate", "halted", or "none" without a data
   // folder.
@@ -47,47 +47,49 @@
   std::uint64_t commit_index = 0;
   std::uint64_t applied_index = 0;
   bool has_lease = false;
-  // Members as "voter", "learner", "leaving".
+  // Standing of each member: "voter", "learner" or "leaving".
   std::map<NodeId, std::string> members;
-  // Nodes with a new folder that wait to be admitted.
+  // Nodes with a new data folder that wait for admission.
   std::vector<NodeId> awaiting_admission;
 };
 
 // Implemented by the control thread; all calls come from fibers of its loop.
-// Those that take `patience` may suspend.
+// Functions with a `timeout` may suspend the calling fiber.
 class OperatorControl {
  public:
   virtual ~OperatorControl() = default;
 
-  // Carried out here where this replica leads, else at the leader.
+  // Proposed here if this replica leads, else forwarded to the leader.
   virtual std::variant<config::Outcome, ControlFailure> Propose(
       const config::Command& command,
       Duration timeout) = 0;
   virtual std::variant<config::PlanResult, ControlFailure> Plan(
       const config::Command& command,
       Duration timeout) = 0;
-  // How far `version` is in force, by the leader's account.
+  // On how many nodes `version` is in force, as known to the leader.
   virtual std::variant<spread::Coverage, ControlFailure> CoverageOf(
       ConfigVersion version,
       Duration timeout) = 0;
 
   // The configuration in force on this entry; version 0: none yet.
   virtual const config::Configuration& configuration() const = 0;
-  // How long ago the leader vouched for it; nothing before the first time.
+  // Time since the leader last confirmed that configuration; empty before the
+  // first confirmation.
   virtual std::optional<Duration> config_age(TimePoint now) const = 0;
   virtual const membership::Directory& directory() const = 0;
   virtual ReplicaStatus replica_status(TimePoint now) const = 0;
 
-  // What was heard last of each group that has a controller.
+  // The latest report on each group that has a controller.
   virtual std::map<GroupId, ReceivedGroupReport> group_reports() const {
     return {};
   }
 
-  // The last routing decisions for a service, newest first, as this entry's
-  // callers thread made them, in words.
+  // Descriptions of the latest routing decisions that this entry's callers
+  // thread made for a service, newest first.
   virtual std::vector<std::string> routing_reasons(
       const ServiceId& service) const = 0;
-  // What this entry knows of a request: "answered, 1 attempt on drafter-11".
+  // Description of a request's outcome, if this entry knows it: "answered, 1
+  // attempt on drafter-11".
   virtual std::optional<std::string> request_outcome(
       const RequestId& request) const = 0;
 };
--- a/src/plugins/control/recent_reports.h
+++ b/src/plugins/control/recent_reports.h
@@ -1,4 +1,4 @@
-// The last routing decisions and request outcomes, for operators.
+// The latest routing decisions and request outcomes, for operators.
 
 #ifndef PLUGINS_CONTROL_RECENT_REPORTS_H_
 #define PLUGINS_CONTROL_RECENT_REPORTS_H_
@@ -14,7 +14,7 @@
 
 namespace bilberryspool::control {
 
-// Bounded: the oldest go first.
+// Bounded: the oldest reports are dropped first.
 class RecentReports {
  public:
   static constexpr std::size_t kMaxReasonsPerService = 5;
--- a/src/plugins/control/replica_driver.cc
+++ b/src/plugins/control/replica_driver.cc
@@ -59,8 +59,9 @@
           [this](const std::string& what) {
             loop_.Post([this, what] {
               has_failed_ = true;
-              log_.Error("The data folder failed; this replica is out.",
-                         {{"error", what}});
+              log_.Error(
+                  "The data folder failed; this replica stops until a restart.",
+                  {{"error", what}});
             });
           }) {}
 
@@ -180,8 +181,8 @@
   FlushBacklog();
 }
 
-// The order of the jobs is what makes them safe, so one that finds the ring
-// full waits here and all after it behind it.
+// Jobs must be written in order to be safe. So a job that finds the ring full
+// waits in the backlog, with all later jobs behind it.
 void ReplicaDriver::FlushBacklog() {
   while (!backlog_.empty() && disk_.TryPush(std::move(backlog_.front()))) {
     backlog_.pop_front();
@@ -202,7 +203,7 @@
   }
   last_snapshot_ = applied;
   bytes_since_snapshot_ = 0;
-  // After the present event, whose further actions come first.
+  // Posted, as the remaining actions of the current event come first.
   loop_.Post([this, applied, data = hooks_.make_snapshot()] {
     Handle(consensus::SnapshotTaken{applied, data});
   });
--- a/src/plugins/control/replica_driver.h
+++ b/src/plugins/control/replica_driver.h
@@ -26,22 +26,23 @@
 namespace bilberryspool::control {
 
 struct ReplicaHooks {
-  // Committed entries, in order and each once.
+  // Called with the committed entries, in order and once each.
   std::function<void(const std::vector<consensus::LogEntry>&)> apply;
   std::function<void(const consensus::Snapshot&)> restore;
-  // The application's state after the last applied entry, as bytes.
+  // Returns the application's serialized state after the last applied entry.
   std::function<std::string()> make_snapshot;
   std::function<void(const consensus::RoleChanged&)> role_changed;
   std::function<std::optional<net::Endpoint>(const NodeId&)> find_peer;
 };
 
-// When the application's state is written anew, so that the log stays short.
+// A new snapshot is taken after this number of entries or bytes, so that the
+// log stays short.
 struct SnapshotPolicy {
   std::uint64_t entries = 2000;
   std::uint64_t bytes = 16ULL * 1024 * 1024;
 };
 
-// Runs in the control loop; its disk thread is its own.
+// Runs in the control loop and owns a disk thread.
 class ReplicaDriver {
  public:
   ReplicaDriver(net::NetworkLoop& loop,
@@ -54,34 +55,36 @@
 
   void Register(links::LinkServer& server);
   void Start();
-  // After a failure: ends the disk thread and lets go of the folder. This
-  // driver does nothing more, but must outlive its fibers.
+  // After a failure: ends the disk thread and closes the folder. The driver
+  // does nothing after this, but must outlive its fibers.
   void CloseFolder();
-  // One message of a peer; nothing where it can't be read.
+  // Handles a message of a peer; returns nothing if it can't be decoded.
   std::optional<boost::json::value> OnMessage(const boost::json::value& params);
-  // Hands leadership over and waits a moment for it; writes what is open.
+  // Transfers leadership, if this replica leads, and waits for it up to a
+  // timeout; then finishes the pending writes and ends the disk thread.
   void Stop();
 
   using Result = decltype(consensus::ProposalOutcome::result);
-  // Waits for the outcome; nothing where `patience` ran out, after which it is
-  // unknown.
+  // Waits for the outcome. Returns nothing if `timeout` expired; the outcome is
+  // unknown then.
   std::optional<Result> Propose(std::string bytes, Duration timeout);
   std::optional<Result> Change(const consensus::MembershipChange& change,
                                Duration timeout);
 
-  // True once everything that was accepted before the call is applied here;
-  // false where this replica does not lead, or `patience` ran out.
+  // Returns true once everything that was accepted before the call is applied
+  // here; false if this replica does not lead, or `timeout` expired.
   bool WaitUntilCurrent(Duration timeout);
-  // Further nodes that hold replicas.
+  // Adds nodes that hold replicas.
   void LearnPeers(std::vector<NodeId> peers);
-  // Asks the leader, where this is it, to hand over.
+  // Transfers leadership to another replica, if this one leads.
   void TransferLeadership();
 
   const consensus::Replica& replica() const { return replica_; }
   bool is_leader(TimePoint now) const;
-  // The disk failed: this replica takes no further part until a restart.
+  // Whether the disk has failed: this replica does nothing until a restart.
   bool has_failed() const { return has_failed_; }
-  // How long the oldest write has waited for the disk; zero where none does.
+  // How long the oldest unsynced write has waited for the disk; zero if there
+  // is none.
   Duration disk_lag(TimePoint now) const;
 
  private:
@@ -112,7 +115,7 @@
   telemetry::Logger log_;
   consensus::Replica replica_;
   bool has_failed_ = false;
-  // Jobs that found the ring to the disk thread full, in order.
+  // Jobs that did not fit into the ring to the disk thread, in order.
   std::deque<DiskJob> backlog_;
   consensus::RequestTicket last_ticket_;
   std::map<consensus::RequestTicket, std::shared_ptr<Waiter>> proposal_waiters_;
@@ -120,7 +123,7 @@
   SnapshotPolicy snapshot_policy_;
   LogIndex last_snapshot_;
   std::uint64_t bytes_since_snapshot_ = 0;
-  // Writes that are not synced yet, with when they were asked for.
+  // Writes that are not synced yet, with the time of the request.
   std::map<consensus::PersistTicket, TimePoint> unsynced_;
   DiskWorker disk_;
 };
--- a/tests/auto/control/group_maps_test.cc
+++ b/tests/auto/control/group_maps_test.cc
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("a recorded map comes back whole, unless the model has changed") {
+TEST_CASE("a recorded map is restored unless the model has changed") {
   const config::GroupSpec group = Group(4, 8);
   groups::MapRecord record = InitialRecord(group, nullptr);
   record.version = MapVersion(7);
@@ -58,10 +58,10 @@
   CHECK(other.chosen.experts() == 9);
 }
 
-// Symptom: an expert wanders on and on, or the map changes without an order.
-// Events: the same standing order is met again at each tick and by each next
-// controller. Cause: an order is carried out once more on its own result.
-TEST_CASE("operators' orders change the map once") {
+// Guards against an expert that moves again and again, or a map that changes
+// without a new order. Each tick and each new controller applies the declared
+// orders again, so applying an order to its own result must change nothing.
+TEST_CASE("operators' orders are idempotent") {
   config::Configuration configuration;
   const auto put = [&](const auto& spec) {
     using Spec = std::decay_t<decltype(spec)>;
--- a/tests/auto/control/group_policy_test.cc
+++ b/tests/auto/control/group_policy_test.cc
@@ -15,7 +15,7 @@
   return group;
 }
 
-// One of these experts gets most of the work.
+// Counts of one rank in which the first expert gets most of the tokens.
 groups::ExpertCounts Counts(std::uint64_t number) {
   groups::ExpertCounts counts;
   counts.group = GroupId("g");
@@ -36,7 +36,7 @@
   return situation;
 }
 
-TEST_CASE("the policy decides once it has counts and the group is whole") {
+TEST_CASE("the policy decides when it has enough counts and all ranks") {
   const config::Configuration configuration;
   GroupPolicy policy(Group());
   const PlacementSituation settled = Settled();
@@ -57,14 +57,14 @@
   CAPTURE(policy.why());
   const placement::ExpertKey hot{placement::LayerIndex(0), ExpertIndex(0)};
   CHECK(map->holders(hot).size() > settled.chosen.holders(hot).size());
-  // Two plans keep their distance.
+  // The second plan is made only after a pause.
   CHECK_FALSE(policy.Decide(settled, configuration, now).has_value());
 }
 
-// Symptom: an expert comes back to the rank that an operator moved it from.
-// Events: the policy finds that rank to be the best place. Cause: a standing
-// move counts as done and forgotten.
-TEST_CASE("the policy keeps to what operators demand") {
+// Guards against an expert that returns to the rank from which an operator
+// moved it: the policy finds that rank best, and a declared move counts as
+// done, so it no longer restricts the policy.
+TEST_CASE("the policy respects operators' moves") {
   config::Configuration configuration;
   const config::ExpertKey hot{GroupId("g"), 0, ExpertIndex(0)};
   const config::MoveSpec move{hot, RankIndex(0), RankIndex(3)};
@@ -86,7 +86,7 @@
   CHECK(map->Holds(RankIndex(3), key));
 }
 
-TEST_CASE("quiet windows may pass midnight") {
+TEST_CASE("quiet windows may span midnight") {
   struct Row {
     config::QuietWindow window;
     std::uint32_t minute;
--- a/tests/auto/control/group_report_test.cc
+++ b/tests/auto/control/group_report_test.cc
@@ -10,7 +10,8 @@
 
 using Json = boost::json::value;
 
-// Each field in turn is left out and made something else.
+// Checks that `read` rejects `good` with any one field removed or of another
+// type.
 template <typename Read>
 void CheckBadInput(const Json& good, const Read& read) {
   CHECK_FALSE(read(Json(7)).has_value());
@@ -25,7 +26,9 @@
   }
 }
 
-TEST_CASE("messages about a group come back whole, and bad ones not at all") {
+TEST_CASE(
+    "messages about a group round-trip through JSON, and bad ones are "
+    "rejected") {
   control::GroupReport report;
   report.group = GroupId("g");
   report.token = FencingToken(3);
--- a/tests/auto/control/ledger_file_test.cc
+++ b/tests/auto/control/ledger_file_test.cc
@@ -36,10 +36,11 @@
       [] { FAIL("the ledger file can't be written"); });
 }
 
-// Symptom: an order runs twice. Sequence: a holder stops as planned, starts,
-// votes, is killed and starts again. Cause: the ledger of the planned stop is
-// read a second time, and lacks the votes since.
-TEST_CASE("a ledger is taken over once") {
+// Guards against a non-idempotent request that runs twice. A holder stops as
+// planned, starts, votes, is killed and starts again. If it then read the
+// ledger of the planned stop a second time, it would lack the votes given
+// since.
+TEST_CASE("a ledger is imported only once") {
   storage::PosixFileSystem files;
   const std::string folder = MakeFolder("ledger-once");
   LedgerFile first(files, folder);
--- a/tests/auto/control/recent_reports_test.cc
+++ b/tests/auto/control/recent_reports_test.cc
@@ -5,7 +5,7 @@
 namespace bilberryspool::control {
 namespace {
 
-TEST_CASE("the newest reports are kept, within bounds") {
+TEST_CASE("the newest reports are kept and their number is bounded") {
   RecentReports reports;
   const ServiceId service("s");
   for (std::size_t i = 0; i < RecentReports::kMaxRequests + 1; ++i) {
