--- a/src/plugins/entry/entry_process.cc
+++ b/src/plugins/entry/entry_process.cc
@@ -70,7 +70,7 @@
     if (spans.has_value()) {
       spans->Stop();
     }
-    // Fibers that wait for peers end with the process.
+    // Exits without waiting for fibers that still wait for peers.
     std::_Exit(0);
   });
   return 0;
--- a/src/plugins/entry/entry_process.h
+++ b/src/plugins/entry/entry_process.h
@@ -1,5 +1,5 @@
-// The entry: serves callers and operators on an entry VM; with a data folder
-// it is a control replica as well.
+// The entry process: serves callers and operators on an entry VM. With a data
+// folder it also is a control replica.
 
 #ifndef PLUGINS_ENTRY_ENTRY_PROCESS_H_
 #define PLUGINS_ENTRY_ENTRY_PROCESS_H_
@@ -8,8 +8,8 @@
 
 namespace bilberryspool::entry {
 
-// Runs until a stop signal and the drain after it, or a second signal. Returns
-// the exit status: 1 where it can't start.
+// Runs until a stop signal, then drains; a second signal ends the process at
+// once. Returns the exit status: 1 if the entry can't start.
 int RunEntry(const settings::CommonSettings& common,
              const settings::EntrySettings& settings);
 
