--- a/src/plugins/operators/applied_index.h
+++ b/src/plugins/operators/applied_index.h
@@ -10,8 +10,9 @@
 namespace bilberryspool::operators {
 
 // The log index that this entry's replica has applied; none without a replica.
-// An index of 0 must not stand for "none": a new command that claims to be from
-// before the first entry is refused as too old once outcomes were forgotten.
+// 0 must not stand for "none": a new command that says it was issued after
+// index 0 is refused as too old once outcomes of old commands have been
+// discarded.
 std::optional<LogIndex> AppliedIndex(const control::OperatorControl& control,
                                      TimePoint now);
 
--- a/src/plugins/operators/command_ids.h
+++ b/src/plugins/operators/command_ids.h
@@ -5,7 +5,7 @@
 
 namespace bilberryspool::operators {
 
-// 24 random hexadecimal digits: an id that no command had before.
+// Returns 24 random hexadecimal digits, so that no earlier command has the id.
 CommandId MakeCommandId();
 
 }  // namespace bilberryspool::operators
--- a/src/plugins/operators/coverage_answer.h
+++ b/src/plugins/operators/coverage_answer.h
@@ -15,17 +15,19 @@
 std::string InForceText(const spread::Coverage& coverage);
 
 // Adds a table of the nodes that lack the version, and a note for each failure
-// domain that said nothing of late.
+// domain that has not reported recently.
 void AddLacking(const spread::Coverage& coverage, language::Answer& answer);
 
-// The answers of `wait`.
+// The answers of `wait`: the version is in force on all nodes, or is not yet
+// after the time `waited`.
 language::Answer AnswerInForce(ConfigVersion version,
                                const spread::Coverage& coverage);
 language::Answer AnswerNotInForce(ConfigVersion version,
                                   const spread::Coverage& coverage,
                                   Duration waited);
 
-// What became of a change that the control replicas didn't decide.
+// Describes the result of a change for which the control replicas gave no
+// outcome.
 std::string DescribeFailure(const control::ControlFailure& failure);
 
 }  // namespace bilberryspool::operators
--- a/src/plugins/operators/effective_offer.h
+++ b/src/plugins/operators/effective_offer.h
@@ -9,12 +9,12 @@
 
 namespace bilberryspool::operators {
 
-// Whether a target receives new work, by all that is known: what it is heard
-// to be, and what operators drained.
+// Whether a target receives new work, from its announced state, its liveness
+// and the drains that operators declared.
 struct EffectiveOffer {
   membership::Offer offer = membership::Offer::kNo;
   std::string reason;
-  // "domain marka by kim at version 7"; none where nobody drained it.
+  // "domain marka by kim at version 7"; none if the target is not drained.
   std::optional<std::string> drained_by;
 };
 
--- a/src/plugins/operators/explanations.h
+++ b/src/plugins/operators/explanations.h
@@ -1,4 +1,5 @@
-// The answers of `why`: the last decision about something, with its inputs.
+// Answers of the `why` statement: the last decision on an object, with its
+// inputs.
 
 #ifndef PLUGINS_OPERATORS_EXPLANATIONS_H_
 #define PLUGINS_OPERATORS_EXPLANATIONS_H_
@@ -15,7 +16,7 @@
                            const control::OperatorControl& control,
                            TimePoint now);
 
-// What this entry knows of one request.
+// The outcome of one request, if this entry knows it.
 language::Answer AnswerRequest(const RequestId& request,
                                const control::OperatorControl& control);
 
--- a/src/plugins/operators/help_text.h
+++ b/src/plugins/operators/help_text.h
@@ -5,7 +5,8 @@
 
 namespace bilberryspool::operators {
 
-// The language in short, a form a line; docs/LANGUAGE.md has it whole.
+// Summary of the language with one form of a statement per line;
+// docs/LANGUAGE.md has the full description.
 language::Answer AnswerHelp();
 
 }  // namespace bilberryspool::operators
--- a/src/plugins/operators/live_tables.cc
+++ b/src/plugins/operators/live_tables.cc
@@ -41,7 +41,7 @@
   return EffectiveOfferOf(view, configuration).offer == membership::Offer::kYes;
 }
 
-// What one failure domain adds up to.
+// Totals of one failure domain.
 struct DomainSums {
   std::uint64_t targets = 0;
   std::uint64_t offered = 0;
@@ -67,7 +67,7 @@
     if (sums.contains(domain)) {
       continue;
     }
-    // Its targets aren't known one by one here.
+    // This entry knows only the summary of that domain, not its targets.
     DomainSums& sum = sums[domain];
     sum.targets = row.summary.targets;
     for (const membership::ServiceSummary& service : row.summary.services) {
@@ -114,8 +114,8 @@
   return table;
 }
 
-// Adds to each declared service how many targets may serve it, and how many of
-// them are offered now.
+// Adds to each declared service the number of targets that may serve it, and of
+// those that are offered now.
 void AddServingCounts(const membership::Directory& directory,
                       const config::Configuration& configuration,
                       TimePoint now,
@@ -139,7 +139,7 @@
   }
 }
 
-// Adds to each declared group how it is, by its controller's last word.
+// Adds to each declared group its state by the latest report of its controller.
 void AddGroupStates(const control::OperatorControl& control,
                     TimePoint now,
                     AnswerTable& table) {
@@ -173,8 +173,8 @@
          std::to_string(status.applied_index);
 }
 
-// Says what the answer stands for. A cut-off entry shows the last it heard, so
-// its age goes with it.
+// Says which version the answer is based on, and its age: an entry that is cut
+// off answers from the last configuration that it received.
 std::string AsOfNote(const control::OperatorControl& control, TimePoint now) {
   const std::uint64_t version = control.configuration().version().value();
   if (version == 0) {
--- a/src/plugins/operators/live_tables.h
+++ b/src/plugins/operators/live_tables.h
@@ -1,4 +1,5 @@
-// Tables of what runs now, beside those that the accepted configuration gives.
+// Tables of the live state, in addition to those made from the accepted
+// configuration alone.
 
 #ifndef PLUGINS_OPERATORS_LIVE_TABLES_H_
 #define PLUGINS_OPERATORS_LIVE_TABLES_H_
@@ -14,13 +15,14 @@
 
 namespace bilberryspool::operators {
 
-// The answer of `show`, filtered, with the version it stands for and its age.
+// The answer of `show`, filtered, with the version of the configuration that it
+// is based on and the age of that.
 language::Answer AnswerShow(const language::ShowStatement& statement,
                             const control::OperatorControl& control,
                             TimePoint now);
 
-// A row a target: where it is, whether it is offered and why, its load and how
-// old that is.
+// One row per target: its domain, whether it is offered and why, its load and
+// the age of the load.
 language::AnswerTable TargetsTable(
     const std::vector<membership::TargetView>& views,
     const config::Configuration& configuration);
--- a/src/plugins/operators/operator_credential.h
+++ b/src/plugins/operators/operator_credential.h
@@ -8,9 +8,9 @@
 
 namespace bilberryspool::operators {
 
-// The secret that operators show as "Authorization: Bearer SECRET". Only its
-// hash is kept, and hashes are compared in constant time: how long a refusal
-// takes says nothing about how much of a guess was right.
+// The secret that operators send as "Authorization: Bearer SECRET". Only its
+// hash is kept, and hashes are compared in constant time, so that the time of a
+// refusal does not reveal how much of a guess was right.
 class OperatorCredential {
  public:
   static constexpr std::size_t kHashBytes = 32;
--- a/src/plugins/operators/operator_headers.h
+++ b/src/plugins/operators/operator_headers.h
@@ -7,15 +7,15 @@
 
 namespace bilberryspool::operators {
 
-// Who gives the statement.
+// Name of the operator who sends the statement.
 inline constexpr std::string_view kOperatorHeader = "Bilberryspool-Operator";
-// The id of a change; a resend carries the same. Also in the answer.
+// The id of a change; a resend carries the same id. Also sent in the answer.
 inline constexpr std::string_view kCommandIdHeader = "Bilberryspool-Command-Id";
-// As "at version N" in the statement.
+// Expected version, like "at version N" in the statement.
 inline constexpr std::string_view kReadVersionHeader =
     "Bilberryspool-Read-Version";
-// The applied index seen before the change was first sent; a resend carries
-// the same, so that it is refused where its first outcome was forgotten.
+// The applied index seen before the change was first sent. A resend carries the
+// same index, so that it is refused if its first outcome has been discarded.
 inline constexpr std::string_view kIssuedAfterHeader =
     "Bilberryspool-Issued-After";
 // In an answer: the accepted version in force on the entry, and the index that
--- a/src/plugins/operators/operators_server.cc
+++ b/src/plugins/operators/operators_server.cc
@@ -76,7 +76,7 @@
   exchange.Respond(std::move(head), text + "\n");
 }
 
-// A field that must be a number where it is there at all.
+// Reads an optional field; returns false if it is present but not a number.
 template <typename Id>
 bool ReadNumber(const net::HttpHeaders& headers,
                 std::string_view name,
@@ -148,7 +148,7 @@
                           {"/log-level", "POST", &Private::HandleLogLevel},
                           {"/status", "GET", &Private::HandleStatus}};
   if (!credential->Authorizes(exchange.request())) {
-    log.Warn("Refused an operator without the credential.",
+    log.Warn("Refused an operator's request without the credential.",
              {{"peer", exchange.peer_address()}});
     RespondText(exchange, net::status::kUnauthorized,
                 "the operators' credential is missing or wrong: "
@@ -195,7 +195,8 @@
   Respond(exchange, result);
 }
 
-// A record of who changed what; questions only show at the level of debugging.
+// Logs who changed what; statements that change nothing are logged at debug
+// level only.
 void OperatorsServer::Private::LogStatement(const StatementRequest& request,
                                             const StatementResult& result) {
   const std::string text = request.text.substr(0, kMaxLoggedBytes);
--- a/src/plugins/operators/operators_server.h
+++ b/src/plugins/operators/operators_server.h
@@ -1,12 +1,12 @@
-// The operators' address of an entry: statements in, answers out.
+// HTTP server of an entry that answers operators' statements.
 //
 //   POST /statement   one statement as its body; header fields as in
 //                     operator_headers.h
 //   POST /log-level   "debug", "info", "warn" or "error" as its body
 //   GET  /status      this entry's control replica, as JSON
 //
-// Guards against orders by anybody else: nothing is answered without the
-// credential, and nothing of this is served on the callers' address.
+// Only operators may use it: no request is answered without the credential, and
+// none of these paths is served on the callers' address.
 
 #ifndef PLUGINS_OPERATORS_OPERATORS_SERVER_H_
 #define PLUGINS_OPERATORS_OPERATORS_SERVER_H_
@@ -36,13 +36,14 @@
   OperatorsServer(const OperatorsServer&) = delete;
   OperatorsServer& operator=(const OperatorsServer&) = delete;
 
-  // Reads the credential and listens. An empty string, or what went wrong.
+  // Reads the credential and starts to listen. Returns an empty string, or an
+  // error message.
   std::string Start();
 
   // Takes no new connections; statements in progress are answered.
   void Drain();
 
-  // The port that is listened on; useful where the settings say 0.
+  // The port that the server listens on; useful if the settings say 0.
   std::uint16_t port() const;
 
  private:
--- a/src/plugins/operators/statement_runner.cc
+++ b/src/plugins/operators/statement_runner.cc
@@ -27,7 +27,7 @@
   return {{AnswerStatus::kInvalid, std::nullopt, {std::move(note)}}};
 }
 
-// What a change is answered that the replicas didn't decide.
+// The answer to a change for which the control replicas gave no outcome.
 StatementResult ChangeFailed(const ControlFailure& failure,
                              const CommandId& id) {
   StatementResult result;
@@ -45,7 +45,7 @@
   return result;
 }
 
-// What a question is answered that the replicas didn't answer.
+// The answer to any other statement if the control replicas gave no answer.
 StatementResult QueryFailed(const ControlFailure& failure) {
   const std::string detail =
       failure.detail.empty() ? "" : " (" + failure.detail + ")";
@@ -82,7 +82,7 @@
           : (has_explicit_id ? CommandId() : environment_.make_command_id());
   std::optional<LogIndex> issued_after = request.issued_after;
   if (!issued_after.has_value() && !has_explicit_id) {
-    // An id made here was never sent before.
+    // The command has a new id, so it was never sent before.
     issued_after = AppliedIndex(control_, environment_.now());
   }
   config::Command command = language::ToCommand(
@@ -118,8 +118,8 @@
 }
 
 void StatementRunner::AddCoverage(ConfigVersion version, Answer& answer) {
-  // How long an accepted change waits to be in force everywhere before its
-  // answer says how far it is.
+  // Maximum time to wait until an accepted change is in force on all nodes;
+  // then the answer says on how many of them it is.
   constexpr Duration kCoverageWait = Seconds(1);
   const TimePoint end = environment_.now() + kCoverageWait;
   auto coverage_result = control_.CoverageOf(version, kCoverageTimeout);
@@ -152,8 +152,8 @@
   if (!config::IsValidName(plan_request.operator_id.value())) {
     plan_request.operator_id = config::OperatorId("plan");
   }
-  // An id of its own: a plan under the id of an earlier command would be
-  // answered with that command's outcome.
+  // Always a new id: a plan with the id of an earlier command would be answered
+  // with that command's outcome.
   plan_request.command_id = environment_.make_command_id();
   language::ChangeStatement change = statement.change;
   change.id.reset();
@@ -178,8 +178,7 @@
     const auto coverage_result =
         control_.CoverageOf(statement.version, kCoverageTimeout);
     const auto* coverage = std::get_if<spread::Coverage>(&coverage_result);
-    // A replica that just began to lead has no reports yet: "on 0 of 0" says
-    // nothing.
+    // A new leader has no reports yet: "on 0 of 0 nodes" is no information.
     const bool is_known = coverage != nullptr && coverage->nodes > 0;
     if (is_known && coverage->complete()) {
       return {AnswerInForce(statement.version, *coverage)};
--- a/src/plugins/operators/statement_runner.h
+++ b/src/plugins/operators/statement_runner.h
@@ -1,8 +1,8 @@
 // Runs one operator's statement against the control thread.
 //
-// Guards against what makes an order go wrong unseen: a change whose answer was
-// lost is reported as unknown together with the id to resend it under, never as
-// done or not done; and "accepted" is never confused with "in force".
+// A change whose answer was lost is reported as unknown, with the id to resend
+// it under, never as done or not done. "Accepted" and "in force" are reported
+// separately, as an accepted change takes time to reach all nodes.
 
 #ifndef PLUGINS_OPERATORS_STATEMENT_RUNNER_H_
 #define PLUGINS_OPERATORS_STATEMENT_RUNNER_H_
@@ -24,12 +24,12 @@
 struct StatementRequest {
   std::string text;
   config::OperatorId operator_id;
-  // Names a change that names no id itself; where both are missing one is made.
+  // Id of a change whose text names none; without either, a new id is made.
   std::optional<CommandId> command_id;
-  // Expected version of a change that names none itself.
+  // Expected version of a change whose text names none.
   std::optional<ConfigVersion> read_version;
   std::optional<LogIndex> issued_after;
-  // True once nobody waits for the answer any more; may be empty.
+  // Returns true once the caller no longer waits for the answer; may be empty.
   std::function<bool()> is_abandoned;
 };
 
@@ -41,7 +41,7 @@
   std::optional<control::ControlFailureKind> failure;
 };
 
-// What the runner takes from outside.
+// Clock, sleep and source of ids of a runner.
 struct RunnerEnvironment {
   std::function<TimePoint()> now;
   // Suspends the calling fiber.
@@ -51,9 +51,9 @@
 
 class StatementRunner {
  public:
-  // How long a change waits for its outcome.
+  // Timeout for the outcome of a change or plan.
   static constexpr Duration kOutcomeTimeout = Seconds(5);
-  // How long an accepted change waits to learn how far it is in force.
+  // Timeout of one query of a version's coverage.
   static constexpr Duration kCoverageTimeout = Seconds(1);
   static constexpr Duration kPollInterval = Milliseconds(100);
   static constexpr Duration kMaxWait = Seconds(300);
@@ -61,7 +61,7 @@
   StatementRunner(control::OperatorControl& control,
                   RunnerEnvironment environment);
 
-  // May suspend the calling fiber. Bytes of any kind are answered.
+  // May suspend the calling fiber. Any input is answered, also invalid bytes.
   StatementResult Run(const StatementRequest& request);
 
  private:
--- a/src/plugins/operators/text.h
+++ b/src/plugins/operators/text.h
@@ -14,7 +14,7 @@
 // "0.3 s".
 std::string SecondsText(Duration duration);
 
-// "a, b"; "-" where there are none.
+// "a, b"; "-" if there are none.
 template <typename Id>
 std::string JoinIds(const std::vector<Id>& ids) {
   std::string text;
--- a/tests/auto/operators/fake_operator_control.h
+++ b/tests/auto/operators/fake_operator_control.h
@@ -8,12 +8,12 @@
 
 namespace bilberryspool::operators {
 
-// One replica that is the whole group, with failures to order.
+// A control group of one replica, with failures that tests can inject.
 class FakeOperatorControl : public control::OperatorControl {
  public:
   struct Failure {
     control::ControlFailure failure;
-    // The change takes effect all the same: only its answer is lost.
+    // The change takes effect; only its answer is lost.
     bool takes_effect = false;
   };
 
@@ -25,7 +25,7 @@
   std::variant<config::PlanResult, control::ControlFailure> Plan(
       const config::Command& command,
       Duration timeout) override;
-  // Takes the first of `coverages` away unless it is the last.
+  // Returns the first of `coverages`, and removes it unless it is the last.
   std::variant<spread::Coverage, control::ControlFailure> CoverageOf(
       ConfigVersion version,
       Duration timeout) override;
--- a/tests/auto/operators/operators_server_test.cc
+++ b/tests/auto/operators/operators_server_test.cc
@@ -57,7 +57,7 @@
   std::remove(kSecretFile);
 }
 
-TEST_CASE("nothing is answered without the credential") {
+TEST_CASE("requests without the credential are refused") {
   FakeOperatorControl control;
   WithServer(control, [&](const Send& send) {
     for (const char* target : {"/statement", "/status", "/log-level", "/x"}) {
@@ -102,7 +102,7 @@
   });
 }
 
-TEST_CASE("failures of the control replicas have statuses of their own") {
+TEST_CASE("each failure of the control replicas has its own status") {
   using control::ControlFailureKind;
   FakeOperatorControl control;
   control.failures = {{{ControlFailureKind::kNoLeader, ""}},
@@ -118,7 +118,7 @@
   });
 }
 
-TEST_CASE("header fields reach the command, and the answer names them") {
+TEST_CASE("header fields set the command, and the answer carries them") {
   FakeOperatorControl control;
   WithServer(control, [&](const Send& send) {
     net::HttpRequest request = Request("POST", "/statement", "drain target t1");
@@ -142,8 +142,7 @@
   CHECK(command.issued_after == LogIndex(0));
 }
 
-TEST_CASE(
-    "a credential that is missing or too short is an error at the start") {
+TEST_CASE("the server does not start without a credential") {
   FakeOperatorControl control;
   settings::EntrySettings settings;
   settings.operators_credential_file = "no such file";
--- a/tests/auto/operators/page_test.cc
+++ b/tests/auto/operators/page_test.cc
@@ -19,7 +19,7 @@
   return line.substr(0, line.find_last_not_of(' ') + 1);
 }
 
-// What happens behind an operator's back before some of the page's statements.
+// Changes by others and failures that precede some statements of the page.
 std::map<std::string, std::function<void(RunnerFixture&)>> Events() {
   using control::ControlFailureKind;
   const spread::Coverage partial{
@@ -49,8 +49,8 @@
   };
 }
 
-// Runs the statements of the page in their order and returns it with the
-// answers they give.
+// Runs the statements of the page in order. Returns the page with the answers
+// that they give.
 std::string ReplayPage(const std::string& page) {
   RunnerFixture fixture;
   auto events = Events();
@@ -70,7 +70,7 @@
     }
     in_answer = true;
     const std::string statement = line.substr(std::size(kPrompt) - 1);
-    // Once each: a resend on the page is answered.
+    // Each event happens once, so a resend on the page is answered.
     if (const auto event = events.extract(statement)) {
       event.mapped()(fixture);
     }
@@ -82,9 +82,9 @@
   return out.str();
 }
 
-// Symptom: an operator on call trusts an example that the program no longer
-// answers so. Cause: the page was written by hand.
-TEST_CASE("the examples of the page give the answers that stand there") {
+// Guards against examples on the operators' page that differ from what the
+// program answers, as the page is written by hand.
+TEST_CASE("the examples of the page give the answers shown there") {
   std::stringstream page;
   page << std::ifstream(OPERATORS_PAGE).rdbuf();
   const std::string replayed = ReplayPage(page.str());
--- a/tests/auto/operators/runner_fixture.h
+++ b/tests/auto/operators/runner_fixture.h
@@ -8,7 +8,7 @@
 
 namespace bilberryspool::operators {
 
-// A runner over a fake control, with a clock that only sleeping moves. Two
+// A runner with a fake control and a clock that only sleeping advances. Two
 // targets, t1 in sahab and t2 in marka, may serve the service drafter.
 struct RunnerFixture {
   RunnerFixture();
--- a/tests/auto/operators/statement_runner_test.cc
+++ b/tests/auto/operators/statement_runner_test.cc
@@ -16,11 +16,11 @@
 using control::ControlFailureKind;
 using language::AnswerStatus;
 
-TEST_CASE("statements are answered") {
+TEST_CASE("each statement gets its status and text") {
   struct Row {
     const char* statement;
     AnswerStatus status;
-    // All of them stand in the answer.
+    // The answer contains each of them.
     std::vector<const char*> texts;
   };
   const Row rows[] = {
@@ -98,14 +98,14 @@
   }
 }
 
-TEST_CASE("filters leave rows out") {
+TEST_CASE("filters omit rows that don't match") {
   RunnerFixture fixture;
   const std::string text = fixture.TextOf("show targets where domain = marka");
   CHECK(text.find("t2") != std::string::npos);
   CHECK(text.find("t1") == std::string::npos);
 }
 
-TEST_CASE("a drain, a pin and a group are explained with their operators") {
+TEST_CASE("explanations of a drain and a pin name the operator") {
   RunnerFixture fixture;
   fixture.Run(
       "declare group g1 service drafter ranks 1 layers 1 experts 8 "
@@ -126,7 +126,7 @@
   CHECK(group.find("to rank 0 by kim at version 2") != std::string::npos);
 }
 
-TEST_CASE("a group is shown as its controller told of it last") {
+TEST_CASE("a group is shown by the latest report of its controller") {
   RunnerFixture fixture;
   fixture.Run("declare group g1 service drafter ranks 4 layers 1 experts 8");
   CHECK(fixture.TextOf("show groups").find("no controller was heard") !=
@@ -154,17 +154,18 @@
 TEST_CASE("a plan has no effect") {
   RunnerFixture fixture;
   const config::Configuration before = fixture.control.configuration();
-  // Not answered with the outcome of the command that had the id before.
+  // The answer is not the outcome of the earlier command with that id.
   const StatementResult planned = fixture.Run("plan drain target t1", "made-1");
   CHECK(planned.answer.status == AnswerStatus::kDone);
   CHECK(fixture.control.configuration() == before);
   CHECK(fixture.control.proposed.size() == 1);
 }
 
-// Symptom: one operator's change silently undoes another's. Sequence: both read
-// version 1, both change the same service. Cause: the version that was read
-// isn't compared.
-TEST_CASE("of two changes on one version the second is told of the first") {
+// Guards against one operator's change that silently undoes another's: both
+// read version 1 and change the same object, and the version that was read is
+// not compared.
+TEST_CASE(
+    "of two changes on one version the second is refused and names the first") {
   RunnerFixture fixture;
   StatementRequest request;
   request.text = "drain target t1";
@@ -179,9 +180,8 @@
   CHECK(text.find("changed drain target t1") != std::string::npos);
 }
 
-// Symptom: a change takes effect twice, or its operator believes it lost.
-// Sequence: it is carried out, its answer is lost, it is sent again. Cause: the
-// resend isn't recognised by its id.
+// Guards against a change that takes effect twice or is taken for lost: it is
+// applied, its answer is lost, and the resend is not recognized by its id.
 TEST_CASE("a resend after a lost answer gives the first outcome") {
   RunnerFixture fixture;
   fixture.control.failures = {
@@ -199,7 +199,7 @@
   CHECK(fixture.control.configuration().version() == ConfigVersion(3));
 }
 
-TEST_CASE("a change without leader is said not to be done") {
+TEST_CASE("a change without a leader is reported as not done") {
   for (const auto kind :
        {ControlFailureKind::kNoLeader, ControlFailureKind::kBusy}) {
     RunnerFixture fixture;
@@ -210,21 +210,21 @@
   }
 }
 
-TEST_CASE("an id made here stands for a command that was never sent") {
+TEST_CASE("only a new command id is sent with the applied index") {
   RunnerFixture fixture;
   fixture.Run("drain target t1");
   CHECK(fixture.control.proposed.back().issued_after == LogIndex(1));
   fixture.Run("drain target t1 as \"c-2\"");
   CHECK(fixture.control.proposed.back().id == CommandId("c-2"));
   CHECK_FALSE(fixture.control.proposed.back().issued_after.has_value());
-  // Symptom: an entry without a data folder has each new command refused as too
-  // old. Cause: it has no index of its own and says 0.
+  // Guards against an entry without a data folder whose new commands are all
+  // refused as too old, because it has no applied index and sends 0.
   fixture.control.has_replica = false;
   fixture.Run("undrain target t1");
   CHECK_FALSE(fixture.control.proposed.back().issued_after.has_value());
 }
 
-TEST_CASE("who lacks an accepted version is named") {
+TEST_CASE("nodes that lack an accepted version are named") {
   RunnerFixture fixture;
   fixture.control.coverages = {
       spread::Coverage{9, 6, {NodeId("agent-7")}, {FailureDomain("abdali")}}};
@@ -240,7 +240,9 @@
         std::string::npos);
 }
 
-TEST_CASE("a wait ends with the coverage, or says at its end who lacks it") {
+TEST_CASE(
+    "a wait ends when all nodes have the version, or names those that lack "
+    "it") {
   RunnerFixture fixture;
   const spread::Coverage partial{9, 8, {NodeId("agent-7")}, {}};
   const spread::Coverage whole{9, 9, {}, {}};
@@ -264,7 +266,7 @@
   CHECK(fixture.Run("wait version 1").failure == ControlFailureKind::kNoLeader);
 }
 
-TEST_CASE("a wait ends when nobody waits for it") {
+TEST_CASE("a wait ends when its caller has left") {
   RunnerFixture fixture;
   fixture.control.coverages = {spread::Coverage{9, 8, {}, {}}};
   const TimePoint start = fixture.now;
@@ -275,7 +277,7 @@
   CHECK(fixture.now - start == Seconds(1));
 }
 
-// A word that may stand after `text`, or a value of some kind.
+// Returns a word that the grammar allows after `text`, or a value of any kind.
 std::string RandomToken(const std::string& text, Random& random) {
   const char* const values[] = {"t1", "drafter", "g1",    "1",  "9999999",
                                 "5s", "\"/p\"",  "sahab", "\"", "0.5"};
@@ -286,14 +288,14 @@
   return values[random.Below(std::size(values))];
 }
 
-// Whether nothing in `text` is wrong, though it may lack an end.
+// Whether `text` is a valid statement or the beginning of one.
 bool IsFitting(const std::string& text) {
   const auto parsed = language::ParseStatement(text);
   const auto* error = std::get_if<language::ParseError>(&parsed);
   return error == nullptr || error->column >= text.size();
 }
 
-// Words that fit the grammar for the most part, or bytes of any kind.
+// Returns words that mostly fit the grammar, or random bytes.
 std::string RandomStatement(Random& random) {
   std::string text;
   if (random.Chance(0.2)) {
@@ -311,7 +313,7 @@
   return text;
 }
 
-TEST_CASE("random statements and bytes never stop the runner") {
+TEST_CASE("random statements and bytes are all answered") {
   const char* seeds = std::getenv("BILBERRYSPOOL_SEEDS");
   const int runs = seeds == nullptr ? 300 : std::atoi(seeds);
   RunnerFixture fixture;
@@ -323,7 +325,7 @@
     CHECK_FALSE(language::RenderJson(result.answer).empty());
     understood += result.answer.status == AnswerStatus::kInvalid ? 0 : 1;
   }
-  MESSAGE(understood << " of " << runs << " were understood");
+  MESSAGE(understood << " of " << runs << " were valid");
   CHECK(understood > runs / 20);
 }
 
