--- a/src/plugins/spreading/spread_driver.cc
+++ b/src/plugins/spreading/spread_driver.cc
@@ -33,7 +33,8 @@
       hooks_(std::move(hooks)),
       log_("spread") {}
 
-// A message travels with the address of its sender.
+// Decodes a message and records the address of its sender, which is sent with
+// it.
 template <typename Message>
 std::optional<boost::json::value> SpreadDriver::OnMessage(
     const Json& params,
@@ -119,9 +120,10 @@
                  [this](const spread::ApplySteps& apply) { ApplySteps(apply); },
                  [this](const spread::ApplyFull& apply) { ApplyFull(apply); },
                  [this](const spread::ReportDivergence& divergence) {
-                   log_.Error("One version with two contents.",
-                              {{"other", divergence.other.value()},
-                               {"version", divergence.here.version.value()}});
+                   log_.Error(
+                       "Two nodes have different contents for one version.",
+                       {{"other", divergence.other.value()},
+                        {"version", divergence.here.version.value()}});
                  }},
       action);
 }
@@ -175,7 +177,7 @@
   const bool is_in_force = result == config::ApplyResult::kApplied ||
                            result == config::ApplyResult::kStale;
   if (!is_in_force) {
-    log_.Warn("A configuration did not fit.",
+    log_.Warn("Failed to apply a received configuration.",
               {{"result", static_cast<int>(result)}});
     Handle(spread::ApplyFailed{});
     return;
--- a/src/plugins/spreading/spread_driver.h
+++ b/src/plugins/spreading/spread_driver.h
@@ -1,4 +1,5 @@
-// Brings the accepted configuration into force on this node and passes it on.
+// Brings the accepted configuration into force on this node and sends it to
+// other nodes.
 
 #ifndef PLUGINS_SPREADING_SPREAD_DRIVER_H_
 #define PLUGINS_SPREADING_SPREAD_DRIVER_H_
@@ -22,12 +23,12 @@
 namespace bilberryspool::spreading {
 
 struct SpreadHooks {
-  // Where this node is reached, told to those it sends to: an agent learns its
-  // entries' addresses from what they send.
+  // Address of this node, sent with each message: an agent learns the addresses
+  // of its entries from their messages.
   std::string own_address;
   std::function<std::optional<net::Endpoint>(const NodeId&)> find_node;
   std::function<spread::TopologyChanged()> topology;
-  // The configuration in force here has changed.
+  // Called when the configuration in force on this node has changed.
   std::function<void()> in_force_changed;
 };
 
@@ -43,14 +44,15 @@
   void Register(links::LinkServer& server);
   void Start();
 
-  // On a control replica: the log has committed these states.
+  // Called on a control replica when its log has committed a change, or a whole
+  // state that replaces the present one.
   void ApplyCommittedStep(const config::Delta& delta,
                           config::Digest from_digest);
   void ApplyCommittedState(const config::Configuration& state);
   void SetLeading(bool is_leading);
   void SetRole(spread::SpreaderRole role) { spreader_.SetRole(role); }
 
-  // Nodes that sent something, and where they are reached.
+  // Addresses of the nodes that have sent messages to this one.
   const std::map<NodeId, net::Endpoint>& senders() const { return senders_; }
 
   const config::AppliedConfiguration& applied() const { return applied_; }
