--- a/src/plugins/query/prompt.h
+++ b/src/plugins/query/prompt.h
@@ -13,7 +13,7 @@
 // Reads statements line by line and prints their answers.
 //
 //   history     lists the lines so far
-//   !3          gives line 3 again, as a statement of its own
+//   !3          runs line 3 again, as a new statement
 //   drain ?     lists the words that could stand in place of "?"
 //   quit        ends, as does the end of the input
 class Prompt {
@@ -23,12 +23,12 @@
 
   explicit Prompt(ExecuteFunction execute);
 
-  // Returns the code of the last statement.
+  // Returns the exit code of the last statement.
   ExitCode Run(std::istream& in, std::ostream& out);
 
  private:
   void PrintHistory(std::ostream& out) const;
-  // The line that "!N" stands for; empty where there is none.
+  // The line that "!N" refers to; empty if there is none.
   std::string ExpandHistory(const std::string& line) const;
 
   ExecuteFunction execute_;
--- a/src/plugins/query/query_client.cc
+++ b/src/plugins/query/query_client.cc
@@ -23,19 +23,20 @@
                                                  : ExitCode::kRefused;
 }
 
-// An entry that can't answer now, though another may.
+// Whether an entry can't answer now, while another one may.
 bool IsTransient(int http_status) {
   return http_status == net::status::kTooManyRequests ||
          http_status == net::status::kUnavailable ||
          http_status == net::status::kGatewayTimeout;
 }
 
-// What the client must know of a statement to send it rightly.
+// Properties of a statement that determine how the client sends it.
 struct StatementTraits {
-  // True also for a text that only a newer entry may understand.
+  // True also for a text that can't be parsed, as a newer entry may understand
+  // it.
   bool may_change = true;
   bool has_explicit_id = false;
-  // How long the statement itself asks the entry to wait.
+  // How long the entry may wait before it answers, as the statement says.
   Duration wait{};
 };
 
@@ -55,7 +56,7 @@
   return traits;
 }
 
-// The sentence that an answer begins with, as text or as JSON.
+// The first sentence of an answer, which is text or JSON.
 std::string FirstSentence(const std::string& body) {
   const auto answer = language::AnswerFromJson(body);
   if (answer.has_value() && !answer->notes.empty()) {
@@ -90,8 +91,8 @@
     headers.Add(std::string(operators::kReadVersionHeader),
                 std::to_string(options_.read_version->value()));
   }
-  // A statement that names its id may be an old one given again: then this is
-  // not the index of its first time.
+  // A statement that names its id may be a resend of an old one. The header
+  // would need the index at the first send, which is not known.
   if (applied_index_.has_value() &&
       !InspectStatement(statement).has_explicit_id) {
     headers.Add(std::string(operators::kIssuedAfterHeader), *applied_index_);
--- a/src/plugins/query/query_client.h
+++ b/src/plugins/query/query_client.h
@@ -1,8 +1,8 @@
-// The operators' client: asks one entry after the other until one answers.
+// The operators' client: tries one entry after the other until one answers.
 //
-// Guards against a change that takes effect twice, or is believed lost, because
-// its answer was: each statement has a command id, and whatever is sent again
-// goes under the same one, so it takes effect once and gives the first outcome.
+// If an answer is lost, the change must not take effect twice, nor be taken for
+// lost itself. So each statement has a command id and is resent with the same
+// one: it takes effect once, and each answer gives the first outcome.
 
 #ifndef PLUGINS_QUERY_QUERY_CLIENT_H_
 #define PLUGINS_QUERY_QUERY_CLIENT_H_
@@ -22,7 +22,7 @@
 // Exit codes of the program.
 enum class ExitCode {
   kDone = 0,
-  // Not accepted, or `wait` ran out of time: nothing more happens by itself.
+  // Not accepted, or `wait` timed out; nothing is retried.
   kRefused = 1,
   // The command line or the statement is wrong.
   kUsage = 2,
@@ -38,16 +38,16 @@
   bool json = false;
   // Expected version for changes that name none.
   std::optional<ConfigVersion> read_version;
-  // How often the whole list is gone through, and the pause in between.
+  // Maximum number of passes over the entries, and the delay between passes.
   std::size_t max_rounds = 3;
   Duration retry_delay = Milliseconds(300);
-  // Wait for one answer, beyond what a `wait` statement asks for.
+  // Timeout for one answer; the timeout of a `wait` statement is added to it.
   Duration answer_timeout = Seconds(10);
 };
 
 struct QueryResult {
   ExitCode code = ExitCode::kDone;
-  // What to print, each line ended.
+  // Text to print; each line ends with a newline.
   std::string text;
 };
 
@@ -56,12 +56,12 @@
  public:
   QueryClient(net::NetworkLoop& loop, QueryOptions options);
 
-  // Gives `statement` under `id`. Given again under the same id, a change
-  // takes effect once.
+  // Sends `statement` with the command id `id`. A change that is sent again
+  // with the same id takes effect once.
   QueryResult Execute(const std::string& statement, const CommandId& id);
 
  private:
-  // What one try came to: a final answer, or none.
+  // Result of one attempt: a final answer, or why there is none.
   struct Attempt;
 
   Attempt SendOnce(const net::Endpoint& entry,
@@ -70,7 +70,8 @@
   net::HttpRequest MakeRequest(const std::string& statement,
                                const CommandId& id) const;
   void RecordAppliedIndex(const net::HttpResponse& response);
-  // `id` where the statement doesn't name it.
+  // The answer if all attempts failed. `id` is set if the statement doesn't
+  // name it.
   QueryResult MakeUnreachableResult(const std::string& last_error,
                                     bool is_outcome_unknown,
                                     const std::optional<CommandId>& id) const;
@@ -78,7 +79,7 @@
   net::NetworkLoop& loop_;
   QueryOptions options_;
   net::HttpClient client_;
-  // The entry that answered last is asked first.
+  // Index of the entry that answered last, which is tried first.
   std::size_t preferred_entry_ = 0;
   std::optional<std::string> applied_index_;
 };
--- a/src/plugins/query/query_command.cc
+++ b/src/plugins/query/query_command.cc
@@ -62,7 +62,7 @@
   return endpoints.empty() ? std::nullopt : std::make_optional(endpoints);
 }
 
-// The options that the flags say, or what is wrong with them.
+// Sets `options` from the flags. Returns an empty string, or an error message.
 std::string ReadOptions(QueryOptions& options) {
   const auto endpoints = ReadEndpoints(FLAGS_address);
   if (!endpoints.has_value()) {
--- a/src/plugins/query/query_command.h
+++ b/src/plugins/query/query_command.h
@@ -6,8 +6,8 @@
 
 namespace bilberryspool::query {
 
-// The subcommand `query`: one statement, made of `words`, or a prompt where
-// there are none. Flags say whom to ask. Returns the program's exit code.
+// The subcommand `query`: runs the statement made of `words`, or a prompt if
+// there are none. The flags name the entries. Returns the program's exit code.
 int RunQuery(const std::vector<std::string>& words);
 
 }  // namespace bilberryspool::query
--- a/tests/auto/query/prompt_test.cc
+++ b/tests/auto/query/prompt_test.cc
@@ -7,11 +7,11 @@
 namespace bilberryspool::query {
 namespace {
 
-TEST_CASE("lines at the prompt") {
+TEST_CASE("the prompt runs statements and its own commands") {
   struct Row {
     const char* input;
     std::vector<std::string> executed;
-    // Stands in the output.
+    // The output contains this.
     const char* text;
   };
   const Row rows[] = {
--- a/tests/auto/query/query_client_test.cc
+++ b/tests/auto/query/query_client_test.cc
@@ -15,8 +15,8 @@
 
 constexpr int kConnectionLost = 0;
 
-// An entry that answers with these statuses in turn; kConnectionLost breaks the
-// connection off after the request arrived.
+// An entry that answers with these statuses in turn; for kConnectionLost it
+// closes the connection after the request has arrived.
 struct FakeEntry {
   FakeEntry(net::NetworkLoop& loop, std::deque<int> to_answer)
       : answers(std::move(to_answer)),
@@ -73,7 +73,7 @@
   thread.join();
 }
 
-TEST_CASE("what the entries answer decides code and text") {
+TEST_CASE("exit code and text follow from the answers of the entries") {
   struct Row {
     const char* what;
     std::deque<int> first;
@@ -151,9 +151,9 @@
   }
 }
 
-// Symptom: a drain is carried out twice, the second time after it was taken
-// back. Sequence: the answer is lost, the client sends the statement to another
-// entry as a new command. Cause: the resend has another id.
+// Guards against a drain that is applied twice, the second time after it was
+// undone: its answer is lost, and the client resends the statement to another
+// entry with a new id, so it counts as a new command.
 TEST_CASE("a resend carries the id of the first send") {
   InLoop([](net::NetworkLoop& loop) {
     FakeEntry first(loop, {kConnectionLost, 200});
@@ -176,10 +176,10 @@
   });
 }
 
-// Symptom: an old change is carried out again when it is given again by hand.
-// Sequence: its outcome was forgotten since; the client vouches for it with the
-// index it knows now. Cause: that index isn't the one of its first time.
-TEST_CASE("only a new command is sent with the index known now") {
+// Guards against an old change that is applied again when an operator resends
+// it by hand: its outcome has been discarded since, and the client sends the
+// index that it knows now instead of the one at the first send.
+TEST_CASE("only a new command is sent with the latest applied index") {
   InLoop([](net::NetworkLoop& loop) {
     FakeEntry entry(loop, {200, 200, 200});
     QueryOptions options = Options();
@@ -194,7 +194,7 @@
   });
 }
 
-TEST_CASE("the entry that answered last is asked first") {
+TEST_CASE("the entry that answered last is tried first") {
   InLoop([](net::NetworkLoop& loop) {
     FakeEntry first(loop, {503});
     FakeEntry second(loop, {200, 200});
@@ -210,7 +210,7 @@
   });
 }
 
-TEST_CASE("an entry that is gone is passed over") {
+TEST_CASE("an unreachable entry is skipped") {
   InLoop([](net::NetworkLoop& loop) {
     net::Endpoint gone;
     {
