--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -27,7 +27,7 @@
           "No leader of the control group can be reached; nothing was done."};
 }
 
-ControlFailure OutcomeUnknown() {
+ControlFailure AnswerLost() {
   return {ControlFailureKind::kUnknown,
           "The answer was lost; resend the order with the same command id."};
 }
@@ -267,7 +267,7 @@
                            ? config::OutcomeFromJson(*outcome_json)
                            : std::nullopt;
   if (!outcome.has_value()) {
-    return OutcomeUnknown();
+    return AnswerLost();
   }
   return *outcome;
 }
@@ -279,7 +279,7 @@
   const auto result = replica_->Propose(config::ToBytes(command), timeout);
   if (!result.has_value() ||
       std::holds_alternative<consensus::LostLeadershipUnknown>(*result)) {
-    return OutcomeUnknown();
+    return AnswerLost();
   }
   if (std::holds_alternative<consensus::Busy>(*result)) {
     return ControlFailure{ControlFailureKind::kBusy,
@@ -297,7 +297,7 @@
   // an earlier command that used the same id.
   const auto outcome = outcomes_.find(accepted->index);
   if (outcome == outcomes_.end()) {
-    return OutcomeUnknown();
+    return AnswerLost();
   }
   return outcome->second;
 }
@@ -343,7 +343,7 @@
     }
     loop_.SleepFor(kRetryDelay);
   }
-  return may_have_run ? OutcomeUnknown() : NoLeader();
+  return may_have_run ? AnswerLost() : NoLeader();
 }
 
 boost::json::value ConfigService::NotLeaderReply() const {
@@ -404,7 +404,7 @@
   }
   const auto coverage = CoverageFromJson(std::get<Json>(answer));
   if (!coverage.has_value()) {
-    return OutcomeUnknown();
+    return AnswerLost();
   }
   return *coverage;
 }
