--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr Duration kPoll = Milliseconds(5);
-constexpr Duration kRetryPause = Milliseconds(100);
-constexpr Duration kCallPatience = Seconds(2);
+constexpr Duration kPollInterval = Milliseconds(5);
+constexpr Duration kRetryDelay = Milliseconds(100);
+constexpr Duration kCallTimeout = Seconds(2);
 
 ControlFailure NoLeader() {
   return {ControlFailureKind::kNoLeader,
           "No leader of the control group can be reached; nothing was done."};
 }
 
-ControlFailure Unknown() {
+ControlFailure AnswerLost() {
   return {ControlFailureKind::kUnknown,
           "The answer was lost; resend the order with the same command id."};
 }
@@ -108,39 +108,40 @@
   spread_.SetRole(spread::SpreaderRole::kControl);
   for (const consensus::LogEntry& entry : entries) {
     const auto* membership = std::get_if<consensus::Membership>(&entry.payload);
-    // Also seen again by a replica that restarts, which founds nothing: taken
-    // for a founder, it would grant claims that it has forgotten.
+    // A restarted replica applies the first entry again. It must not count as
+    // having bootstrapped the log: it would then grant claims although it no
+    // longer knows its earlier votes.
     if (membership != nullptr && entry.index == LogIndex(1)) {
-      has_founded_ =
-          is_blank_ && membership->IsVoter(replica_->replica().self());
+      has_bootstrapped_ =
+          is_new_folder_ && membership->IsVoter(replica_->replica().self());
     }
     const auto* bytes = std::get_if<consensus::Command>(&entry.payload);
     if (bytes == nullptr) {
       continue;
     }
     const auto command = config::CommandFromBytes(bytes->bytes);
-    // What was proposed was read back before it entered the log.
+    // Commands are decoded before they enter the log.
     BILBERRYSPOOL_INVARIANT(command.has_value(),
                             "a committed command can be read");
     const ConfigVersion before = state_machine_.configuration().version();
     const config::Digest digest = state_machine_.configuration().digest();
-    NoteOutcome(entry.index, state_machine_.Apply(*command, entry.index));
+    RecordOutcome(entry.index, state_machine_.Apply(*command, entry.index));
     if (state_machine_.configuration().version() == before) {
       continue;
     }
     const auto delta = state_machine_.DeltaFrom(before);
     if (delta.has_value()) {
-      spread_.TakeStep(*delta, digest);
+      spread_.ApplyCommittedStep(*delta, digest);
     } else {
-      spread_.TakeState(state_machine_.configuration());
+      spread_.ApplyCommittedState(state_machine_.configuration());
     }
   }
 }
 
-void ConfigService::NoteOutcome(LogIndex index, config::Outcome outcome) {
-  constexpr std::size_t kKeptOutcomes = 2048;
+void ConfigService::RecordOutcome(LogIndex index, config::Outcome outcome) {
+  constexpr std::size_t kMaxKeptOutcomes = 2048;
   outcomes_[index] = std::move(outcome);
-  if (outcomes_.size() > kKeptOutcomes) {
+  if (outcomes_.size() > kMaxKeptOutcomes) {
     outcomes_.erase(outcomes_.begin());
   }
 }
@@ -151,7 +152,7 @@
   BILBERRYSPOOL_INVARIANT(state.has_value(),
                           "a snapshot of the log can be read");
   state_machine_ = config::StateMachine(std::move(*state));
-  spread_.TakeState(state_machine_.configuration());
+  spread_.ApplyCommittedState(state_machine_.configuration());
 }
 
 std::string ConfigService::MakeSnapshot() const {
@@ -164,31 +165,31 @@
 }
 
 void ConfigService::RefreshNodes() {
-  nodes_.clear();
+  node_addresses_.clear();
   agents_.clear();
   for (const SeedMember& seed : seeds_) {
-    nodes_[seed.node] = seed.address;
+    node_addresses_[seed.node] = seed.address;
   }
   for (const auto& [node, row] :
        configuration().table<config::ControlMemberSpec>()) {
     if (const auto endpoint = net::ParseEndpoint(row.spec.address)) {
-      nodes_[node] = *endpoint;
+      node_addresses_[node] = *endpoint;
     }
   }
   for (const auto& [node, peer] : directory().peers().peers()) {
     if (const auto endpoint = net::ParseEndpoint(peer.info.peer_address)) {
-      nodes_[node] = *endpoint;
+      node_addresses_[node] = *endpoint;
     }
   }
   for (const membership::TargetView& view : directory().targets(SteadyNow())) {
-    const bool is_child = view.announcement != nullptr && view.direct &&
-                          view.reason != membership::OfferReason::kGone;
-    if (!is_child) {
+    const bool is_direct_agent = view.announcement != nullptr && view.direct &&
+                                 view.reason != membership::OfferReason::kGone;
+    if (!is_direct_agent) {
       continue;
     }
     const auto endpoint = net::ParseEndpoint(view.announcement->address);
     if (endpoint.has_value()) {
-      nodes_[view.announcement->node] = *endpoint;
+      node_addresses_[view.announcement->node] = *endpoint;
       agents_.push_back(view.announcement->node);
     }
   }
@@ -217,8 +218,8 @@
 }
 
 std::optional<net::Endpoint> ConfigService::FindNode(const NodeId& node) const {
-  const auto found = nodes_.find(node);
-  if (found != nodes_.end()) {
+  const auto found = node_addresses_.find(node);
+  if (found != node_addresses_.end()) {
     return found->second;
   }
   for (const SeedMember& seed : seeds_) {
@@ -250,13 +251,13 @@
 
 std::variant<config::Outcome, ControlFailure> ConfigService::Propose(
     const config::Command& command,
-    Duration patience) {
+    Duration timeout) {
   if (leads()) {
-    return ProposeHere(command, patience);
+    return ProposeLocally(command, timeout);
   }
-  const LeaderAnswer answer =
-      AskLeader("control.propose",
-                json::object{{"command", config::ToJson(command)}}, patience);
+  const LeaderResult answer =
+      CallLeader("control.propose",
+                 json::object{{"command", config::ToJson(command)}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
@@ -266,19 +267,19 @@
                            ? config::OutcomeFromJson(*outcome_json)
                            : std::nullopt;
   if (!outcome.has_value()) {
-    return Unknown();
+    return AnswerLost();
   }
   return *outcome;
 }
 
-std::variant<config::Outcome, ControlFailure> ConfigService::ProposeHere(
+std::variant<config::Outcome, ControlFailure> ConfigService::ProposeLocally(
     const config::Command& command,
-    Duration patience) {
-  const TimePoint deadline = SteadyNow() + patience;
-  const auto result = replica_->Propose(config::ToBytes(command), patience);
+    Duration timeout) {
+  const TimePoint deadline = SteadyNow() + timeout;
+  const auto result = replica_->Propose(config::ToBytes(command), timeout);
   if (!result.has_value() ||
       std::holds_alternative<consensus::OutcomeUnknown>(*result)) {
-    return Unknown();
+    return AnswerLost();
   }
   if (std::holds_alternative<consensus::Busy>(*result)) {
     return ControlFailure{ControlFailureKind::kBusy,
@@ -290,23 +291,24 @@
   }
   while (state_machine_.applied_index() < accepted->index &&
          SteadyNow() < deadline) {
-    loop_.SleepFor(kPoll);
+    loop_.SleepFor(kPollInterval);
   }
-  // That of this very entry: the id alone would give the outcome of another
-  // order that used it before.
+  // Looked up by log index: a lookup by command id could return the outcome of
+  // an earlier command that used the same id.
   const auto outcome = outcomes_.find(accepted->index);
   if (outcome == outcomes_.end()) {
-    return Unknown();
+    return AnswerLost();
   }
   return outcome->second;
 }
 
-// Tries the hinted leader, then each control replica, until one leads. Asking
-// twice is harmless: the command id makes the second the first one's outcome.
-ConfigService::LeaderAnswer ConfigService::AskLeader(const std::string& method,
-                                                     const Json& params,
-                                                     Duration patience) {
-  const TimePoint deadline = SteadyNow() + patience;
+// Tries the hinted leader, then each control replica, until one of them leads
+// or the timeout expires. Repeating a call is safe: a command that has already
+// been applied is recognized by its id and returns the first outcome.
+ConfigService::LeaderResult ConfigService::CallLeader(const std::string& method,
+                                                      const Json& params,
+                                                      Duration timeout) {
+  const TimePoint deadline = SteadyNow() + timeout;
   bool may_have_run = false;
   while (SteadyNow() < deadline) {
     std::vector<NodeId> candidates = control_members();
@@ -316,7 +318,7 @@
     for (const NodeId& candidate : candidates) {
       const auto endpoint = FindNode(candidate);
       const Duration left =
-          std::min<Duration>(deadline - SteadyNow(), kCallPatience);
+          std::min<Duration>(deadline - SteadyNow(), kCallTimeout);
       if (!endpoint.has_value() || left <= Duration::zero()) {
         continue;
       }
@@ -339,12 +341,12 @@
         leader_hint_ = NodeId(std::string(hint->as_string()));
       }
     }
-    loop_.SleepFor(kRetryPause);
+    loop_.SleepFor(kRetryDelay);
   }
-  return may_have_run ? Unknown() : NoLeader();
+  return may_have_run ? AnswerLost() : NoLeader();
 }
 
-boost::json::value ConfigService::NotLeader() const {
+boost::json::value ConfigService::NotLeaderReply() const {
   json::value hint;
   if (leader_hint_.has_value()) {
     hint = json::string(leader_hint_->value());
@@ -363,17 +365,18 @@
     return std::nullopt;
   }
   if (!leads()) {
-    return NotLeader();
+    return NotLeaderReply();
   }
-  const auto outcome = ProposeHere(*command, kCallPatience);
+  const auto outcome = ProposeLocally(*command, kCallTimeout);
   if (const auto* known = std::get_if<config::Outcome>(&outcome)) {
     return json::object{{"outcome", config::ToJson(*known)}};
   }
   const auto& failure = std::get<ControlFailure>(outcome);
   if (failure.kind == ControlFailureKind::kNoLeader) {
-    return NotLeader();
+    return NotLeaderReply();
   }
-  // Without an outcome the caller asks again with the same command id.
+  // A reply without an outcome makes the caller resend with the same command
+  // id.
   return json::object{{"failure", failure.detail}};
 }
 
@@ -390,18 +393,18 @@
 
 std::variant<spread::Coverage, ControlFailure> ConfigService::CoverageOf(
     ConfigVersion version,
-    Duration patience) {
+    Duration timeout) {
   if (leads()) {
     return spread_.spreader().coverage(version, SteadyNow());
   }
-  const LeaderAnswer answer = AskLeader(
-      "control.coverage", json::object{{"version", version.value()}}, patience);
+  const LeaderResult answer = CallLeader(
+      "control.coverage", json::object{{"version", version.value()}}, timeout);
   if (const auto* failure = std::get_if<ControlFailure>(&answer)) {
     return *failure;
   }
   const auto coverage = CoverageFromJson(std::get<Json>(answer));
   if (!coverage.has_value()) {
-    return Unknown();
+    return AnswerLost();
   }
   return *coverage;
 }
@@ -418,7 +421,7 @@
     return std::nullopt;
   }
   if (!leads()) {
-    return NotLeader();
+    return NotLeaderReply();
   }
   return ToJson(
       spread_.spreader().coverage(ConfigVersion(number), SteadyNow()));
@@ -468,8 +471,8 @@
   return status;
 }
 
-std::map<GroupId, HeardGroupReport> ConfigService::group_reports() const {
-  return groups_ == nullptr ? std::map<GroupId, HeardGroupReport>()
+std::map<GroupId, ReceivedGroupReport> ConfigService::group_reports() const {
+  return groups_ == nullptr ? std::map<GroupId, ReceivedGroupReport>()
                             : groups_->reports();
 }
 
@@ -478,9 +481,9 @@
   return reports_.reasons(service);
 }
 
-std::optional<std::string> ConfigService::request_trail(
+std::optional<std::string> ConfigService::request_outcome(
     const RequestId& request) const {
-  return reports_.trail(request);
+  return reports_.outcome(request);
 }
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/config_service_membership.cc
+++ b/src/plugins/control/config_service_membership.cc
@@ -1,5 +1,5 @@
 // The part of ConfigService that keeps the declared control members and the
-// log's membership in step. Only the leader acts.
+// log's membership consistent. Only the leader acts.
 
 #include <algorithm>
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr Duration kInterval = Milliseconds(500);
-constexpr Duration kPatience = Seconds(2);
+constexpr Duration kMembershipInterval = Milliseconds(500);
+constexpr Duration kChangeTimeout = Seconds(2);
 
 bool IsVoter(const consensus::Membership& membership, const NodeId& node) {
   return std::any_of(
@@ -28,18 +28,18 @@
 
 void ConfigService::RunMembership() {
   while (true) {
-    loop_.SleepFor(kInterval);
+    loop_.SleepFor(kMembershipInterval);
     if (!leads()) {
       continue;
     }
-    DriveReplacement();
-    ObserveMembers();
+    AdvanceReplacement();
+    ProposeObservedMembers();
   }
 }
 
-// Carries an operator's replacement into the log once the successor, with its
-// new folder, has asked to be admitted.
-void ConfigService::DriveReplacement() {
+// Proposes the membership change for a replacement that an operator declared,
+// once the successor, which has a new data folder, has asked for admission.
+void ConfigService::AdvanceReplacement() {
   const consensus::Replica& replica = replica_->replica();
   const consensus::Membership& membership = replica.log().membership();
   const ControlMemberSpec* leaving = nullptr;
@@ -68,13 +68,13 @@
     log_.Info("Replacing a control replica.",
               {{"old", voter.node.value()}, {"new", incoming->node.value()}});
     replica_->Change(consensus::ReplaceVoter{voter, successor->second},
-                     kPatience);
+                     kChangeTimeout);
     return;
   }
 }
 
-ControlMemberSpec ConfigService::Describe(const NodeId& node,
-                                          MemberStanding standing) const {
+ControlMemberSpec ConfigService::MakeMemberSpec(const NodeId& node,
+                                                MemberStanding standing) const {
   ControlMemberSpec spec;
   const auto* known = configuration().Find<ControlMemberSpec>(node);
   if (known != nullptr) {
@@ -94,7 +94,8 @@
   return spec;
 }
 
-// An operator's replacement stays as declared until the log has carried it out.
+// A replacement that an operator declared stays as declared until the log's
+// membership includes the successor as a voter.
 std::vector<ControlMemberSpec> ConfigService::ObservedMembers() const {
   const consensus::Membership& membership =
       replica_->replica().log().membership();
@@ -105,16 +106,16 @@
                              !IsVoter(membership, node);
     if (is_incoming) {
       is_pending = true;
-      members.push_back(Describe(node, MemberStanding::kLearner));
+      members.push_back(MakeMemberSpec(node, MemberStanding::kLearner));
     }
   }
   for (const consensus::MemberId& voter : membership.voters) {
     const auto* known = configuration().Find<ControlMemberSpec>(voter.node);
     const bool is_leaving = is_pending && known != nullptr &&
                             known->standing == MemberStanding::kLeaving;
-    members.push_back(Describe(voter.node, is_leaving
-                                               ? MemberStanding::kLeaving
-                                               : MemberStanding::kVoter));
+    members.push_back(MakeMemberSpec(voter.node, is_leaving
+                                                     ? MemberStanding::kLeaving
+                                                     : MemberStanding::kVoter));
   }
   std::sort(members.begin(), members.end(),
             [](const ControlMemberSpec& left, const ControlMemberSpec& right) {
@@ -123,7 +124,7 @@
   return members;
 }
 
-void ConfigService::ObserveMembers() {
+void ConfigService::ProposeObservedMembers() {
   if (replica_->replica().log().membership().is_joint()) {
     return;
   }
@@ -143,17 +144,18 @@
   command.id = CommandId("members-" +
                          std::to_string(replica_->replica().term().value()) +
                          "-" + std::to_string(net::WallNanoseconds()) + "-" +
-                         std::to_string(++own_commands_));
+                         std::to_string(++command_count_));
   command.operator_id = config::OperatorId("system");
   command.expected = config::Expectation{configuration().version(),
                                          config::CompareScope::kObjects};
   command.changes.push_back(config::ObserveControlMembers{observed});
-  const auto outcome = ProposeHere(command, kPatience);
+  const auto outcome = ProposeLocally(command, kChangeTimeout);
   const auto* known = std::get_if<config::Outcome>(&outcome);
   const auto* refused =
       known != nullptr ? std::get_if<config::Refused>(known) : nullptr;
   if (refused != nullptr) {
-    log_.Warn("Observed members were refused.", {{"detail", refused->detail}});
+    log_.Warn("The update of the control members was refused.",
+              {{"detail", refused->detail}});
   }
 }
 
--- a/src/plugins/control/control_process.cc
+++ b/src/plugins/control/control_process.cc
@@ -27,13 +27,14 @@
 
 namespace {
 
-// How often routing gets a new picture of the targets.
 constexpr std::size_t kReportCapacity = 1024;
-// The other entries change seldom.
+// Longer than kFeedInterval, as the set of other entries rarely changes.
 constexpr Duration kEntriesInterval = Seconds(1);
+// How often the callers thread gets the current targets.
 constexpr Duration kFeedInterval = Milliseconds(250);
-// Gossip tells of no further entry for so many of these intervals.
-constexpr std::size_t kSettledRounds = 10;
+// Number of consecutive feed intervals in which gossip must report the same
+// entries before a new replica asks them to join.
+constexpr std::size_t kStableFeedIntervals = 10;
 
 membership::DirectoryOptions MakeDirectoryOptions(
     const settings::CommonSettings& common,
@@ -63,7 +64,7 @@
   spread::SpreaderOptions options;
   options.self = common.node;
   options.domain = common.failure_domain;
-  // Also with a data folder, until there is a log in it.
+  // Also with a data folder, until it contains a log.
   options.role = spread::SpreaderRole::kEntry;
   return options;
 }
@@ -122,22 +123,22 @@
                 [this] { loop.Post([this] { PopReports(); }); }) {}
 
   void Run(std::promise<std::string>& started);
-  // Empty, or why the replica can't start.
+  // Returns an empty string, or why the replica can't start.
   std::string OpenReplica();
   void StartReplica(std::unique_ptr<storage::DataFolder> folder,
                     std::vector<NodeId> known_peers);
-  // A new folder without initial members waits here until it has heard of the
-  // entries, some of which are the control group that it is to join.
-  void JoinLater(std::unique_ptr<storage::DataFolder> folder);
-  // The entries that gossip tells of.
+  // Starts the replica of a new folder without initial members, once gossip has
+  // reported the other entries, among them the control group that it joins.
+  void JoinAfterDiscovery(std::unique_ptr<storage::DataFolder> folder);
+  // The other entries known from gossip.
   std::vector<NodeId> OtherEntries() const;
-  void FeedTargets();
-  void FeedConfiguration();
-  void FeedEntries();
+  void RunFeedLoop();
+  void PushConfiguration();
+  void PushEntries();
   std::optional<boost::json::value> OnDemand(const boost::json::value& params);
   void PopReports();
   attempts::ClaimHolder MakeHolder(bool first_start) const;
-  storage::Result<void> BeginHolder();
+  storage::Result<void> InitializeHolder();
   void StoreLedger();
   spreading::SpreadHooks MakeSpreadHooks();
   ReplicaHooks MakeReplicaHooks();
@@ -160,12 +161,13 @@
   StartOperators start_operators;
   storage::PosixFileSystem files;
   std::unique_ptr<LedgerFile> ledger_file;
-  // That of the holder grows by one with each start of this data folder.
+  // Incarnation of the claim holder; grows by one with each start with this
+  // data folder.
   Incarnation holder_incarnation;
   std::unique_ptr<ReplicaDriver> replica;
   bool is_config_pending = false;
   net::FiberSignal feed_due;
-  TimePoint entries_fed_at;
+  TimePoint entries_pushed_at;
   rings::BoundedRing<CallerReport> reports;
   std::unique_ptr<links::LinkServer> server;
   std::thread thread;
@@ -218,7 +220,7 @@
   config.Start();
   groups.Start();
   log.Info("Started.", {{"peers", settings.peers_listen.ToString()}});
-  FeedTargets();
+  RunFeedLoop();
 }
 
 std::string ControlProcess::Private::OpenReplica() {
@@ -236,11 +238,11 @@
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(folder, storage::DataFolder::Open(files, options));
-        BOOST_LEAF_CHECK(BeginHolder());
-        const bool is_blank =
+        BOOST_LEAF_CHECK(InitializeHolder());
+        const bool is_new_folder =
             folder->recovered().hard_state.cluster == consensus::ClusterId(0);
-        if (is_blank && settings.initial_members.empty()) {
-          JoinLater(std::move(folder));
+        if (is_new_folder && settings.initial_members.empty()) {
+          JoinAfterDiscovery(std::move(folder));
           return {};
         }
         StartReplica(std::move(folder), {});
@@ -253,20 +255,21 @@
   return error;
 }
 
-storage::Result<void> ControlProcess::Private::BeginHolder() {
+storage::Result<void> ControlProcess::Private::InitializeHolder() {
   ledger_file = std::make_unique<LedgerFile>(files, settings.data_folder);
-  BOOST_LEAF_AUTO(start, ledger_file->Begin());
+  BOOST_LEAF_AUTO(start, ledger_file->ReadAndClear());
   holder_incarnation = start.incarnation;
   attempts::ClaimHolder holder = MakeHolder(/*first_start=*/false);
-  const bool is_whole =
+  const bool is_imported =
       start.ledger.has_value() && holder.Import(*start.ledger, SteadyNow());
-  log.Info(is_whole ? "Took over the ledger of claims."
-                    : "No ledger of claims; abstaining for a window.");
+  log.Info(is_imported
+               ? "Imported the ledger of claims."
+               : "No ledger of claims found; abstaining for one window.");
   claims.ReplaceHolder(std::move(holder));
   return {};
 }
 
-// At a planned stop: no vote is given after this.
+// Called at a planned stop; the holder does not vote after this.
 void ControlProcess::Private::StoreLedger() {
   if (ledger_file == nullptr) {
     return;
@@ -289,29 +292,31 @@
     options.initial_voters.push_back(member.node);
   }
   options.known_peers = std::move(known_peers);
-  const bool is_blank =
+  const bool is_new_folder =
       folder->recovered().hard_state.cluster == consensus::ClusterId(0);
   replica = std::make_unique<ReplicaDriver>(loop, client, std::move(folder),
                                             options, std::random_device()(),
                                             MakeReplicaHooks());
-  config.SetReplica(replica.get(), is_blank);
+  config.SetReplica(replica.get(), is_new_folder);
   replica->Register(*server);
   replica->Start();
 }
 
-void ControlProcess::Private::JoinLater(
+void ControlProcess::Private::JoinAfterDiscovery(
     std::unique_ptr<storage::DataFolder> folder) {
   auto shared =
       std::make_shared<std::unique_ptr<storage::DataFolder>>(std::move(folder));
   loop.Spawn([this, shared] {
-    // The configuration names the members, but a control replica gets it from
-    // the log alone, which it has yet to join. So all entries are asked.
+    // The configuration names the members, but a control replica receives it
+    // only through the log, which it has not joined yet. So it asks all
+    // entries.
     std::vector<NodeId> peers;
-    std::size_t settled = 0;
-    while (settled < kSettledRounds) {
+    std::size_t stable_intervals = 0;
+    while (stable_intervals < kStableFeedIntervals) {
       loop.SleepFor(kFeedInterval);
       std::vector<NodeId> present = OtherEntries();
-      settled = present == peers && !peers.empty() ? settled + 1 : 0;
+      stable_intervals =
+          present == peers && !peers.empty() ? stable_intervals + 1 : 0;
       peers = std::move(present);
     }
     log.Info("Asking to join the control group.", {{"entries", peers.size()}});
@@ -332,10 +337,10 @@
 ReplicaHooks ControlProcess::Private::MakeReplicaHooks() {
   ReplicaHooks hooks;
   hooks.apply = [this](const std::vector<consensus::LogEntry>& entries) {
-    const bool had_founded = config.has_founded();
+    const bool had_bootstrapped = config.has_bootstrapped();
     config.Apply(entries);
-    if (!had_founded && config.has_founded()) {
-      // The deployment has never run, so there is no vote to have forgotten.
+    if (!had_bootstrapped && config.has_bootstrapped()) {
+      // The deployment has never run before, so no earlier vote can be lost.
       claims.ReplaceHolder(MakeHolder(/*first_start=*/true));
       is_config_pending = true;
     }
@@ -375,31 +380,31 @@
                                SteadyNow());
 }
 
-void ControlProcess::Private::FeedConfiguration() {
+void ControlProcess::Private::PushConfiguration() {
   const bool is_known = config.configuration().version() > ConfigVersion(0);
   if (!is_config_pending || !is_known) {
     return;
   }
   RosterUpdate roster = MakeRosterUpdate(config);
   claims.AdoptRoster(roster.roster.version);
-  // A roster without members would count as an older one for a whole window,
-  // and no claim can win a majority of nobody.
+  // An empty roster is not pushed: it would count as the previous roster for a
+  // whole window, and no claim can get a majority of zero members.
   const bool has_roster = !roster.roster.members.empty();
-  const bool is_taken =
+  const bool is_pushed =
       (!has_roster || push(std::move(roster))) &&
       push(ConfigUpdate{
           std::make_shared<const config::Configuration>(config.configuration()),
           spread.spreader().stale(SteadyNow())});
-  // Where the ring was full it is tried again with the next picture.
-  is_config_pending = !is_taken;
+  // If the ring was full, the push is retried with the next update.
+  is_config_pending = !is_pushed;
 }
 
-void ControlProcess::Private::FeedEntries() {
+void ControlProcess::Private::PushEntries() {
   const TimePoint now = SteadyNow();
-  if (now - entries_fed_at < kEntriesInterval) {
+  if (now - entries_pushed_at < kEntriesInterval) {
     return;
   }
-  entries_fed_at = now;
+  entries_pushed_at = now;
   EntriesUpdate update;
   for (const auto& [domain, nodes] : config.Topology().entries) {
     for (const NodeId& node : nodes) {
@@ -445,13 +450,13 @@
       [this](CallerReport&& report) { config.AddReport(std::move(report)); });
 }
 
-void ControlProcess::Private::FeedTargets() {
+void ControlProcess::Private::RunFeedLoop() {
   while (true) {
-    // Where the ring is full the next picture replaces this one.
+    // If the ring is full, the next update replaces this one.
     push(directory.MakeTargetsUpdate(SteadyNow()));
-    FeedConfiguration();
-    FeedEntries();
-    // News of a target goes on at once.
+    PushConfiguration();
+    PushEntries();
+    // A change of a target or of the configuration ends the wait early.
     feed_due.WaitUntil(SteadyNow() + kFeedInterval);
   }
 }
@@ -487,7 +492,7 @@
   return error.get();
 }
 
-bool ControlProcess::TakeReport(CallerReport&& report) {
+bool ControlProcess::EnqueueReport(CallerReport&& report) {
   return d_->reports.TryPush(std::move(report));
 }
 
--- a/src/plugins/control/group_run.cc
+++ b/src/plugins/control/controlled_group.cc
@@ -1,4 +1,4 @@
-#include "plugins/control/group_run.h"
+#include "plugins/control/controlled_group.h"
 
 #include <utility>
 
@@ -15,28 +15,28 @@
 
 namespace {
 
-// How long a controller acts without looking at its lease again.
+// How long the controller may act after the last check of its lease.
 constexpr Duration kLeaseTime = Seconds(1);
-constexpr Duration kProposalPatience = Seconds(2);
-// Orders are repeated, so a late one is worth nothing.
-constexpr Duration kCallPatience = Milliseconds(300);
+constexpr Duration kProposalTimeout = Seconds(2);
+// Short, as orders are repeated and a late one is of no use.
+constexpr Duration kCallTimeout = Milliseconds(300);
 constexpr Duration kContactsInterval = Milliseconds(300);
 constexpr Duration kDecisionInterval = Seconds(5);
 constexpr std::uint64_t kMinuteNanoseconds = 60ULL * 1000 * 1000 * 1000;
 constexpr std::uint64_t kMinutesOfDay = 24ULL * 60;
-// Taken for one expert until engines announce the size of theirs.
-constexpr double kExpertBytes = 5e7;
+// Size assumed for each expert, as engines do not announce it yet.
+constexpr double kAssumedExpertBytes = 5e7;
 
 groups::ControllerOptions MakeControllerOptions(const config::GroupSpec& spec) {
   groups::ControllerOptions options;
   options.group = spec.id;
   options.ranks = spec.ranks;
   options.slots = SlotsOf(spec);
-  options.expert_bytes = kExpertBytes;
+  options.expert_bytes = kAssumedExpertBytes;
   return options;
 }
 
-const char* WordOf(groups::GroupState state) {
+const char* StateName(groups::GroupState state) {
   switch (state) {
     case groups::GroupState::kServing:
       return "serving";
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-GroupRun::GroupRun(net::NetworkLoop& loop,
-                   links::LinkClient& client,
-                   ConfigService& config,
-                   GroupDriverOptions options,
-                   config::GroupSpec spec)
+ControlledGroup::ControlledGroup(net::NetworkLoop& loop,
+                                 links::LinkClient& client,
+                                 ConfigService& config,
+                                 GroupDriverOptions options,
+                                 config::GroupSpec spec)
     : loop_(loop),
       client_(client),
       config_(config),
@@ -83,77 +83,79 @@
   contacts_.controller = options_.address;
 }
 
-CommandId GroupRun::MakeCommandId(const std::string& what) {
-  return CommandId(what + "-" + options_.self.value() + "-" +
+CommandId ControlledGroup::MakeCommandId(const std::string& id_prefix) {
+  return CommandId(id_prefix + "-" + options_.self.value() + "-" +
                    std::to_string(net::WallNanoseconds()) + "-" +
-                   std::to_string(++commands_));
+                   std::to_string(++command_count_));
 }
 
-void GroupRun::Tick(TimePoint now) {
-  if (!HoldLease(now)) {
+void ControlledGroup::Tick(TimePoint now) {
+  if (!MaintainLease(now)) {
     return;
   }
   RefreshContacts(now);
-  AskForMap(now);
+  RequestMapChange(now);
   Handle(groups::ControllerTick{}, now);
 }
 
-// Views are named by the token and a count that the controller keeps in memory.
-// One that was frozen past its lease, or begins anew, counts from 1 again:
-// under the old token two views could get one name, and ranks with different
-// maps would take each other for members of one view. So each such start gets a
-// token of its own.
-bool GroupRun::HoldLease(TimePoint now) {
+// A view is identified by the token and a counter that the controller keeps in
+// memory. A controller that was frozen past its lease, or that restarts, counts
+// from 1 again: under the old token two views could get the same identifier,
+// and ranks with different maps would treat each other as members of one view.
+// So each such start gets a new token.
+bool ControlledGroup::MaintainLease(TimePoint now) {
   const auto* lease = config_.committed().Find<config::LeaseSpec>(spec_.id);
   const bool is_ours = token_.has_value() && now < lease_until_ &&
                        lease != nullptr && lease->token == *token_;
   if (!is_ours) {
     token_.reset();
     Handle(groups::LeaseLost{}, now);
-    AskForLease(lease == nullptr ? FencingToken() : lease->token);
+    RequestLease(lease == nullptr ? FencingToken() : lease->token);
     return false;
   }
   lease_until_ = now + kLeaseTime;
   groups::LeaseGranted granted{*token_, lease_until_, {}};
-  if (started_ != token_) {
-    started_ = token_;
+  if (controller_token_ != token_) {
+    controller_token_ = token_;
     contacts_.token = *token_;
-    asked_.reset();
-    granted.record =
-        RecordFor(spec_, config_.committed().Find<config::MapSpec>(spec_.id));
+    last_requested_map_.reset();
+    granted.record = InitialRecord(
+        spec_, config_.committed().Find<config::MapSpec>(spec_.id));
   }
   Handle(granted, now);
   return true;
 }
 
-void GroupRun::AskForLease(FencingToken previous) {
-  if (is_asking_) {
+void ControlledGroup::RequestLease(FencingToken previous) {
+  if (is_requesting_lease_) {
     return;
   }
-  is_asking_ = true;
+  is_requesting_lease_ = true;
   loop_.Spawn([self = shared_from_this(), previous] {
     const auto result = self->config_.Propose(
         MakeCommand(self->MakeCommandId("lease"),
                     config::GrantLease{self->spec_.id, self->options_.self,
                                        self->options_.incarnation, previous}),
-        kProposalPatience);
+        kProposalTimeout);
     const auto* accepted = AcceptedOf(result);
     if (accepted != nullptr && accepted->token.has_value()) {
       self->token_ = *accepted->token;
       self->lease_until_ = SteadyNow() + kLeaseTime;
-      self->log_.Info("Controls a group.", {{"group", self->spec_.id.value()},
-                                            {"token", self->token_->value()}});
+      self->log_.Info("Acquired the lease of a group.",
+                      {{"group", self->spec_.id.value()},
+                       {"token", self->token_->value()}});
     }
-    self->is_asking_ = false;
+    self->is_requesting_lease_ = false;
   });
 }
 
-// A target that may hold a rank says in its statuses which one it holds.
-void GroupRun::RefreshContacts(TimePoint now) {
-  if (now < next_contacts_) {
+// Sends the contacts to every target that may hold a rank. Which rank it holds
+// is known from its statuses.
+void ControlledGroup::RefreshContacts(TimePoint now) {
+  if (now < next_contacts_at_) {
     return;
   }
-  next_contacts_ = now + kContactsInterval;
+  next_contacts_at_ = now + kContactsInterval;
   candidates_.clear();
   for (const membership::TargetView& view : config_.directory().targets(now)) {
     const membership::Announcement* target = view.announcement;
@@ -169,24 +171,26 @@
   }
 }
 
-void GroupRun::AskForMap(TimePoint now) {
+void ControlledGroup::RequestMapChange(TimePoint now) {
   placement::ExpertMap base =
-      AskPolicy(now).value_or(controller_.record().chosen);
-  placement::ExpertMap wanted =
-      WithOrders(std::move(base), spec_.id, config_.committed());
-  const bool is_new = wanted != controller_.record().chosen && wanted != asked_;
+      ConsultPolicy(now).value_or(controller_.record().chosen);
+  placement::ExpertMap desired_map =
+      WithOperatorOrders(std::move(base), spec_.id, config_.committed());
+  const bool is_new = desired_map != controller_.record().chosen &&
+                      desired_map != last_requested_map_;
   if (!is_new) {
     return;
   }
-  asked_ = wanted;
-  Handle(groups::MapChosen{std::move(wanted)}, now);
+  last_requested_map_ = desired_map;
+  Handle(groups::MapChosen{std::move(desired_map)}, now);
 }
 
-std::optional<placement::ExpertMap> GroupRun::AskPolicy(TimePoint now) {
-  if (now < next_decision_) {
+std::optional<placement::ExpertMap> ControlledGroup::ConsultPolicy(
+    TimePoint now) {
+  if (now < next_decision_at_) {
     return std::nullopt;
   }
-  next_decision_ = now + kDecisionInterval;
+  next_decision_at_ = now + kDecisionInterval;
   const auto& view = controller_.view();
   PlacementSituation situation;
   situation.chosen = controller_.record().chosen;
@@ -194,24 +198,25 @@
                          view->members.size() == spec_.ranks &&
                          controller_.state() == groups::GroupState::kServing;
   situation.seconds_per_fetch =
-      kExpertBytes / groups::FetchBudgetOptions().bytes_per_second;
+      kAssumedExpertBytes / groups::FetchBudgetOptions().bytes_per_second;
   situation.minute_of_day = static_cast<std::uint32_t>(
       net::WallNanoseconds() / kMinuteNanoseconds % kMinutesOfDay);
   auto map = policy_.Decide(situation, config_.committed(), now);
   if (map.has_value()) {
-    log_.Info("Placement changes.",
+    log_.Info("The placement policy chose a new map.",
               {{"group", spec_.id.value()}, {"why", policy_.why()}});
   }
   return map;
 }
 
-void GroupRun::OnCounts(const groups::ExpertCounts& counts, TimePoint now) {
+void ControlledGroup::OnCounts(const groups::ExpertCounts& counts,
+                               TimePoint now) {
   policy_.Observe(counts, now);
 }
 
-void GroupRun::OnStatus(const TargetId& target,
-                        const groups::RankStatus& status,
-                        TimePoint now) {
+void ControlledGroup::OnStatus(const TargetId& target,
+                               const groups::RankStatus& status,
+                               TimePoint now) {
   const auto candidate = candidates_.find(target);
   const bool is_member = candidate != candidates_.end() &&
                          status.group == spec_.id &&
@@ -227,14 +232,14 @@
   Handle(groups::StatusReceived{status}, now);
 }
 
-std::optional<GroupReport> GroupRun::report() const {
+std::optional<GroupReport> ControlledGroup::report() const {
   if (!token_.has_value()) {
     return std::nullopt;
   }
   GroupReport report;
   report.group = spec_.id;
   report.token = *token_;
-  report.state = WordOf(controller_.state());
+  report.state = StateName(controller_.state());
   report.why = controller_.why();
   report.pending_fetches = controller_.pending_fetches();
   report.decision = policy_.why();
@@ -247,24 +252,25 @@
   return report;
 }
 
-void GroupRun::Handle(const groups::ControllerEvent& event, TimePoint now) {
+void ControlledGroup::Handle(const groups::ControllerEvent& event,
+                             TimePoint now) {
   if (is_closed_) {
     return;
   }
   for (const groups::ControllerAction& action :
        controller_.Handle(event, now)) {
-    std::visit([this](const auto& each) { CarryOut(each); }, action);
+    std::visit([this](const auto& each) { Execute(each); }, action);
   }
 }
 
-void GroupRun::CarryOut(const groups::SendOrder& action) {
+void ControlledGroup::Execute(const groups::SendOrder& action) {
   const auto found = contacts_.ranks.find(action.rank);
   if (found != contacts_.ranks.end()) {
     Send(found->second, "group.order", groups::ToJson(action.order));
   }
 }
 
-void GroupRun::CarryOut(const groups::RecordMap& action) {
+void ControlledGroup::Execute(const groups::RecordMap& action) {
   if (is_recording_) {
     return;
   }
@@ -272,12 +278,12 @@
   loop_.Spawn([self = shared_from_this(), action] {
     const auto result = self->config_.Propose(
         MakeCommand(self->MakeCommandId("map"),
-                    config::RecordMap{
-                        ToSpec(self->spec_.id, action.token, action.record)}),
-        kProposalPatience);
+                    config::RecordMap{ToMapSpec(self->spec_.id, action.token,
+                                                action.record)}),
+        kProposalTimeout);
     self->is_recording_ = false;
-    // Where an earlier proposal took effect without an answer, this one was
-    // refused; what is recorded tells.
+    // If an earlier proposal took effect but its answer was lost, this one is
+    // refused. So the recorded map decides whether it is done.
     const auto* recorded =
         self->config_.committed().Find<config::MapSpec>(self->spec_.id);
     const bool is_done = recorded != nullptr &&
@@ -286,32 +292,33 @@
     if (is_done) {
       self->Handle(groups::MapRecorded{action.record.version}, SteadyNow());
     } else if (AcceptedOf(result) == nullptr) {
-      self->log_.Warn("Map was not recorded.",
+      self->log_.Warn("Failed to record the map of a group.",
                       {{"group", self->spec_.id.value()}});
     }
   });
 }
 
-void GroupRun::CarryOut(const groups::GroupStateChanged& action) {
+void ControlledGroup::Execute(const groups::GroupStateChanged& action) {
   log_.Info("Group state.", {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
-void GroupRun::CarryOut(const groups::MapRefused& action) {
-  log_.Warn("Map refused.", {{"group", spec_.id.value()}, {"why", action.why}});
+void ControlledGroup::Execute(const groups::MapRefused& action) {
+  log_.Warn("The group controller refused a map.",
+            {{"group", spec_.id.value()}, {"why", action.why}});
 }
 
-void GroupRun::Send(const std::string& address,
-                    const std::string& method,
-                    const Json& params) {
+void ControlledGroup::Send(const std::string& address,
+                           const std::string& method,
+                           const Json& params) {
   const auto endpoint = net::ParseEndpoint(address);
   if (!endpoint.has_value()) {
     return;
   }
   loop_.Spawn([self = shared_from_this(), endpoint, method, params] {
     const auto result =
-        self->client_.Call(*endpoint, method, params, kCallPatience);
+        self->client_.Call(*endpoint, method, params, kCallTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
-      // An idle connection that leads nowhere must not be used again.
+      // Idle connections to an unreachable address must not be reused.
       self->client_.DropIdle(*endpoint);
     }
   });
--- a/src/plugins/control/directory_driver.cc
+++ b/src/plugins/control/directory_driver.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr Duration kPeerPatience = Milliseconds(800);
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kGossipTimeout = Milliseconds(800);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
 
 routing::TargetState ToRoutingState(const membership::TargetView& view) {
   if (view.offer != membership::Offer::kNo) {
@@ -31,12 +31,13 @@
   }
 }
 
-// `has_better`: some target that is fully offered serves the same. A target of
-// last resort has a small weight beside it; where there is none the weight
-// stays, or an entry that hears no heartbeats would believe in no room at all
-// and refuse what its targets could run.
+// `has_offered_alternative`: a fully offered target serves one of the same
+// services. A target of last resort gets a small weight beside it. Without such
+// an alternative it keeps its weight: otherwise an entry that receives no
+// heartbeats would assume that there is no capacity at all and refuse requests
+// that its targets could run.
 routing::TargetView ToRoutingView(const membership::TargetView& view,
-                                  bool has_better) {
+                                  bool has_offered_alternative) {
   constexpr double kLastResortWeight = 0.05;
   const membership::Announcement& description = *view.announcement;
   routing::TargetView target;
@@ -51,7 +52,7 @@
   target.load.limit = view.load.limit;
   target.load.age = view.load.age;
   target.group_weight = view.share;
-  if (view.offer == membership::Offer::kLastResort && has_better) {
+  if (view.offer == membership::Offer::kLastResort && has_offered_alternative) {
     target.group_weight = std::min(view.share, kLastResortWeight);
   }
   return target;
@@ -86,8 +87,8 @@
     Handle(membership::DirectoryTick{});
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        directory_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        directory_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
@@ -95,13 +96,13 @@
     const membership::DirectoryEvent& event) {
   std::optional<membership::AnnounceReply> reply;
   for (const auto& action : directory_.Handle(event, SteadyNow())) {
-    Carry(action, &reply);
+    Execute(action, &reply);
   }
   return reply;
 }
 
-void DirectoryDriver::Carry(const membership::DirectoryAction& action,
-                            std::optional<membership::AnnounceReply>* reply) {
+void DirectoryDriver::Execute(const membership::DirectoryAction& action,
+                              std::optional<membership::AnnounceReply>* reply) {
   std::visit(
       Overloaded{[&](const membership::ReplyToAgent& answer) {
                    *reply = answer.reply;
@@ -138,7 +139,7 @@
   }
   loop_.Spawn([this, endpoint, params = membership::ToJson(send.message)] {
     const auto result =
-        client_.Call(*endpoint, "membership.gossip", params, kPeerPatience);
+        client_.Call(*endpoint, "membership.gossip", params, kGossipTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
@@ -178,11 +179,11 @@
 
 TargetsUpdate DirectoryDriver::MakeTargetsUpdate(TimePoint now) const {
   const std::vector<membership::TargetView> views = directory_.targets(now);
-  std::set<ServiceId> offered;
+  std::set<ServiceId> offered_services;
   for (const membership::TargetView& view : views) {
     if (view.offer == membership::Offer::kYes) {
-      offered.insert(view.announcement->services.begin(),
-                     view.announcement->services.end());
+      offered_services.insert(view.announcement->services.begin(),
+                              view.announcement->services.end());
     }
   }
   TargetsUpdate update;
@@ -196,12 +197,13 @@
       continue;
     }
     const auto& services = view.announcement->services;
-    const bool has_better = std::any_of(services.begin(), services.end(),
-                                        [&offered](const ServiceId& service) {
-                                          return offered.contains(service);
-                                        });
-    update.targets.push_back({ToRoutingView(view, has_better), *agent,
-                              view.announcement->claim.incarnation});
+    const bool has_offered_alternative =
+        std::any_of(services.begin(), services.end(),
+                    [&offered_services](const ServiceId& service) {
+                      return offered_services.contains(service);
+                    });
+    update.targets.push_back({ToRoutingView(view, has_offered_alternative),
+                              *agent, view.announcement->claim.incarnation});
   }
   return update;
 }
--- a/src/plugins/control/group_driver.h
+++ b/src/plugins/control/group_driver.h
@@ -9,7 +9,7 @@
 #include <optional>
 
 #include "libs/links/link_server.h"
-#include "plugins/control/group_run.h"
+#include "plugins/control/controlled_group.h"
 
 namespace bilberryspool::control {
 
@@ -21,12 +21,12 @@
               ConfigService& config,
               GroupDriverOptions options);
 
-  // Registers the statuses of ranks.
+  // Registers the methods for rank statuses, expert counts and group reports.
   void Register(links::LinkServer& server);
   void Start();
 
-  // What the controllers of the groups, here or elsewhere, have told last.
-  const std::map<GroupId, HeardGroupReport>& reports() const {
+  // The latest report of each group's controller, on this entry or another.
+  const std::map<GroupId, ReceivedGroupReport>& reports() const {
     return reports_;
   }
 
@@ -34,12 +34,12 @@
   using Json = boost::json::value;
 
   void Run();
-  // Makes `runs_` those of the declared groups.
+  // Adds and removes controllers to match the declared groups.
   void Reconcile();
-  void DropAll();
-  // Tells all entries how the groups are.
-  void SpreadReports(TimePoint now);
-  void Take(const GroupReport& report);
+  void CloseAll();
+  // Sends the reports of the groups controlled here to all entries.
+  void BroadcastReports(TimePoint now);
+  void StoreReport(const GroupReport& report);
   std::optional<Json> OnReport(const Json& params);
   std::optional<Json> OnStatus(const Json& params);
   std::optional<Json> OnCounts(const Json& params);
@@ -48,9 +48,9 @@
   links::LinkClient& client_;
   ConfigService& config_;
   GroupDriverOptions options_;
-  std::map<GroupId, std::shared_ptr<GroupRun>> runs_;
-  std::map<GroupId, HeardGroupReport> reports_;
-  TimePoint next_reports_;
+  std::map<GroupId, std::shared_ptr<ControlledGroup>> controlled_groups_;
+  std::map<GroupId, ReceivedGroupReport> reports_;
+  TimePoint next_reports_at_;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/ledger_file.cc
+++ b/src/plugins/control/ledger_file.cc
@@ -13,42 +13,42 @@
 
 namespace {
 
-constexpr char kName[] = "holder";
-constexpr char kTemporaryName[] = "holder.new";
+constexpr char kFileName[] = "holder";
+constexpr char kTemporaryFileName[] = "holder.new";
 
 }  // namespace
 
-storage::Result<std::string> LedgerFile::ReadIfThere() {
+storage::Result<std::string> LedgerFile::ReadIfExists() {
   BOOST_LEAF_AUTO(names, files_.List(folder_));
-  const bool is_there =
-      std::find(names.begin(), names.end(), kName) != names.end();
-  if (!is_there) {
+  const bool exists =
+      std::find(names.begin(), names.end(), kFileName) != names.end();
+  if (!exists) {
     return std::string();
   }
-  return files_.Read(folder_ + "/" + kName);
+  return files_.Read(folder_ + "/" + kFileName);
 }
 
-storage::Result<LedgerStart> LedgerFile::Begin() {
-  BOOST_LEAF_AUTO(text, ReadIfThere());
-  LedgerStart start;
+storage::Result<RecoveredLedger> LedgerFile::ReadAndClear() {
+  BOOST_LEAF_AUTO(text, ReadIfExists());
+  RecoveredLedger recovered;
   boost::system::error_code error;
   const json::value value = json::parse(text, error);
   const auto* object = error ? nullptr : value.if_object();
   const auto* number =
       object != nullptr ? object->if_contains("incarnation") : nullptr;
   if (number != nullptr && number->is_int64()) {
-    start.incarnation =
+    recovered.incarnation =
         Incarnation(static_cast<std::uint64_t>(number->as_int64()) + 1);
   }
   const auto* ledger =
       object != nullptr ? object->if_contains("ledger") : nullptr;
   if (ledger != nullptr) {
-    start.ledger = attempts::LedgerFromJson(*ledger);
+    recovered.ledger = attempts::LedgerFromJson(*ledger);
   }
-  incarnation_ = start.incarnation;
+  incarnation_ = recovered.incarnation;
   BOOST_LEAF_CHECK(Write(
       json::serialize(json::object{{"incarnation", incarnation_.value()}})));
-  return start;
+  return recovered;
 }
 
 storage::Result<void> LedgerFile::Store(const attempts::LedgerExport& ledger) {
@@ -58,15 +58,15 @@
 }
 
 storage::Result<void> LedgerFile::Write(const std::string& text) {
-  const std::string temporary = folder_ + "/" + kTemporaryName;
+  const std::string temporary = folder_ + "/" + kTemporaryFileName;
   {
     BOOST_LEAF_AUTO(file, files_.OpenAppend(temporary));
-    // An earlier crash may have left a part of another text there.
+    // An earlier crash may have left an incomplete file.
     BOOST_LEAF_CHECK(files_.Truncate(temporary, 0));
     BOOST_LEAF_CHECK(file->Append(text));
     BOOST_LEAF_CHECK(file->Sync());
   }
-  BOOST_LEAF_CHECK(files_.Rename(temporary, folder_ + "/" + kName));
+  BOOST_LEAF_CHECK(files_.Rename(temporary, folder_ + "/" + kFileName));
   return files_.SyncFolder(folder_);
 }
 
--- a/src/plugins/control/recent_reports.h
+++ b/src/plugins/control/recent_reports.h
@@ -1,4 +1,4 @@
-// The last routing decisions and request outcomes, for operators.
+// The latest routing decisions and request outcomes, for operators.
 
 #ifndef PLUGINS_CONTROL_RECENT_REPORTS_H_
 #define PLUGINS_CONTROL_RECENT_REPORTS_H_
@@ -14,22 +14,22 @@
 
 namespace bilberryspool::control {
 
-// Bounded: the oldest go first.
+// Bounded: the oldest reports are dropped first.
 class RecentReports {
  public:
-  static constexpr std::size_t kReasonsPerService = 5;
-  static constexpr std::size_t kRequests = 2000;
+  static constexpr std::size_t kMaxReasonsPerService = 5;
+  static constexpr std::size_t kMaxRequests = 2000;
 
   void Add(CallerReport report);
 
   // Newest first.
   std::vector<std::string> reasons(const ServiceId& service) const;
-  std::optional<std::string> trail(const RequestId& request) const;
+  std::optional<std::string> outcome(const RequestId& request) const;
 
  private:
   std::map<ServiceId, std::deque<std::string>> reasons_;
-  std::unordered_map<RequestId, std::string> trails_;
-  std::deque<RequestId> order_;
+  std::unordered_map<RequestId, std::string> outcomes_;
+  std::deque<RequestId> insertion_order_;
 };
 
 }  // namespace bilberryspool::control
--- a/src/plugins/control/replica_driver.cc
+++ b/src/plugins/control/replica_driver.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration kSendPatience = Milliseconds(500);
-constexpr Duration kLongestPause = Milliseconds(100);
-constexpr Duration kTransferPatience = Seconds(2);
+constexpr Duration kSendTimeout = Milliseconds(500);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
+constexpr Duration kTransferTimeout = Seconds(2);
 
 std::string_view RoleName(consensus::Role role) {
   switch (role) {
@@ -40,27 +40,28 @@
                              consensus::ReplicaOptions options,
                              std::uint64_t seed,
                              ReplicaHooks hooks,
-                             SnapshotPolicy snapshots)
+                             SnapshotPolicy snapshot_policy)
     : loop_(loop),
       client_(client),
       hooks_(std::move(hooks)),
       log_("replica"),
       replica_(folder->recovered(), std::move(options), seed),
-      snapshots_(snapshots),
+      snapshot_policy_(snapshot_policy),
       disk_(
           std::move(folder),
           [this](consensus::PersistTicket ticket) {
             loop_.Post([this, ticket] {
               unsynced_.erase(unsynced_.begin(), unsynced_.upper_bound(ticket));
               Handle(consensus::Persisted{ticket});
-              PumpDisk();
+              FlushBacklog();
             });
           },
           [this](const std::string& what) {
             loop_.Post([this, what] {
               has_failed_ = true;
-              log_.Error("The data folder failed; this replica is out.",
-                         {{"error", what}});
+              log_.Error(
+                  "The data folder failed; this replica stops until a restart.",
+                  {{"error", what}});
             });
           }) {}
 
@@ -76,20 +77,20 @@
 void ReplicaDriver::Run() {
   while (!has_failed_) {
     Handle(consensus::Tick{});
-    PumpDisk();
+    FlushBacklog();
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        replica_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        replica_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
 void ReplicaDriver::Stop() {
   if (is_leader(SteadyNow())) {
     Handle(consensus::TransferLeadership{});
-    const TimePoint limit = SteadyNow() + kTransferPatience;
+    const TimePoint limit = SteadyNow() + kTransferTimeout;
     while (is_leader(SteadyNow()) && SteadyNow() < limit) {
-      loop_.SleepFor(kLongestPause);
+      loop_.SleepFor(kMaxTickInterval);
     }
   }
   has_failed_ = true;
@@ -106,11 +107,11 @@
     return;
   }
   for (const consensus::Action& action : replica_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void ReplicaDriver::Carry(const consensus::Action& action) {
+void ReplicaDriver::Execute(const consensus::Action& action) {
   std::visit(
       Overloaded{
           [this](const consensus::Send& send) { Send(send); },
@@ -129,15 +130,15 @@
             hooks_.restore(*restore.snapshot);
           },
           [this](const consensus::ProposalOutcome& outcome) {
-            const auto found = waiters_.find(outcome.ticket);
-            if (found != waiters_.end()) {
+            const auto found = proposal_waiters_.find(outcome.ticket);
+            if (found != proposal_waiters_.end()) {
               found->second->result = outcome.result;
               found->second->signal.NotifyAll();
             }
           },
           [this](const consensus::ReadOutcome& outcome) {
-            const auto found = reads_.find(outcome.ticket);
-            if (found != reads_.end()) {
+            const auto found = read_waiters_.find(outcome.ticket);
+            if (found != read_waiters_.end()) {
               found->second->is_current =
                   std::holds_alternative<consensus::ReadAt>(outcome.result);
               found->second->signal.NotifyAll();
@@ -168,7 +169,7 @@
   }
   loop_.Spawn([this, endpoint, params = consensus::ToJson(send.message)] {
     const auto result =
-        client_.Call(*endpoint, "consensus.message", params, kSendPatience);
+        client_.Call(*endpoint, "consensus.message", params, kSendTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
@@ -177,12 +178,12 @@
 
 void ReplicaDriver::Write(DiskJob job) {
   backlog_.push_back(std::move(job));
-  PumpDisk();
+  FlushBacklog();
 }
 
-// The order of the jobs is what makes them safe, so one that finds the ring
-// full waits here and all after it behind it.
-void ReplicaDriver::PumpDisk() {
+// Jobs must be written in order to be safe. So a job that finds the ring full
+// waits in the backlog, with all later jobs behind it.
+void ReplicaDriver::FlushBacklog() {
   while (!backlog_.empty() && disk_.TryPush(std::move(backlog_.front()))) {
     backlog_.pop_front();
   }
@@ -195,60 +196,62 @@
     bytes_since_snapshot_ += consensus::SizeOf(entry);
   }
   const bool is_due =
-      applied.value() >= last_snapshot_.value() + snapshots_.entries ||
-      bytes_since_snapshot_ >= snapshots_.bytes;
+      applied.value() >= last_snapshot_.value() + snapshot_policy_.entries ||
+      bytes_since_snapshot_ >= snapshot_policy_.bytes;
   if (!is_due) {
     return;
   }
   last_snapshot_ = applied;
   bytes_since_snapshot_ = 0;
-  // After the present event, whose further actions come first.
+  // Posted, as the remaining actions of the current event come first.
   loop_.Post([this, applied, data = hooks_.make_snapshot()] {
     Handle(consensus::SnapshotTaken{applied, data});
   });
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Propose(std::string bytes,
-                                                            Duration patience) {
+                                                            Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::Propose{ticket, std::move(bytes)}, patience);
+  return AwaitOutcome(ticket, consensus::Propose{ticket, std::move(bytes)},
+                      timeout);
 }
 
 std::optional<ReplicaDriver::Result> ReplicaDriver::Change(
     const consensus::MembershipChange& change,
-    Duration patience) {
+    Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
-  return Wait(ticket, consensus::ChangeMembership{ticket, change}, patience);
+  return AwaitOutcome(ticket, consensus::ChangeMembership{ticket, change},
+                      timeout);
 }
 
-std::optional<ReplicaDriver::Result> ReplicaDriver::Wait(
+std::optional<ReplicaDriver::Result> ReplicaDriver::AwaitOutcome(
     consensus::RequestTicket ticket,
     const consensus::Event& event,
-    Duration patience) {
+    Duration timeout) {
   auto waiter = std::make_shared<Waiter>();
-  waiters_[ticket] = waiter;
-  const TimePoint deadline = SteadyNow() + patience;
+  proposal_waiters_[ticket] = waiter;
+  const TimePoint deadline = SteadyNow() + timeout;
   Handle(event);
   while (!waiter->result.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
   }
-  waiters_.erase(ticket);
+  proposal_waiters_.erase(ticket);
   return waiter->result;
 }
 
-bool ReplicaDriver::WaitUntilCurrent(Duration patience) {
+bool ReplicaDriver::WaitUntilCurrent(Duration timeout) {
   const consensus::RequestTicket ticket(last_ticket_.value() + 1);
   last_ticket_ = ticket;
   auto waiter = std::make_shared<ReadWaiter>();
-  reads_[ticket] = waiter;
-  const TimePoint deadline = SteadyNow() + patience;
+  read_waiters_[ticket] = waiter;
+  const TimePoint deadline = SteadyNow() + timeout;
   Handle(consensus::ReadBarrier{ticket});
   while (!waiter->is_current.has_value() && SteadyNow() < deadline) {
     waiter->signal.WaitUntil(deadline);
   }
-  reads_.erase(ticket);
+  read_waiters_.erase(ticket);
   return waiter->is_current.value_or(false);
 }
 
@@ -256,7 +259,7 @@
   Handle(consensus::PeersLearned{std::move(peers)});
 }
 
-void ReplicaDriver::HandOver() {
+void ReplicaDriver::TransferLeadership() {
   Handle(consensus::TransferLeadership{});
 }
 
--- a/src/plugins/control_node/replica_host.cc
+++ b/src/plugins/control_node/replica_host.cc
@@ -169,7 +169,7 @@
   if (driver_->is_leader(now) && driver_->disk_lag(now) > kDiskStallTimeout) {
     log_.Warn("Handing over: the disk does not answer.",
               {{"waited_ms", driver_->disk_lag(now).count() / 1000}});
-    driver_->HandOver();
+    driver_->TransferLeadership();
   }
 }
 
--- a/src/plugins/entry/entry_process.cc
+++ b/src/plugins/entry/entry_process.cc
@@ -36,7 +36,7 @@
                                     return callers.TakeFeed(std::move(feed));
                                   });
   callers.SetReporter([&control](control::CallerReport&& report) {
-    control.TakeReport(std::move(report));
+    control.EnqueueReport(std::move(report));
   });
   std::unique_ptr<operators::OperatorsServer> operators;
   control.SetOperators(
@@ -70,7 +70,7 @@
     if (spans.has_value()) {
       spans->Stop();
     }
-    // Fibers that wait for peers end with the process.
+    // Exits without waiting for fibers that still wait for peers.
     std::_Exit(0);
   });
   return 0;
--- a/src/plugins/operators/offering.cc
+++ b/src/plugins/operators/effective_offer.cc
@@ -1,4 +1,4 @@
-#include "plugins/operators/offering.h"
+#include "plugins/operators/effective_offer.h"
 
 #include "libs/config/target_selector.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::optional<std::string> DrainedBy(
+std::optional<std::string> FindDrain(
     const membership::Announcement& announcement,
     const config::Configuration& configuration) {
   const auto& drains = configuration.table<config::DrainSpec>();
@@ -25,15 +25,16 @@
 
 }  // namespace
 
-Offering OfferingOf(const membership::TargetView& view,
-                    const config::Configuration& configuration) {
-  const std::string heard = membership::ToString(view.reason);
-  const auto drained = DrainedBy(*view.announcement, configuration);
+EffectiveOffer EffectiveOfferOf(const membership::TargetView& view,
+                                const config::Configuration& configuration) {
+  const std::string liveness_reason = membership::ToString(view.reason);
+  const auto drained = FindDrain(*view.announcement, configuration);
   if (!drained.has_value()) {
-    return {view.offer, heard, std::nullopt};
+    return {view.offer, liveness_reason, std::nullopt};
   }
-  const std::string reason =
-      view.offer == membership::Offer::kNo ? "drained, " + heard : "drained";
+  const std::string reason = view.offer == membership::Offer::kNo
+                                 ? "drained, " + liveness_reason
+                                 : "drained";
   return {membership::Offer::kNo, reason, drained};
 }
 
--- a/src/plugins/operators/explanations.cc
+++ b/src/plugins/operators/explanations.cc
@@ -8,8 +8,8 @@
 #include "libs/base/overloaded.h"
 #include "libs/config/key_text.h"
 #include "libs/language/config_answers.h"
+#include "plugins/operators/effective_offer.h"
 #include "plugins/operators/live_tables.h"
-#include "plugins/operators/offering.h"
 #include "plugins/operators/placement_match.h"
 #include "plugins/operators/text.h"
 
@@ -35,7 +35,7 @@
   return views;
 }
 
-void ExplainHearing(const TargetView& view, std::vector<std::string>& notes) {
+void ExplainLiveness(const TargetView& view, std::vector<std::string>& notes) {
   const std::string by = view.direct ? "this entry"
                                      : (view.last_seen_by.value().empty()
                                             ? std::string("nobody yet")
@@ -71,17 +71,19 @@
     return;
   }
   answer.table = TargetsTable({*view}, control.configuration());
-  const Offering offering = OfferingOf(*view, control.configuration());
-  answer.notes.push_back(OfferText(offering.offer) + offering.reason);
+  const EffectiveOffer effective_offer =
+      EffectiveOfferOf(*view, control.configuration());
+  answer.notes.push_back(OfferText(effective_offer.offer) +
+                         effective_offer.reason);
   if (view->share < 1) {
     answer.notes.push_back(
         "gets " + std::to_string(static_cast<int>(view->share * kPercent)) +
         " % of its usual work while its failure domain ramps up");
   }
-  if (offering.drained_by.has_value()) {
-    answer.notes.push_back("drained as " + *offering.drained_by);
+  if (effective_offer.drained_by.has_value()) {
+    answer.notes.push_back("drained as " + *effective_offer.drained_by);
   }
-  ExplainHearing(*view, answer.notes);
+  ExplainLiveness(*view, answer.notes);
 }
 
 void ExplainService(const ServiceId& service,
@@ -128,7 +130,7 @@
                   std::to_string(report.map.value()) + " at ranks" + ranks +
                   ", " + std::to_string(report.pending_fetches) +
                   " fetches pending, told " +
-                  SecondsText(now - found->second.heard) + " ago");
+                  SecondsText(now - found->second.received_at) + " ago");
   if (!report.decision.empty()) {
     notes.push_back("last decision on placement: " + report.decision);
   }
@@ -177,11 +179,11 @@
 
 Answer AnswerRequest(const RequestId& request,
                      const control::OperatorControl& control) {
-  const auto trail = control.request_trail(request);
+  const auto outcome = control.request_outcome(request);
   return {AnswerStatus::kDone,
           std::nullopt,
-          {trail.has_value()
-               ? "request " + request.value() + ": " + *trail
+          {outcome.has_value()
+               ? "request " + request.value() + ": " + *outcome
                : "this entry knows nothing of request " + request.value() +
                      "; ask the entry that its caller used"}};
 }
--- a/src/plugins/operators/live_tables.cc
+++ b/src/plugins/operators/live_tables.cc
@@ -7,7 +7,7 @@
 #include "libs/config/target_selector.h"
 #include "libs/language/config_answers.h"
 #include "libs/language/filter.h"
-#include "plugins/operators/offering.h"
+#include "plugins/operators/effective_offer.h"
 #include "plugins/operators/placement_match.h"
 #include "plugins/operators/text.h"
 
@@ -24,7 +24,7 @@
   return number;
 }
 
-const char* OfferWord(membership::Offer offer) {
+const char* OfferName(membership::Offer offer) {
   switch (offer) {
     case membership::Offer::kYes:
       return "yes";
@@ -38,10 +38,10 @@
 
 bool IsOffered(const membership::TargetView& view,
                const config::Configuration& configuration) {
-  return OfferingOf(view, configuration).offer == membership::Offer::kYes;
+  return EffectiveOfferOf(view, configuration).offer == membership::Offer::kYes;
 }
 
-// What one failure domain adds up to.
+// Totals of one failure domain.
 struct DomainSums {
   std::uint64_t targets = 0;
   std::uint64_t offered = 0;
@@ -67,7 +67,7 @@
     if (sums.contains(domain)) {
       continue;
     }
-    // Its targets aren't known one by one here.
+    // This entry knows only the summary of that domain, not its targets.
     DomainSums& sum = sums[domain];
     sum.targets = row.summary.targets;
     for (const membership::ServiceSummary& service : row.summary.services) {
@@ -114,12 +114,12 @@
   return table;
 }
 
-// Adds to each declared service how many targets may serve it, and how many of
-// them are offered now.
-void AddServing(const membership::Directory& directory,
-                const config::Configuration& configuration,
-                TimePoint now,
-                AnswerTable& table) {
+// Adds to each declared service the number of targets that may serve it, and of
+// those that are offered now.
+void AddServingCounts(const membership::Directory& directory,
+                      const config::Configuration& configuration,
+                      TimePoint now,
+                      AnswerTable& table) {
   const std::vector<membership::TargetView> views = directory.targets(now);
   table.columns.insert(table.columns.end(), {"targets", "offered"});
   std::size_t row = 0;
@@ -139,7 +139,7 @@
   }
 }
 
-// Adds to each declared group how it is, by its controller's last word.
+// Adds to each declared group its state by the latest report of its controller.
 void AddGroupStates(const control::OperatorControl& control,
                     TimePoint now,
                     AnswerTable& table) {
@@ -162,7 +162,7 @@
     cells.insert(cells.end(),
                  {report.map.value(), report.state, report.why,
                   Number(report.ranks.size()), report.pending_fetches,
-                  RoundedSeconds(now - found->second.heard)});
+                  RoundedSeconds(now - found->second.received_at)});
   }
 }
 
@@ -173,8 +173,8 @@
          std::to_string(status.applied_index);
 }
 
-// Says what the answer stands for. A cut-off entry shows the last it heard, so
-// its age goes with it.
+// Says which version the answer is based on, and its age: an entry that is cut
+// off answers from the last configuration that it received.
 std::string AsOfNote(const control::OperatorControl& control, TimePoint now) {
   const std::uint64_t version = control.configuration().version().value();
   if (version == 0) {
@@ -207,7 +207,7 @@
     return std::nullopt;
   }
   if (subject == Subject::kServices) {
-    AddServing(control.directory(), configuration, now, *declared->table);
+    AddServingCounts(control.directory(), configuration, now, *declared->table);
   }
   if (subject == Subject::kGroups) {
     AddGroupStates(control, now, *declared->table);
@@ -225,16 +225,17 @@
       {}};
   for (const membership::TargetView& view : views) {
     const membership::Announcement& announcement = *view.announcement;
-    const Offering offering = OfferingOf(view, configuration);
-    const bool heard = !view.last_seen_by.value().empty();
+    const EffectiveOffer effective_offer =
+        EffectiveOfferOf(view, configuration);
+    const bool is_known = !view.last_seen_by.value().empty();
     table.rows.push_back(
         {announcement.target.value(), announcement.domain.value(),
-         JoinIds(announcement.services), std::string(OfferWord(offering.offer)),
-         offering.reason, offering.drained_by.value_or("-"),
-         Number(view.load.running), Number(view.load.queued),
-         Number(announcement.slots), RoundedSeconds(view.load.age),
-         RoundedSeconds(view.last_seen_age),
-         heard ? view.last_seen_by.value() : "-"});
+         JoinIds(announcement.services),
+         std::string(OfferName(effective_offer.offer)), effective_offer.reason,
+         effective_offer.drained_by.value_or("-"), Number(view.load.running),
+         Number(view.load.queued), Number(announcement.slots),
+         RoundedSeconds(view.load.age), RoundedSeconds(view.last_seen_age),
+         is_known ? view.last_seen_by.value() : "-"});
   }
   return table;
 }
@@ -250,9 +251,9 @@
     return answer;
   }
   answer.notes.push_back(AsOfNote(control, now));
-  const bool asks_of_replicas = statement.subject == Subject::kMembers ||
-                                statement.subject == Subject::kVersion;
-  if (asks_of_replicas) {
+  const bool concerns_replicas = statement.subject == Subject::kMembers ||
+                                 statement.subject == Subject::kVersion;
+  if (concerns_replicas) {
     answer.notes.push_back(ReplicaNote(status));
   }
   return answer;
--- a/src/plugins/operators/operators_server.cc
+++ b/src/plugins/operators/operators_server.cc
@@ -30,7 +30,7 @@
 
 constexpr std::size_t kMaxBodyBytes = 128UL * 1024;
 constexpr std::size_t kMaxConnections = 64;
-constexpr std::size_t kLoggedBytes = 512;
+constexpr std::size_t kMaxLoggedBytes = 512;
 
 struct LogLevelWord {
   std::string_view word;
@@ -76,7 +76,7 @@
   exchange.Respond(std::move(head), text + "\n");
 }
 
-// A field that must be a number where it is there at all.
+// Reads an optional field; returns false if it is present but not a number.
 template <typename Id>
 bool ReadNumber(const net::HttpHeaders& headers,
                 std::string_view name,
@@ -117,7 +117,8 @@
   void HandleLogLevel(net::HttpExchange& exchange);
   void HandleStatus(net::HttpExchange& exchange);
   void Respond(net::HttpExchange& exchange, const StatementResult& result);
-  void Note(const StatementRequest& request, const StatementResult& result);
+  void LogStatement(const StatementRequest& request,
+                    const StatementResult& result);
 
   net::NetworkLoop& loop;
   const settings::EntrySettings& settings;
@@ -146,8 +147,8 @@
   const Route routes[] = {{"/statement", "POST", &Private::HandleStatement},
                           {"/log-level", "POST", &Private::HandleLogLevel},
                           {"/status", "GET", &Private::HandleStatus}};
-  if (!credential->IsShownBy(exchange.request())) {
-    log.Warn("Refused an operator without the credential.",
+  if (!credential->Authorizes(exchange.request())) {
+    log.Warn("Refused an operator's request without the credential.",
              {{"peer", exchange.peer_address()}});
     RespondText(exchange, net::status::kUnauthorized,
                 "the operators' credential is missing or wrong: "
@@ -186,18 +187,19 @@
                     std::string(kIssuedAfterHeader) + " are numbers");
     return;
   }
-  const auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
-  request.is_abandoned = [left] { return *left; };
+  const auto caller_disconnected = std::make_shared<bool>(false);
+  exchange.WatchCaller([caller_disconnected] { *caller_disconnected = true; });
+  request.is_abandoned = [caller_disconnected] { return *caller_disconnected; };
   const StatementResult result = runner.Run(request);
-  Note(request, result);
+  LogStatement(request, result);
   Respond(exchange, result);
 }
 
-// A record of who changed what; questions only show at the level of debugging.
-void OperatorsServer::Private::Note(const StatementRequest& request,
-                                    const StatementResult& result) {
-  const std::string text = request.text.substr(0, kLoggedBytes);
+// Logs who changed what; statements that change nothing are logged at debug
+// level only.
+void OperatorsServer::Private::LogStatement(const StatementRequest& request,
+                                            const StatementResult& result) {
+  const std::string text = request.text.substr(0, kMaxLoggedBytes);
   const std::string answer =
       result.answer.notes.empty() ? "" : result.answer.notes.front();
   if (!result.command_id.has_value()) {
--- a/src/plugins/operators/statement_runner.cc
+++ b/src/plugins/operators/statement_runner.cc
@@ -27,8 +27,9 @@
   return {{AnswerStatus::kInvalid, std::nullopt, {std::move(note)}}};
 }
 
-// What a change is answered that the replicas didn't decide.
-StatementResult Failed(const ControlFailure& failure, const CommandId& id) {
+// The answer to a change for which the control replicas gave no outcome.
+StatementResult ChangeFailed(const ControlFailure& failure,
+                             const CommandId& id) {
   StatementResult result;
   result.command_id = id;
   result.failure = failure.kind;
@@ -44,8 +45,8 @@
   return result;
 }
 
-// What a question is answered that the replicas didn't answer.
-StatementResult Unanswered(const ControlFailure& failure) {
+// The answer to any other statement if the control replicas gave no answer.
+StatementResult QueryFailed(const ControlFailure& failure) {
   const std::string detail =
       failure.detail.empty() ? "" : " (" + failure.detail + ")";
   return {{AnswerStatus::kRefused,
@@ -74,14 +75,14 @@
 config::Command StatementRunner::MakeCommand(
     const language::ChangeStatement& statement,
     const StatementRequest& request) const {
-  const bool names_id = statement.id.has_value() || request.command_id;
+  const bool has_explicit_id = statement.id.has_value() || request.command_id;
   const CommandId fallback =
       request.command_id
           ? *request.command_id
-          : (names_id ? CommandId() : environment_.make_command_id());
+          : (has_explicit_id ? CommandId() : environment_.make_command_id());
   std::optional<LogIndex> issued_after = request.issued_after;
-  if (!issued_after.has_value() && !names_id) {
-    // An id made here was never sent before.
+  if (!issued_after.has_value() && !has_explicit_id) {
+    // The command has a new id, so it was never sent before.
     issued_after = AppliedIndex(control_, environment_.now());
   }
   config::Command command = language::ToCommand(
@@ -103,9 +104,9 @@
     return Invalid(
         "a command id has 1 to 128 letters, digits or \". _ - / :\"");
   }
-  const auto proposed = control_.Propose(command, kPatience);
+  const auto proposed = control_.Propose(command, kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&proposed)) {
-    return Failed(*failure, command.id);
+    return ChangeFailed(*failure, command.id);
   }
   const auto& outcome = std::get<config::Outcome>(proposed);
   StatementResult result{language::AnswerOutcome(outcome), command.id,
@@ -117,21 +118,21 @@
 }
 
 void StatementRunner::AddCoverage(ConfigVersion version, Answer& answer) {
-  // How long an accepted change waits to be in force everywhere before its
-  // answer says how far it is.
+  // Maximum time to wait until an accepted change is in force on all nodes;
+  // then the answer says on how many of them it is.
   constexpr Duration kCoverageWait = Seconds(1);
   const TimePoint end = environment_.now() + kCoverageWait;
-  auto covered = control_.CoverageOf(version, kCoveragePatience);
+  auto coverage_result = control_.CoverageOf(version, kCoverageTimeout);
   while (true) {
-    const auto* coverage = std::get_if<spread::Coverage>(&covered);
-    const bool is_open = coverage != nullptr && !coverage->complete();
-    if (!is_open || environment_.now() >= end) {
+    const auto* coverage = std::get_if<spread::Coverage>(&coverage_result);
+    const bool is_incomplete = coverage != nullptr && !coverage->complete();
+    if (!is_incomplete || environment_.now() >= end) {
       break;
     }
     environment_.sleep(kPollInterval);
-    covered = control_.CoverageOf(version, kCoveragePatience);
+    coverage_result = control_.CoverageOf(version, kCoverageTimeout);
   }
-  if (const auto* failure = std::get_if<ControlFailure>(&covered)) {
+  if (const auto* failure = std::get_if<ControlFailure>(&coverage_result)) {
     answer.notes.push_back(
         "how far it is in force isn't known yet" +
         (failure->detail.empty() ? std::string()
@@ -139,7 +140,7 @@
         "; ask: wait version " + std::to_string(version.value()));
     return;
   }
-  const auto& coverage = std::get<spread::Coverage>(covered);
+  const auto& coverage = std::get<spread::Coverage>(coverage_result);
   answer.notes.front() += ", " + InForceText(coverage);
   AddLacking(coverage, answer);
 }
@@ -147,18 +148,19 @@
 StatementResult StatementRunner::Execute(
     const language::PlanStatement& statement,
     const StatementRequest& request) {
-  StatementRequest asked = request;
-  if (!config::IsValidName(asked.operator_id.value())) {
-    asked.operator_id = config::OperatorId("plan");
+  StatementRequest plan_request = request;
+  if (!config::IsValidName(plan_request.operator_id.value())) {
+    plan_request.operator_id = config::OperatorId("plan");
   }
-  // An id of its own: a plan under the id of an earlier command would be
-  // answered with that command's outcome.
-  asked.command_id = environment_.make_command_id();
+  // Always a new id: a plan with the id of an earlier command would be answered
+  // with that command's outcome.
+  plan_request.command_id = environment_.make_command_id();
   language::ChangeStatement change = statement.change;
   change.id.reset();
-  const auto planned = control_.Plan(MakeCommand(change, asked), kPatience);
+  const auto planned =
+      control_.Plan(MakeCommand(change, plan_request), kOutcomeTimeout);
   if (const auto* failure = std::get_if<ControlFailure>(&planned)) {
-    return Unanswered(*failure);
+    return QueryFailed(*failure);
   }
   return {language::AnswerPlan(std::get<config::PlanResult>(planned))};
 }
@@ -173,25 +175,24 @@
   }
   const TimePoint end = environment_.now() + statement.timeout;
   while (true) {
-    const auto covered =
-        control_.CoverageOf(statement.version, kCoveragePatience);
-    const auto* coverage = std::get_if<spread::Coverage>(&covered);
-    // A replica that just began to lead has no reports yet: "on 0 of 0" says
-    // nothing.
+    const auto coverage_result =
+        control_.CoverageOf(statement.version, kCoverageTimeout);
+    const auto* coverage = std::get_if<spread::Coverage>(&coverage_result);
+    // A new leader has no reports yet: "on 0 of 0 nodes" is no information.
     const bool is_known = coverage != nullptr && coverage->nodes > 0;
     if (is_known && coverage->complete()) {
-      return {AnswerReached(statement.version, *coverage)};
+      return {AnswerInForce(statement.version, *coverage)};
     }
     const bool abandoned = request.is_abandoned && request.is_abandoned();
-    const Duration left = end - environment_.now();
-    if (left > Duration(0) && !abandoned) {
-      environment_.sleep(std::min(left, kPollInterval));
+    const Duration remaining = end - environment_.now();
+    if (remaining > Duration(0) && !abandoned) {
+      environment_.sleep(std::min(remaining, kPollInterval));
       continue;
     }
     if (coverage == nullptr) {
-      return Unanswered(std::get<ControlFailure>(covered));
+      return QueryFailed(std::get<ControlFailure>(coverage_result));
     }
-    return {AnswerNotReached(statement.version, *coverage, statement.timeout)};
+    return {AnswerNotInForce(statement.version, *coverage, statement.timeout)};
   }
 }
 
--- a/src/plugins/query/query_client.cc
+++ b/src/plugins/query/query_client.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-ExitCode CodeOf(int http_status) {
+ExitCode ExitCodeOf(int http_status) {
   if (http_status == net::status::kOk) {
     return ExitCode::kDone;
   }
@@ -23,39 +23,40 @@
                                                  : ExitCode::kRefused;
 }
 
-// An entry that can't answer now, though another may.
-bool IsPassing(int http_status) {
+// Whether an entry can't answer now, while another one may.
+bool IsTransient(int http_status) {
   return http_status == net::status::kTooManyRequests ||
          http_status == net::status::kUnavailable ||
          http_status == net::status::kGatewayTimeout;
 }
 
-// What the client must know of a statement to send it rightly.
-struct Reading {
-  // True also for a text that only a newer entry may understand.
+// Properties of a statement that determine how the client sends it.
+struct StatementTraits {
+  // True also for a text that can't be parsed, as a newer entry may understand
+  // it.
   bool may_change = true;
-  bool names_id = false;
-  // How long the statement itself asks the entry to wait.
+  bool has_explicit_id = false;
+  // How long the entry may wait before it answers, as the statement says.
   Duration wait{};
 };
 
-Reading Read(const std::string& statement) {
+StatementTraits InspectStatement(const std::string& statement) {
   const auto parsed = language::ParseStatement(statement);
   const auto* known = std::get_if<Statement>(&parsed);
   if (known == nullptr) {
     return {};
   }
-  Reading reading;
+  StatementTraits traits;
   const auto* change = std::get_if<language::ChangeStatement>(known);
-  reading.may_change = change != nullptr;
-  reading.names_id = change != nullptr && change->id.has_value();
+  traits.may_change = change != nullptr;
+  traits.has_explicit_id = change != nullptr && change->id.has_value();
   if (const auto* wait = std::get_if<language::WaitStatement>(known)) {
-    reading.wait = wait->timeout;
+    traits.wait = wait->timeout;
   }
-  return reading;
+  return traits;
 }
 
-// The sentence that an answer begins with, as text or as JSON.
+// The first sentence of an answer, which is text or JSON.
 std::string FirstSentence(const std::string& body) {
   const auto answer = language::AnswerFromJson(body);
   if (answer.has_value() && !answer->notes.empty()) {
@@ -66,11 +67,11 @@
 
 }  // namespace
 
-struct QueryClient::Try {
+struct QueryClient::Attempt {
   std::optional<QueryResult> result;
   std::string error;
   // True where the statement may have reached the control replicas.
-  bool is_uncertain = false;
+  bool is_outcome_unknown = false;
 };
 
 QueryClient::QueryClient(net::NetworkLoop& loop, QueryOptions options)
@@ -90,9 +91,10 @@
     headers.Add(std::string(operators::kReadVersionHeader),
                 std::to_string(options_.read_version->value()));
   }
-  // A statement that names its id may be an old one given again: then this is
-  // not the index of its first time.
-  if (applied_index_.has_value() && !Read(statement).names_id) {
+  // A statement that names its id may be a resend of an old one. The header
+  // would need the index at the first send, which is not known.
+  if (applied_index_.has_value() &&
+      !InspectStatement(statement).has_explicit_id) {
     headers.Add(std::string(operators::kIssuedAfterHeader), *applied_index_);
   }
   if (options_.json) {
@@ -101,65 +103,68 @@
   return request;
 }
 
-QueryResult QueryClient::Ask(const std::string& statement,
-                             const CommandId& id) {
+QueryResult QueryClient::Execute(const std::string& statement,
+                                 const CommandId& id) {
   const net::HttpRequest request = MakeRequest(statement, id);
-  const Reading reading = Read(statement);
-  const Duration patience = options_.patience + reading.wait;
+  const StatementTraits traits = InspectStatement(statement);
+  const Duration answer_timeout = options_.answer_timeout + traits.wait;
   const std::size_t count = options_.entries.size();
-  bool is_uncertain = false;
+  bool is_outcome_unknown = false;
   std::string error = "no address was given";
-  for (std::size_t i = 0; i < options_.rounds * count; ++i) {
+  for (std::size_t i = 0; i < options_.max_rounds * count; ++i) {
     if (i > 0 && i % count == 0) {
-      loop_.SleepFor(options_.pause);
+      loop_.SleepFor(options_.retry_delay);
     }
-    const std::size_t place = (first_ + i) % count;
-    Try tried = TryOnce(options_.entries[place], request, patience);
-    if (tried.result.has_value()) {
-      first_ = place;
-      return std::move(*tried.result);
+    const std::size_t entry_index = (preferred_entry_ + i) % count;
+    Attempt attempt =
+        SendOnce(options_.entries[entry_index], request, answer_timeout);
+    if (attempt.result.has_value()) {
+      preferred_entry_ = entry_index;
+      return std::move(*attempt.result);
     }
-    is_uncertain = is_uncertain || tried.is_uncertain;
-    error = options_.entries[place].ToString() + ": " + tried.error;
+    is_outcome_unknown = is_outcome_unknown || attempt.is_outcome_unknown;
+    error = options_.entries[entry_index].ToString() + ": " + attempt.error;
   }
-  return GiveUp(error, is_uncertain && reading.may_change,
-                reading.names_id ? std::nullopt : std::make_optional(id));
+  return MakeUnreachableResult(
+      error, is_outcome_unknown && traits.may_change,
+      traits.has_explicit_id ? std::nullopt : std::make_optional(id));
 }
 
-QueryClient::Try QueryClient::TryOnce(const net::Endpoint& entry,
-                                      const net::HttpRequest& request,
-                                      Duration patience) {
-  const auto sent = client_.Send(entry, request, patience);
+QueryClient::Attempt QueryClient::SendOnce(const net::Endpoint& entry,
+                                           const net::HttpRequest& request,
+                                           Duration answer_timeout) {
+  const auto sent = client_.Send(entry, request, answer_timeout);
   if (const auto* error = std::get_if<net::HttpError>(&sent)) {
     return {std::nullopt, error->text,
             error->kind != net::HttpErrorKind::kConnect};
   }
   const auto& response = std::get<net::HttpResponse>(sent);
   const int status = response.head.status;
-  if (IsPassing(status)) {
+  if (IsTransient(status)) {
     return {std::nullopt, FirstSentence(response.body),
             status == net::status::kGatewayTimeout};
   }
-  NoteIndex(response);
+  RecordAppliedIndex(response);
   std::string text = response.body;
   if (!text.empty() && text.back() != '\n') {
     text += "\n";
   }
-  return {QueryResult{CodeOf(status), std::move(text)}, "", false};
+  return {QueryResult{ExitCodeOf(status), std::move(text)}, "", false};
 }
 
-void QueryClient::NoteIndex(const net::HttpResponse& response) {
+void QueryClient::RecordAppliedIndex(const net::HttpResponse& response) {
   const auto index = response.head.headers.Find(operators::kAppliedIndexHeader);
   if (index.has_value()) {
     applied_index_ = std::string(*index);
   }
 }
 
-QueryResult QueryClient::GiveUp(const std::string& last_error,
-                                bool is_uncertain,
-                                const std::optional<CommandId>& id) const {
+QueryResult QueryClient::MakeUnreachableResult(
+    const std::string& last_error,
+    bool is_outcome_unknown,
+    const std::optional<CommandId>& id) const {
   language::Answer answer;
-  if (is_uncertain) {
+  if (is_outcome_unknown) {
     answer.status = language::AnswerStatus::kUnknown;
     const std::string how =
         id.has_value() ? ", with --command_id=" + id->value() +
--- a/src/plugins/spreading/spread_driver.cc
+++ b/src/plugins/spreading/spread_driver.cc
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr Duration kSendPatience = Milliseconds(500);
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kSendTimeout = Milliseconds(500);
+constexpr Duration kMaxTickInterval = Milliseconds(100);
 constexpr Duration kTopologyInterval = Milliseconds(500);
 
 }  // namespace
@@ -33,12 +33,13 @@
       hooks_(std::move(hooks)),
       log_("spread") {}
 
-// A message travels with the address of its sender.
+// Decodes a message and records the address of its sender, which is sent with
+// it.
 template <typename Message>
 std::optional<boost::json::value> SpreadDriver::OnMessage(
     const Json& params,
-    std::optional<Message> (*read)(const Json&),
-    const std::function<void(Message)>& take) {
+    std::optional<Message> (*parse)(const Json&),
+    const std::function<void(Message)>& on_message) {
   const auto* object = params.if_object();
   const auto* address =
       object != nullptr ? object->if_contains("address") : nullptr;
@@ -47,13 +48,13 @@
   if (address == nullptr || !address->is_string() || body == nullptr) {
     return std::nullopt;
   }
-  auto message = read(*body);
+  auto message = parse(*body);
   const auto endpoint = net::ParseEndpoint(std::string(address->as_string()));
   if (!message.has_value() || !endpoint.has_value()) {
     return std::nullopt;
   }
   senders_[message->sender.node] = *endpoint;
-  take(std::move(*message));
+  on_message(std::move(*message));
   return Json(true);
 }
 
@@ -84,32 +85,32 @@
 
 void SpreadDriver::Run() {
   while (true) {
-    if (SteadyNow() - topology_at_ >= kTopologyInterval) {
-      topology_at_ = SteadyNow();
+    if (SteadyNow() - topology_refreshed_at_ >= kTopologyInterval) {
+      topology_refreshed_at_ = SteadyNow();
       Handle(hooks_.topology());
     }
     Handle(spread::SpreaderTick{});
     const TimePoint now = SteadyNow();
     const TimePoint due =
-        spreader_.next_deadline().value_or(now + kLongestPause);
-    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kLongestPause));
+        spreader_.next_deadline().value_or(now + kMaxTickInterval);
+    loop_.SleepFor(std::clamp(due - now, Milliseconds(1), kMaxTickInterval));
   }
 }
 
 void SpreadDriver::Handle(const spread::SpreaderEvent& event) {
   for (const auto& action : spreader_.Handle(event, SteadyNow())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void SpreadDriver::Carry(const spread::SpreaderAction& action) {
+void SpreadDriver::Execute(const spread::SpreaderAction& action) {
   std::visit(
       Overloaded{[this](const spread::SendDelta& send) {
                    Send(send.to, "spread.delta", spread::ToJson(send.message));
                  },
                  [this](const spread::SendFull& send) {
                    spread::FullMessage message = send.message;
-                   message.at = point();
+                   message.at = applied_point();
                    message.bytes = config::ToBytes(applied_.configuration());
                    Send(send.to, "spread.full", spread::ToJson(message));
                  },
@@ -119,9 +120,10 @@
                  [this](const spread::ApplySteps& apply) { ApplySteps(apply); },
                  [this](const spread::ApplyFull& apply) { ApplyFull(apply); },
                  [this](const spread::ReportDivergence& divergence) {
-                   log_.Error("One version with two contents.",
-                              {{"other", divergence.other.value()},
-                               {"version", divergence.here.version.value()}});
+                   log_.Error(
+                       "Two nodes have different contents for one version.",
+                       {{"other", divergence.other.value()},
+                        {"version", divergence.here.version.value()}});
                  }},
       action);
 }
@@ -140,8 +142,7 @@
   Json envelope =
       json::object{{"address", hooks_.own_address}, {"message", params}};
   loop_.Spawn([this, endpoint, method, envelope = std::move(envelope)] {
-    const auto result =
-        client_.Call(*endpoint, method, envelope, kSendPatience);
+    const auto result = client_.Call(*endpoint, method, envelope, kSendTimeout);
     if (std::holds_alternative<links::LinkError>(result)) {
       client_.DropIdle(*endpoint);
     }
@@ -152,45 +153,45 @@
   for (const spread::DeltaStep& step : apply.steps) {
     const auto delta = config::DeltaFromBytes(step.bytes);
     if (!delta.has_value()) {
-      Report(config::ApplyResult::kDiverged);
+      ReportApplyResult(config::ApplyResult::kDiverged);
       return;
     }
     const config::ApplyResult result = applied_.Apply(*delta);
     const bool is_in_force = result == config::ApplyResult::kApplied ||
                              result == config::ApplyResult::kStale;
     if (!is_in_force) {
-      Report(result);
+      ReportApplyResult(result);
       return;
     }
   }
-  Report(config::ApplyResult::kApplied);
+  ReportApplyResult(config::ApplyResult::kApplied);
 }
 
 void SpreadDriver::ApplyFull(const spread::ApplyFull& apply) {
   const auto state = config::ConfigurationFromBytes(apply.bytes);
-  Report(state.has_value() ? applied_.Replace(*state)
-                           : config::ApplyResult::kDiverged);
+  ReportApplyResult(state.has_value() ? applied_.Replace(*state)
+                                      : config::ApplyResult::kDiverged);
 }
 
-void SpreadDriver::Report(config::ApplyResult result) {
+void SpreadDriver::ReportApplyResult(config::ApplyResult result) {
   const bool is_in_force = result == config::ApplyResult::kApplied ||
                            result == config::ApplyResult::kStale;
   if (!is_in_force) {
-    log_.Warn("A configuration did not fit.",
+    log_.Warn("Failed to apply a received configuration.",
               {{"result", static_cast<int>(result)}});
     Handle(spread::ApplyFailed{});
     return;
   }
-  Handle(spread::Applied{point()});
+  Handle(spread::Applied{applied_point()});
   hooks_.in_force_changed();
 }
 
-spread::ConfigPoint SpreadDriver::point() const {
+spread::ConfigPoint SpreadDriver::applied_point() const {
   return {applied_.version(), applied_.configuration().digest().value()};
 }
 
-void SpreadDriver::TakeStep(const config::Delta& delta,
-                            config::Digest from_digest) {
+void SpreadDriver::ApplyCommittedStep(const config::Delta& delta,
+                                      config::Digest from_digest) {
   applied_.Apply(delta);
   spread::DeltaStep step;
   step.from = {delta.from, from_digest.value()};
@@ -200,9 +201,9 @@
   hooks_.in_force_changed();
 }
 
-void SpreadDriver::TakeState(const config::Configuration& state) {
+void SpreadDriver::ApplyCommittedState(const config::Configuration& state) {
   applied_.Replace(state);
-  Handle(spread::StateAdopted{point()});
+  Handle(spread::StateAdopted{applied_point()});
   hooks_.in_force_changed();
 }
 
--- a/tests/auto/operators/fake_operator_control.h
+++ b/tests/auto/operators/fake_operator_control.h
@@ -8,12 +8,12 @@
 
 namespace bilberryspool::operators {
 
-// One replica that is the whole group, with failures to order.
+// A control group of one replica, with failures that tests can inject.
 class FakeOperatorControl : public control::OperatorControl {
  public:
   struct Failure {
     control::ControlFailure failure;
-    // The change takes effect all the same: only its answer is lost.
+    // The change takes effect; only its answer is lost.
     bool takes_effect = false;
   };
 
@@ -21,14 +21,14 @@
 
   std::variant<config::Outcome, control::ControlFailure> Propose(
       const config::Command& command,
-      Duration patience) override;
+      Duration timeout) override;
   std::variant<config::PlanResult, control::ControlFailure> Plan(
       const config::Command& command,
-      Duration patience) override;
-  // Takes the first of `coverages` away unless it is the last.
+      Duration timeout) override;
+  // Returns the first of `coverages`, and removes it unless it is the last.
   std::variant<spread::Coverage, control::ControlFailure> CoverageOf(
       ConfigVersion version,
-      Duration patience) override;
+      Duration timeout) override;
   const config::Configuration& configuration() const override {
     return machine.configuration();
   }
@@ -37,19 +37,20 @@
   }
   const membership::Directory& directory() const override { return targets; }
   control::ReplicaStatus replica_status(TimePoint) const override;
-  std::map<GroupId, control::HeardGroupReport> group_reports() const override {
+  std::map<GroupId, control::ReceivedGroupReport> group_reports()
+      const override {
     return reports;
   }
   std::vector<std::string> routing_reasons(
       const ServiceId& service) const override;
-  std::optional<std::string> request_trail(
+  std::optional<std::string> request_outcome(
       const RequestId& request) const override;
 
   void Announce(const char* target, const char* domain, TimePoint now);
 
   config::StateMachine machine;
   membership::Directory targets;
-  std::map<GroupId, control::HeardGroupReport> reports;
+  std::map<GroupId, control::ReceivedGroupReport> reports;
   std::deque<Failure> failures;
   std::deque<std::variant<spread::Coverage, control::ControlFailure>> coverages;
   std::vector<config::Command> proposed;
--- a/tests/auto/operators/page_test.cc
+++ b/tests/auto/operators/page_test.cc
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-#include "auto/operators/runner_world.h"
+#include "auto/operators/runner_fixture.h"
 
 namespace bilberryspool::operators {
 namespace {
@@ -19,37 +19,40 @@
   return line.substr(0, line.find_last_not_of(' ') + 1);
 }
 
-// What happens behind an operator's back before some of the page's statements.
-std::map<std::string, std::function<void(RunnerWorld&)>> Events() {
+// Changes by others and failures that precede some statements of the page.
+std::map<std::string, std::function<void(RunnerFixture&)>> Events() {
   using control::ControlFailureKind;
   const spread::Coverage partial{
       9, 7, {NodeId("agent-7")}, {FailureDomain("abdali")}};
   return {
       {"drain target t2 at version 2",
-       [](RunnerWorld& world) {
-         world.Run("declare workspace dairy weight 2", "c-81", "lee");
+       [](RunnerFixture& fixture) {
+         fixture.Run("declare workspace dairy weight 2", "c-81", "lee");
        }},
       {"undrain target t1 as \"ops-7\"",
-       [](RunnerWorld& world) {
-         world.control.failures = {{{ControlFailureKind::kUnknown,
-                                     "the leader went away before it answered"},
-                                    true}};
+       [](RunnerFixture& fixture) {
+         fixture.control.failures = {
+             {{ControlFailureKind::kUnknown,
+               "the leader went away before it answered"},
+              true}};
        }},
       {"declare priority urgent level 10",
-       [](RunnerWorld& world) {
-         world.control.failures = {
+       [](RunnerFixture& fixture) {
+         fixture.control.failures = {
              {{ControlFailureKind::kNoLeader, "entry-2 and entry-3 are silent"},
               false}};
        }},
       {"set dedupe-window-s 900",
-       [partial](RunnerWorld& world) { world.control.coverages = {partial}; }},
+       [partial](RunnerFixture& fixture) {
+         fixture.control.coverages = {partial};
+       }},
   };
 }
 
-// Runs the statements of the page in their order and returns it with the
-// answers they give.
-std::string Replayed(const std::string& page) {
-  RunnerWorld world;
+// Runs the statements of the page in order. Returns the page with the answers
+// that they give.
+std::string ReplayPage(const std::string& page) {
+  RunnerFixture fixture;
   auto events = Events();
   std::istringstream in(page);
   std::ostringstream out;
@@ -67,11 +70,11 @@
     }
     in_answer = true;
     const std::string statement = line.substr(std::size(kPrompt) - 1);
-    // Once each: a resend on the page is answered.
+    // Each event happens once, so a resend on the page is answered.
     if (const auto event = events.extract(statement)) {
-      event.mapped()(world);
+      event.mapped()(fixture);
     }
-    std::istringstream answer(world.TextOf(statement));
+    std::istringstream answer(fixture.TextOf(statement));
     for (std::string part; std::getline(answer, part);) {
       out << kIndent << WithoutTrailingBlanks(part) << "\n";
     }
@@ -79,12 +82,12 @@
   return out.str();
 }
 
-// Symptom: an operator on call trusts an example that the program no longer
-// answers so. Cause: the page was written by hand.
-TEST_CASE("the examples of the page give the answers that stand there") {
+// Guards against examples on the operators' page that differ from what the
+// program answers, as the page is written by hand.
+TEST_CASE("the examples of the page give the answers shown there") {
   std::stringstream page;
   page << std::ifstream(OPERATORS_PAGE).rdbuf();
-  const std::string replayed = Replayed(page.str());
+  const std::string replayed = ReplayPage(page.str());
   if (std::getenv("BILBERRYSPOOL_WRITE_PAGE") != nullptr) {
     std::ofstream(OPERATORS_PAGE) << replayed;
     return;
--- a/tests/auto/operators/runner_world.h
+++ b/tests/auto/operators/runner_fixture.h
@@ -1,5 +1,5 @@
-#ifndef AUTO_OPERATORS_RUNNER_WORLD_H_
-#define AUTO_OPERATORS_RUNNER_WORLD_H_
+#ifndef AUTO_OPERATORS_RUNNER_FIXTURE_H_
+#define AUTO_OPERATORS_RUNNER_FIXTURE_H_
 
 #include <string>
 
@@ -8,10 +8,10 @@
 
 namespace bilberryspool::operators {
 
-// A runner over a fake control, with a clock that only sleeping moves. Two
+// A runner with a fake control and a clock that only sleeping advances. Two
 // targets, t1 in sahab and t2 in marka, may serve the service drafter.
-struct RunnerWorld {
-  RunnerWorld();
+struct RunnerFixture {
+  RunnerFixture();
 
   StatementResult Run(const std::string& text,
                       const char* id = nullptr,
@@ -19,11 +19,11 @@
   std::string TextOf(const std::string& text);
 
   TimePoint now = TimeAt(Seconds(100));
-  int made = 0;
+  int ids_made = 0;
   FakeOperatorControl control;
   StatementRunner runner;
 };
 
 }  // namespace bilberryspool::operators
 
-#endif  // AUTO_OPERATORS_RUNNER_WORLD_H_
+#endif  // AUTO_OPERATORS_RUNNER_FIXTURE_H_
--- a/tests/auto/query/prompt_test.cc
+++ b/tests/auto/query/prompt_test.cc
@@ -7,11 +7,11 @@
 namespace bilberryspool::query {
 namespace {
 
-TEST_CASE("lines at the prompt") {
+TEST_CASE("the prompt runs statements and its own commands") {
   struct Row {
     const char* input;
-    std::vector<std::string> asked;
-    // Stands in the output.
+    std::vector<std::string> executed;
+    // The output contains this.
     const char* text;
   };
   const Row rows[] = {
@@ -29,9 +29,9 @@
       {"nonsense ?\n", {}, "no word is known"},
   };
   for (const Row& row : rows) {
-    std::vector<std::string> asked;
-    Prompt prompt([&asked](const std::string& statement) {
-      asked.push_back(statement);
+    std::vector<std::string> executed;
+    Prompt prompt([&executed](const std::string& statement) {
+      executed.push_back(statement);
       return QueryResult{ExitCode::kRefused, "answer\n"};
     });
     std::istringstream in(row.input);
@@ -39,8 +39,8 @@
     const ExitCode code = prompt.Run(in, out);
     CAPTURE(row.input);
     CAPTURE(out.str());
-    CHECK(code == (asked.empty() ? ExitCode::kDone : ExitCode::kRefused));
-    CHECK(asked == row.asked);
+    CHECK(code == (executed.empty() ? ExitCode::kDone : ExitCode::kRefused));
+    CHECK(executed == row.executed);
     CHECK(out.str().find(row.text) != std::string::npos);
   }
 }
--- a/tests/auto/query/query_client_test.cc
+++ b/tests/auto/query/query_client_test.cc
@@ -13,10 +13,10 @@
 namespace bilberryspool::query {
 namespace {
 
-constexpr int kLost = 0;
+constexpr int kConnectionLost = 0;
 
-// An entry that answers with these statuses in turn; kLost breaks the
-// connection off after the request arrived.
+// An entry that answers with these statuses in turn; for kConnectionLost it
+// closes the connection after the request has arrived.
 struct FakeEntry {
   FakeEntry(net::NetworkLoop& loop, std::deque<int> to_answer)
       : answers(std::move(to_answer)),
@@ -39,7 +39,7 @@
     answers.pop_front();
     net::HttpResponseHead head;
     head.headers.Add("Bilberryspool-Applied-Index", "41");
-    if (status == kLost) {
+    if (status == kConnectionLost) {
       exchange.BeginStream(std::move(head));
       exchange.AbortStream();
       return;
@@ -62,8 +62,8 @@
   QueryOptions options;
   options.credential = "secret";
   options.operator_name = "kim";
-  options.pause = Duration(0);
-  options.rounds = 2;
+  options.retry_delay = Duration(0);
+  options.max_rounds = 2;
   return options;
 }
 
@@ -73,7 +73,7 @@
   thread.join();
 }
 
-TEST_CASE("what the entries answer decides code and text") {
+TEST_CASE("exit code and text follow from the answers of the entries") {
   struct Row {
     const char* what;
     std::deque<int> first;
@@ -94,7 +94,7 @@
        ExitCode::kDone,
        "answer 200"},
       {"lost, then found",
-       {kLost},
+       {kConnectionLost},
        {200},
        "drain target t1",
        ExitCode::kDone,
@@ -106,13 +106,13 @@
        ExitCode::kUnreachable,
        "not done"},
       {"lost, and nobody has a leader",
-       {kLost, 503},
+       {kConnectionLost, 503},
        {503, 503},
        "drain target t1",
        ExitCode::kUnreachable,
        "--command_id=c-1 or with as \"c-1\" at its end"},
       {"lost, with an id of its own",
-       {kLost, 503},
+       {kConnectionLost, 503},
        {503, 503},
        "drain target t1 as \"c-9\"",
        ExitCode::kUnreachable,
@@ -124,8 +124,8 @@
        ExitCode::kUnreachable,
        "may or may not"},
       {"a question lost has no effect",
-       {kLost, kLost},
-       {kLost, kLost},
+       {kConnectionLost, kConnectionLost},
+       {kConnectionLost, kConnectionLost},
        "show version",
        ExitCode::kUnreachable,
        "not done"},
@@ -138,7 +138,8 @@
       QueryOptions options = Options();
       options.entries = {first.endpoint(), second.endpoint()};
       QueryClient client(loop, options);
-      const QueryResult result = client.Ask(row.statement, CommandId("c-1"));
+      const QueryResult result =
+          client.Execute(row.statement, CommandId("c-1"));
       CHECK(result.code == row.code);
       CAPTURE(result.text);
       CHECK(result.text.find(row.text) != std::string::npos);
@@ -150,18 +151,18 @@
   }
 }
 
-// Symptom: a drain is carried out twice, the second time after it was taken
-// back. Sequence: the answer is lost, the client sends the statement to another
-// entry as a new command. Cause: the resend has another id.
+// Guards against a drain that is applied twice, the second time after it was
+// undone: its answer is lost, and the client resends the statement to another
+// entry with a new id, so it counts as a new command.
 TEST_CASE("a resend carries the id of the first send") {
   InLoop([](net::NetworkLoop& loop) {
-    FakeEntry first(loop, {kLost, 200});
+    FakeEntry first(loop, {kConnectionLost, 200});
     FakeEntry second(loop, {504});
     QueryOptions options = Options();
     options.read_version = ConfigVersion(7);
     options.entries = {first.endpoint(), second.endpoint()};
     QueryClient client(loop, options);
-    CHECK(client.Ask("drain target t1", CommandId("c-1")).code ==
+    CHECK(client.Execute("drain target t1", CommandId("c-1")).code ==
           ExitCode::kDone);
     for (const auto& [entry, request] :
          {std::pair(&first, 0), std::pair(&second, 0), std::pair(&first, 1)}) {
@@ -175,33 +176,33 @@
   });
 }
 
-// Symptom: an old change is carried out again when it is given again by hand.
-// Sequence: its outcome was forgotten since; the client vouches for it with the
-// index it knows now. Cause: that index isn't the one of its first time.
-TEST_CASE("only a new command is sent with the index known now") {
+// Guards against an old change that is applied again when an operator resends
+// it by hand: its outcome has been discarded since, and the client sends the
+// index that it knows now instead of the one at the first send.
+TEST_CASE("only a new command is sent with the latest applied index") {
   InLoop([](net::NetworkLoop& loop) {
     FakeEntry entry(loop, {200, 200, 200});
     QueryOptions options = Options();
     options.entries = {entry.endpoint()};
     QueryClient client(loop, options);
-    client.Ask("show version", CommandId("c-1"));
-    client.Ask("drain target t1", CommandId("c-2"));
-    client.Ask("drain target t1 as \"c-0\"", CommandId("c-3"));
+    client.Execute("show version", CommandId("c-1"));
+    client.Execute("drain target t1", CommandId("c-2"));
+    client.Execute("drain target t1 as \"c-0\"", CommandId("c-3"));
     CHECK(entry.Field(1, "Bilberryspool-Issued-After") == "41");
     CHECK(entry.Field(2, "Bilberryspool-Issued-After") == "none");
     entry.server.Drain();
   });
 }
 
-TEST_CASE("the entry that answered last is asked first") {
+TEST_CASE("the entry that answered last is tried first") {
   InLoop([](net::NetworkLoop& loop) {
     FakeEntry first(loop, {503});
     FakeEntry second(loop, {200, 200});
     QueryOptions options = Options();
     options.entries = {first.endpoint(), second.endpoint()};
     QueryClient client(loop, options);
-    client.Ask("show version", CommandId("c-1"));
-    client.Ask("show version", CommandId("c-2"));
+    client.Execute("show version", CommandId("c-1"));
+    client.Execute("show version", CommandId("c-2"));
     CHECK(first.requests.size() == 1);
     CHECK(second.requests.size() == 2);
     first.server.Drain();
@@ -209,7 +210,7 @@
   });
 }
 
-TEST_CASE("an entry that is gone is passed over") {
+TEST_CASE("an unreachable entry is skipped") {
   InLoop([](net::NetworkLoop& loop) {
     net::Endpoint gone;
     {
@@ -221,13 +222,16 @@
     QueryOptions options = Options();
     options.entries = {gone, entry.endpoint()};
     QueryClient client(loop, options);
-    CHECK(client.Ask("show version", CommandId("c-1")).code == ExitCode::kDone);
-    CHECK(client.Ask("show version", CommandId("c-2")).code == ExitCode::kDone);
+    CHECK(client.Execute("show version", CommandId("c-1")).code ==
+          ExitCode::kDone);
+    CHECK(client.Execute("show version", CommandId("c-2")).code ==
+          ExitCode::kDone);
     entry.server.Drain();
     options.entries = {gone};
     options.json = true;
-    QueryClient lonely(loop, options);
-    const QueryResult result = lonely.Ask("drain target t1", CommandId("c-3"));
+    QueryClient single_entry_client(loop, options);
+    const QueryResult result =
+        single_entry_client.Execute("drain target t1", CommandId("c-3"));
     CHECK(result.code == ExitCode::kUnreachable);
     CHECK(result.text.find("\"status\":\"refused\"") != std::string::npos);
   });
