--- a/src/libs/config/applied_configuration.cc
+++ b/src/libs/config/applied_configuration.cc
@@ -7,16 +7,16 @@
 #include "libs/base/check.h"
 
 namespace bilberryspool::config {
-void AppliedConfiguration::RaiseFloor(ConfigVersion version) {
-  floor_ = std::max(floor_, version);
+void AppliedConfiguration::RaiseMinVersion(ConfigVersion version) {
+  min_version_ = std::max(min_version_, version);
 }
 
 ApplyResult AppliedConfiguration::Apply(const Delta& delta) {
   if (delta.to <= version()) {
     return ApplyResult::kStale;
   }
-  if (delta.to < floor_) {
-    return ApplyResult::kBelowFloor;
+  if (delta.to < min_version_) {
+    return ApplyResult::kBelowMinVersion;
   }
   if (delta.from != version()) {
     return ApplyResult::kGap;
@@ -45,22 +45,22 @@
   if (full.version() < version()) {
     return ApplyResult::kStale;
   }
-  if (full.version() < floor_) {
-    return ApplyResult::kBelowFloor;
+  if (full.version() < min_version_) {
+    return ApplyResult::kBelowMinVersion;
   }
 #endif
   if (full.version() == version() && !diverged_) {
     diverged_ = full.digest() != configuration_.digest();
     return diverged_ ? ApplyResult::kDiverged : ApplyResult::kStale;
   }
-  TakeForce(full);
+  SetConfiguration(full);
   return ApplyResult::kApplied;
 }
 
-void AppliedConfiguration::TakeForce(Configuration next) {
+void AppliedConfiguration::SetConfiguration(Configuration next) {
   BILBERRYSPOOL_INVARIANT(next.version() >= version(),
                           "a version in force never goes back");
-  BILBERRYSPOOL_INVARIANT(next.version() >= floor_,
+  BILBERRYSPOOL_INVARIANT(next.version() >= min_version_,
                           "nothing below the floor takes force");
   configuration_ = std::move(next);
   diverged_ = false;
--- a/src/libs/config/applied_configuration.h
+++ b/src/libs/config/applied_configuration.h
@@ -24,8 +24,8 @@
   kGap,
   // The digests differ: ask for the full state.
   kDiverged,
-  // Older than a version known to have been in force (see RaiseFloor).
-  kBelowFloor,
+  // Older than a version known to have been in force (see RaiseMinVersion).
+  kBelowMinVersion,
 };
 
 class AppliedConfiguration {
@@ -36,7 +36,7 @@
   // Tells of a version that this node, or the peers it served, had in force
   // before: from its data folder after a restart, or from what peers and agents
   // say. Nothing older takes force; until then the node keeps what it has.
-  void RaiseFloor(ConfigVersion version);
+  void RaiseMinVersion(ConfigVersion version);
 
   ApplyResult Apply(const Delta& delta);
 
@@ -45,15 +45,15 @@
 
   const Configuration& configuration() const { return configuration_; }
   ConfigVersion version() const { return configuration_.version(); }
-  ConfigVersion floor() const { return floor_; }
+  ConfigVersion min_version() const { return min_version_; }
   // True from a digest that differed until a full state came.
   bool diverged() const { return diverged_; }
 
  private:
-  void TakeForce(Configuration next);
+  void SetConfiguration(Configuration next);
 
   Configuration configuration_;
-  ConfigVersion floor_;
+  ConfigVersion min_version_;
   bool diverged_ = false;
 };
 
--- a/src/libs/config/canonical_form.h
+++ b/src/libs/config/canonical_form.h
@@ -111,11 +111,11 @@
   // agree while a deployment is upgraded.
   template <typename Value>
   void AddMembers(const Value& value) {
-    const Value fallback{};
+    const Value defaults{};
     using Members =
         boost::describe::describe_members<Value, boost::describe::mod_public>;
     boost::mp11::mp_for_each<Members>([&](auto member) {
-      if (value.*member.pointer == fallback.*member.pointer) {
+      if (value.*member.pointer == defaults.*member.pointer) {
         return;
       }
       this->Add(std::string(member.name));
--- a/src/libs/config/change_history.cc
+++ b/src/libs/config/change_history.cc
@@ -10,15 +10,15 @@
   BILBERRYSPOOL_INVARIANT(
       records_.empty() || record.version == records_.back().version.Next(),
       "recorded versions follow each other");
-  objects_ += record.updates.size();
+  object_count_ += record.updates.size();
   records_.push_back(std::move(record));
-  while (records_.size() > kCapacity || objects_ > kObjectCapacity) {
-    objects_ -= records_.front().updates.size();
+  while (records_.size() > kCapacity || object_count_ > kObjectCapacity) {
+    object_count_ -= records_.front().updates.size();
     records_.pop_front();
   }
 }
 
-bool ChangeHistory::Reaches(ConfigVersion version, ConfigVersion latest) const {
+bool ChangeHistory::Covers(ConfigVersion version, ConfigVersion latest) const {
   if (version >= latest) {
     return version == latest;
   }
@@ -28,7 +28,7 @@
 std::optional<Delta> ChangeHistory::DeltaFrom(
     ConfigVersion from,
     const Configuration& latest) const {
-  if (!Reaches(from, latest.version())) {
+  if (!Covers(from, latest.version())) {
     return std::nullopt;
   }
   std::vector<ObjectUpdate> updates;
@@ -39,7 +39,8 @@
     updates.insert(updates.end(), record->updates.rbegin(),
                    record->updates.rend());
   }
-  return Delta{from, latest.version(), LatestOfEach(updates), latest.digest()};
+  return Delta{from, latest.version(), LatestUpdatePerObject(updates),
+               latest.digest()};
 }
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/change_history.h
+++ b/src/libs/config/change_history.h
@@ -39,7 +39,7 @@
   void Add(ChangeRecord record);
 
   // Whether each version after `version` is still recorded, given the latest.
-  bool Reaches(ConfigVersion version, ConfigVersion latest) const;
+  bool Covers(ConfigVersion version, ConfigVersion latest) const;
 
   // Brings a node at `from` to `latest`; none where `from` is newer than that
   // or too old.
@@ -52,7 +52,7 @@
 
  private:
   std::deque<ChangeRecord> records_;
-  std::size_t objects_ = 0;
+  std::size_t object_count_ = 0;
 };
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/command_execution.cc
+++ b/src/libs/config/command_execution.cc
@@ -20,85 +20,85 @@
       : command_(command),
         latest_token_(latest_token),
         configuration_(configuration),
-        before_(configuration.version()),
+        base_version_(configuration.version()),
         served_before_(ServedServices(configuration)) {}
 
-  std::variant<Executed, Refused> Run() {
+  std::variant<ExecutionResult, Refused> Run() {
     for (const Change& change : command_.changes) {
-      std::visit([this](const auto& typed) { Do(typed); }, change);
-      if (fault_.has_value()) {
+      std::visit([this](const auto& typed) { ApplyChange(typed); }, change);
+      if (refusal_.has_value()) {
         break;
       }
     }
-    if (!fault_.has_value() && !executed_.updates.empty()) {
-      fault_ = Validate(configuration_);
-      RequireServicesKeepTargets();
+    if (!refusal_.has_value() && !result_.updates.empty()) {
+      refusal_ = Validate(configuration_);
+      RequireNoServiceLosesAllTargets();
     }
-    std::reverse(executed_.undo.begin(), executed_.undo.end());
-    if (fault_.has_value()) {
-      TakeBack();
-      return std::move(*fault_);
+    std::reverse(result_.undo.begin(), result_.undo.end());
+    if (refusal_.has_value()) {
+      RollBack();
+      return std::move(*refusal_);
     }
-    if (!executed_.updates.empty()) {
-      configuration_.set_version(before_.Next());
+    if (!result_.updates.empty()) {
+      configuration_.set_version(base_version_.Next());
     }
-    return std::move(executed_);
+    return std::move(result_);
   }
 
  private:
   void Fail(RefusalReason reason, std::string detail) {
-    if (!fault_.has_value()) {
-      fault_ = Refused{reason, std::move(detail), {}};
+    if (!refusal_.has_value()) {
+      refusal_ = Refused{reason, std::move(detail), {}};
     }
   }
 
-  void TakeBack() {
-    for (const ObjectUpdate& update : executed_.undo) {
+  void RollBack() {
+    for (const ObjectUpdate& update : result_.undo) {
       configuration_.Apply(update);
     }
   }
 
   template <typename Spec>
-  void Put(const Spec& spec) {
+  void PutObject(const Spec& spec) {
     const Spec* present = configuration_.Find<Spec>(spec.key());
     if (present != nullptr && *present == spec) {
       return;
     }
-    Carry(Update<Spec>{
-        spec.key(), Entry<Spec>{spec, before_.Next(), command_.operator_id}});
+    ApplyUpdate(Update<Spec>{spec.key(), Entry<Spec>{spec, base_version_.Next(),
+                                                     command_.operator_id}});
   }
 
   template <typename Spec>
-  void Drop(const typename Spec::Key& key) {
-    Carry(Update<Spec>{key, std::nullopt});
+  void RemoveObject(const typename Spec::Key& key) {
+    ApplyUpdate(Update<Spec>{key, std::nullopt});
   }
 
-  void Carry(const ObjectUpdate& update) {
-    executed_.undo.push_back(configuration_.Apply(update));
-    executed_.updates.push_back(update);
+  void ApplyUpdate(const ObjectUpdate& update) {
+    result_.undo.push_back(configuration_.Apply(update));
+    result_.updates.push_back(update);
   }
 
   template <typename Spec>
-  void Do(const Declare<Spec>& change) {
-    Put(change.spec);
+  void ApplyChange(const Declare<Spec>& change) {
+    PutObject(change.spec);
   }
 
   template <typename Spec>
-  void Do(const Remove<Spec>& change) {
+  void ApplyChange(const Remove<Spec>& change) {
     if (configuration_.Find<Spec>(change.key) == nullptr) {
       Fail(RefusalReason::kUnknownObject,
            "there is no " + ObjectNameOf<Spec>(change.key));
       return;
     }
-    Drop<Spec>(change.key);
+    RemoveObject<Spec>(change.key);
     if constexpr (std::is_same_v<Spec, GroupSpec>) {
       if (configuration_.Find<LeaseSpec>(change.key) != nullptr) {
-        Drop<LeaseSpec>(change.key);
+        RemoveObject<LeaseSpec>(change.key);
       }
     }
   }
 
-  void Do(const ReplaceControlMember& change) {
+  void ApplyChange(const ReplaceControlMember& change) {
     for (const auto& [node, entry] :
          configuration_.table<ControlMemberSpec>()) {
       if (entry.spec.standing != MemberStanding::kVoter) {
@@ -121,12 +121,12 @@
     }
     ControlMemberSpec leaving = *outgoing;
     leaving.standing = MemberStanding::kLeaving;
-    Put(leaving);
-    Put(ControlMemberSpec{change.incoming, change.address, change.domain,
-                          MemberStanding::kLearner});
+    PutObject(leaving);
+    PutObject(ControlMemberSpec{change.incoming, change.address, change.domain,
+                                MemberStanding::kLearner});
   }
 
-  void Do(const CancelReplacement& change) {
+  void ApplyChange(const CancelReplacement& change) {
     const auto* outgoing =
         configuration_.Find<ControlMemberSpec>(change.outgoing);
     if (outgoing == nullptr || outgoing->standing != MemberStanding::kLeaving) {
@@ -136,7 +136,7 @@
     }
     ControlMemberSpec staying = *outgoing;
     staying.standing = MemberStanding::kVoter;
-    Put(staying);
+    PutObject(staying);
     std::vector<NodeId> learners;
     for (const auto& [node, entry] :
          configuration_.table<ControlMemberSpec>()) {
@@ -145,15 +145,15 @@
       }
     }
     for (const NodeId& node : learners) {
-      Drop<ControlMemberSpec>(node);
+      RemoveObject<ControlMemberSpec>(node);
     }
   }
 
-  void Do(const ObserveControlMembers& change) {
+  void ApplyChange(const ObserveControlMembers& change) {
     std::set<NodeId> seen;
     for (const ControlMemberSpec& member : change.members) {
       seen.insert(member.node);
-      Put(member);
+      PutObject(member);
     }
     std::vector<NodeId> gone;
     for (const auto& [node, entry] :
@@ -163,11 +163,11 @@
       }
     }
     for (const NodeId& node : gone) {
-      Drop<ControlMemberSpec>(node);
+      RemoveObject<ControlMemberSpec>(node);
     }
   }
 
-  void Do(const GrantLease& change) {
+  void ApplyChange(const GrantLease& change) {
     const auto* present = configuration_.Find<LeaseSpec>(change.group);
     const FencingToken held =
         present == nullptr ? FencingToken() : present->token;
@@ -179,12 +179,12 @@
       return;
     }
     latest_token_ = latest_token_.Next();
-    executed_.token = latest_token_;
-    Put(LeaseSpec{change.group, change.holder, change.incarnation,
-                  latest_token_});
+    result_.token = latest_token_;
+    PutObject(LeaseSpec{change.group, change.holder, change.incarnation,
+                        latest_token_});
   }
 
-  void Do(const ReleaseLease& change) {
+  void ApplyChange(const ReleaseLease& change) {
     const auto* present = configuration_.Find<LeaseSpec>(change.group);
     if (present == nullptr || present->token != change.token) {
       Fail(RefusalReason::kLeaseTaken,
@@ -193,10 +193,10 @@
     }
     LeaseSpec released = *present;
     released.holder = NodeId();
-    Put(released);
+    PutObject(released);
   }
 
-  void Do(const RecordMap& change) {
+  void ApplyChange(const RecordMap& change) {
     const GroupId& group = change.map.group;
     const auto* lease = configuration_.Find<LeaseSpec>(group);
     if (lease == nullptr || lease->token != change.map.token) {
@@ -211,11 +211,11 @@
                std::to_string(present->version.value()) + " already");
       return;
     }
-    Put(change.map);
+    PutObject(change.map);
   }
 
   // A drain or a denial must not silence a service by accident.
-  void RequireServicesKeepTargets() {
+  void RequireNoServiceLosesAllTargets() {
     const std::set<ServiceId> served = ServedServices(configuration_);
     for (const ServiceId& service : served_before_) {
       if (!served.contains(service) &&
@@ -230,17 +230,17 @@
   const Command& command_;
   FencingToken latest_token_;
   Configuration& configuration_;
-  const ConfigVersion before_;
+  const ConfigVersion base_version_;
   const std::set<ServiceId> served_before_;
-  Executed executed_;
-  std::optional<Refused> fault_;
+  ExecutionResult result_;
+  std::optional<Refused> refusal_;
 };
 
 }  // namespace
 
-std::variant<Executed, Refused> Execute(const Command& command,
-                                        FencingToken latest_token,
-                                        Configuration& configuration) {
+std::variant<ExecutionResult, Refused> Execute(const Command& command,
+                                               FencingToken latest_token,
+                                               Configuration& configuration) {
   return Execution(command, latest_token, configuration).Run();
 }
 
--- a/src/libs/config/command_execution.h
+++ b/src/libs/config/command_execution.h
@@ -12,7 +12,7 @@
 namespace bilberryspool::config::internal {
 
 // What a command did to a configuration; nothing where it found all as asked.
-struct Executed {
+struct ExecutionResult {
   std::vector<ObjectUpdate> updates;
   // The reverse, in the order in which they are to be applied.
   std::vector<ObjectUpdate> undo;
@@ -23,9 +23,9 @@
 // Carries out all changes of `command` on `configuration` and raises its
 // version by one if anything changed; leaves it as it was where one of them
 // fails or the whole doesn't pass the checks.
-std::variant<Executed, Refused> Execute(const Command& command,
-                                        FencingToken latest_token,
-                                        Configuration& configuration);
+std::variant<ExecutionResult, Refused> Execute(const Command& command,
+                                               FencingToken latest_token,
+                                               Configuration& configuration);
 
 // The names of the objects that a change is about.
 std::vector<std::string> TouchedObjects(const Change& change);
--- a/src/libs/config/command_table.cc
+++ b/src/libs/config/command_table.cc
@@ -10,22 +10,24 @@
 #if defined(BILBERRYSPOOL_MUTATION_FORGET_COMMAND_ID)
   return nullptr;
 #endif
-  const auto place = places_.find(id);
-  return place == places_.end() ? nullptr : &records_[place->second - dropped_];
+  const auto position = positions_.find(id);
+  return position == positions_.end()
+             ? nullptr
+             : &records_[position->second - evicted_count_];
 }
 
 void CommandTable::Add(CommandRecord record) {
   const bool added =
-      places_.emplace(record.id, dropped_ + records_.size()).second;
+      positions_.emplace(record.id, evicted_count_ + records_.size()).second;
   BILBERRYSPOOL_INVARIANT(added, "a command id takes effect once");
   records_.push_back(std::move(record));
   if (records_.size() <= kCapacity) {
     return;
   }
   forgotten_up_to_ = records_.front().index;
-  places_.erase(records_.front().id);
+  positions_.erase(records_.front().id);
   records_.pop_front();
-  ++dropped_;
+  ++evicted_count_;
 }
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/command_table.h
+++ b/src/libs/config/command_table.h
@@ -50,8 +50,8 @@
  private:
   std::deque<CommandRecord> records_;
   // Counts the records ever dropped, so that places stay valid.
-  std::size_t dropped_ = 0;
-  std::map<CommandId, std::size_t> places_;
+  std::size_t evicted_count_ = 0;
+  std::map<CommandId, std::size_t> positions_;
   LogIndex forgotten_up_to_;
 };
 
--- a/src/libs/config/configuration.cc
+++ b/src/libs/config/configuration.cc
@@ -20,7 +20,7 @@
   }
   const KnownSetting* known = FindKnownSetting(key);
   BILBERRYSPOOL_INVARIANT(known != nullptr, "a setting that is read is known");
-  return known->fallback;
+  return known->default_value;
 }
 
 ObjectUpdate Configuration::Apply(const ObjectUpdate& update) {
--- a/src/libs/config/delta.cc
+++ b/src/libs/config/delta.cc
@@ -5,7 +5,7 @@
 
 namespace bilberryspool::config {
 
-std::optional<Delta> Join(const std::vector<Delta>& steps) {
+std::optional<Delta> CombineDeltas(const std::vector<Delta>& steps) {
   if (steps.empty()) {
     return std::nullopt;
   }
@@ -19,11 +19,11 @@
     latest_first.insert(latest_first.end(), step->updates.rbegin(),
                         step->updates.rend());
   }
-  return Delta{begin, steps.back().to, LatestOfEach(latest_first),
+  return Delta{begin, steps.back().to, LatestUpdatePerObject(latest_first),
                steps.back().digest};
 }
 
-std::vector<ObjectUpdate> LatestOfEach(
+std::vector<ObjectUpdate> LatestUpdatePerObject(
     const std::vector<ObjectUpdate>& latest_first) {
   std::vector<ObjectUpdate> latest;
   std::set<std::string> seen;
--- a/src/libs/config/delta.h
+++ b/src/libs/config/delta.h
@@ -24,11 +24,11 @@
 
 // One delta for several steps, the oldest first; none where one doesn't begin
 // at the version at which the one before ends.
-std::optional<Delta> Join(const std::vector<Delta>& steps);
+std::optional<Delta> CombineDeltas(const std::vector<Delta>& steps);
 
 // Of updates given from the latest to the earliest, keeps the latest of each
 // object.
-std::vector<ObjectUpdate> LatestOfEach(
+std::vector<ObjectUpdate> LatestUpdatePerObject(
     const std::vector<ObjectUpdate>& latest_first);
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/json_value.h
+++ b/src/libs/config/json_value.h
@@ -225,19 +225,19 @@
       return false;
     }
     std::string type;
-    const Json* named = object->if_contains("type");
+    const Json* type_json = object->if_contains("type");
     const Json* held = object->if_contains("value");
-    if (named == nullptr || held == nullptr || !Read(*named, type)) {
+    if (type_json == nullptr || held == nullptr || !Read(*type_json, type)) {
       return false;
     }
     bool read = false;
-    const auto attempt = [&](auto alternative) {
+    const auto try_alternative = [&](auto alternative) {
       using Held = typename decltype(alternative)::type;
       if (TypeName<Held>::Value() == type) {
         read = Read(*held, value.template emplace<Held>());
       }
     };
-    (attempt(boost::mp11::mp_identity<Values>()), ...);
+    (try_alternative(boost::mp11::mp_identity<Values>()), ...);
     return read;
   }
 
--- a/src/libs/config/setting_spec.h
+++ b/src/libs/config/setting_spec.h
@@ -27,9 +27,9 @@
 // A setting that exists, with its default and its inclusive range.
 struct KnownSetting {
   const char* name;
-  std::uint64_t fallback;
-  std::uint64_t low;
-  std::uint64_t high;
+  std::uint64_t default_value;
+  std::uint64_t min_value;
+  std::uint64_t max_value;
 };
 
 inline constexpr const char* kDedupeWindow = "dedupe-window-s";
--- a/src/libs/config/state_machine.cc
+++ b/src/libs/config/state_machine.cc
@@ -15,12 +15,12 @@
 
 // Outcomes are remembered, so their size is bounded: of the changes that a
 // command collides with the latest are named, and the first objects of each.
-constexpr std::size_t kMaxNamedChanges = 8;
-constexpr std::size_t kMaxNamedObjects = 8;
+constexpr std::size_t kMaxReportedChanges = 8;
+constexpr std::size_t kMaxReportedObjects = 8;
 constexpr std::size_t kMaxDetailLength = 512;
 
 // Fingerprint of what a command asks for; a resend has the same.
-std::uint64_t BodyOf(const Command& command) {
+std::uint64_t BodyFingerprint(const Command& command) {
   Command body = command;
   body.issued_after.reset();
   return internal::FingerprintOf(body);
@@ -42,9 +42,10 @@
 }
 
 // The names of the objects of `record` that the expectation covers.
-std::vector<std::string> Collisions(const ChangeRecord& record,
-                                    CompareScope scope,
-                                    const std::set<std::string>& touched) {
+std::vector<std::string> ConflictingObjects(
+    const ChangeRecord& record,
+    CompareScope scope,
+    const std::set<std::string>& touched) {
   std::vector<std::string> names;
   for (const ObjectUpdate& update : record.updates) {
     std::string name = ObjectName(update);
@@ -54,7 +55,7 @@
     if (!covered) {
       continue;
     }
-    if (names.size() == kMaxNamedObjects) {
+    if (names.size() == kMaxReportedObjects) {
       names.emplace_back("others");
       break;
     }
@@ -83,22 +84,23 @@
   BILBERRYSPOOL_INVARIANT(index > state_.applied_index,
                           "a log entry is applied once and in its order");
   state_.applied_index = index;
-  if (std::optional<Outcome> settled = Settle(command)) {
-    return std::move(*settled);
+  if (std::optional<Outcome> resolved = ResolveWithoutExecution(command)) {
+    return std::move(*resolved);
   }
-  Outcome outcome = Carry(command);
-  state_.commands.Add({command.id, index, BodyOf(command), outcome});
+  Outcome outcome = ExecuteCommand(command);
+  state_.commands.Add({command.id, index, BodyFingerprint(command), outcome});
   return outcome;
 }
 
-std::optional<Outcome> StateMachine::Settle(const Command& command) const {
+std::optional<Outcome> StateMachine::ResolveWithoutExecution(
+    const Command& command) const {
   if (!IsValidName(command.id.value()) ||
       !IsValidName(command.operator_id.value())) {
     return Refused{
         RefusalReason::kMalformed, "a command needs an id and an operator", {}};
   }
   if (const CommandRecord* first = state_.commands.Find(command.id)) {
-    if (first->body == BodyOf(command)) {
+    if (first->body == BodyFingerprint(command)) {
       return first->outcome;
     }
     return Refused{
@@ -116,7 +118,8 @@
   return std::nullopt;
 }
 
-std::optional<Refused> StateMachine::Compare(const Command& command) const {
+std::optional<Refused> StateMachine::CheckExpectation(
+    const Command& command) const {
 #if defined(BILBERRYSPOOL_MUTATION_SKIP_COMPARE)
   return std::nullopt;
 #endif
@@ -129,7 +132,7 @@
   if (read_at > now) {
     return Refused{RefusalReason::kVersionUnknown, at, {}};
   }
-  if (!state_.history.Reaches(read_at, now)) {
+  if (!state_.history.Covers(read_at, now)) {
     return Refused{RefusalReason::kVersionForgotten,
                    at + "; what changed since " +
                        std::to_string(read_at.value()) + " is forgotten",
@@ -140,11 +143,11 @@
   const auto& records = state_.history.records();
   for (auto record = records.rbegin(); record != records.rend(); ++record) {
     if (record->version <= read_at ||
-        refused.changed_since.size() >= kMaxNamedChanges) {
+        refused.changed_since.size() >= kMaxReportedChanges) {
       break;
     }
     std::vector<std::string> names =
-        Collisions(*record, command.expected->scope, touched);
+        ConflictingObjects(*record, command.expected->scope, touched);
     if (names.empty()) {
       continue;
     }
@@ -157,17 +160,18 @@
   return refused;
 }
 
-std::optional<Refused> StateMachine::CheckForm(const Command& command) const {
+std::optional<Refused> StateMachine::CheckPreconditions(
+    const Command& command) const {
   if (command.changes.empty() ||
-      command.changes.size() > kMaxChangesOfCommand) {
+      command.changes.size() > kMaxChangesPerCommand) {
     return Refused{
         RefusalReason::kMalformed, "a command holds 1 to 512 changes", {}};
   }
-  return Compare(command);
+  return CheckExpectation(command);
 }
 
-Outcome StateMachine::Carry(const Command& command) {
-  if (std::optional<Refused> refused = CheckForm(command)) {
+Outcome StateMachine::ExecuteCommand(const Command& command) {
+  if (std::optional<Refused> refused = CheckPreconditions(command)) {
     return std::move(*refused);
   }
   const ConfigVersion before = configuration().version();
@@ -177,7 +181,7 @@
     refused->detail = refused->detail.substr(0, kMaxDetailLength);
     return std::move(*refused);
   }
-  auto& executed = std::get<internal::Executed>(result);
+  auto& executed = std::get<internal::ExecutionResult>(result);
   if (executed.token.has_value()) {
     BILBERRYSPOOL_INVARIANT(*executed.token > state_.latest_token,
                             "a fencing token is granted once");
@@ -193,10 +197,10 @@
 }
 
 PlanResult StateMachine::Plan(const Command& command) const {
-  if (std::optional<Outcome> settled = Settle(command)) {
-    return {std::move(*settled), {}, {}};
+  if (std::optional<Outcome> resolved = ResolveWithoutExecution(command)) {
+    return {std::move(*resolved), {}, {}};
   }
-  if (std::optional<Refused> refused = CheckForm(command)) {
+  if (std::optional<Refused> refused = CheckPreconditions(command)) {
     return {std::move(*refused), {}, {}};
   }
   Configuration trial = configuration();
@@ -205,7 +209,7 @@
     refused->detail = refused->detail.substr(0, kMaxDetailLength);
     return {std::move(*refused), {}, {}};
   }
-  const auto& executed = std::get<internal::Executed>(result);
+  const auto& executed = std::get<internal::ExecutionResult>(result);
   PlanResult plan{
       Accepted{trial.version(), executed.token}, {}, Warnings(trial)};
   auto undo = executed.undo.rbegin();
--- a/src/libs/config/state_machine.h
+++ b/src/libs/config/state_machine.h
@@ -55,7 +55,7 @@
 
 class StateMachine {
  public:
-  static constexpr std::size_t kMaxChangesOfCommand = 512;
+  static constexpr std::size_t kMaxChangesPerCommand = 512;
 
   StateMachine() = default;
   explicit StateMachine(StateMachineState state);
@@ -80,10 +80,10 @@
 
  private:
   // An outcome that is certain before anything is carried out.
-  std::optional<Outcome> Settle(const Command& command) const;
-  std::optional<Refused> CheckForm(const Command& command) const;
-  std::optional<Refused> Compare(const Command& command) const;
-  Outcome Carry(const Command& command);
+  std::optional<Outcome> ResolveWithoutExecution(const Command& command) const;
+  std::optional<Refused> CheckPreconditions(const Command& command) const;
+  std::optional<Refused> CheckExpectation(const Command& command) const;
+  Outcome ExecuteCommand(const Command& command);
 
   StateMachineState state_;
 };
--- a/src/libs/config/validation.cc
+++ b/src/libs/config/validation.cc
@@ -12,12 +12,12 @@
 
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::size_t kMaxTextLength = 256;
-constexpr std::size_t kMaxObjectsOfKind = 20000;
+constexpr std::size_t kMaxObjectsPerKind = 20000;
 constexpr std::uint32_t kMaxWeight = 1000;
 constexpr std::uint32_t kMaxRanks = 1024;
 constexpr std::uint32_t kMaxLayers = 1024;
 constexpr std::uint32_t kMaxExperts = 4096;
-constexpr std::uint32_t kMinutesOfDay = 24 * 60;
+constexpr std::uint32_t kMinutesPerDay = 24 * 60;
 constexpr std::size_t kMaxQuietWindows = 16;
 constexpr std::size_t kMaxControlMembers = 19;
 constexpr double kMaxPolicyWeight = 1e6;
@@ -41,7 +41,7 @@
 
 // The object under check; its text is built only for a fault, since each
 // command has all objects checked.
-struct Subject {
+struct ObjectLabel {
   const char* kind;
   std::string_view name;
 
@@ -58,40 +58,40 @@
 
   std::optional<Refused> Run() {
     configuration_.ForEachTable([this](const auto& table) {
-      if (table.size() > kMaxObjectsOfKind) {
+      if (table.size() > kMaxObjectsPerKind) {
         Fail(RefusalReason::kOutOfRange, "too many objects of one kind");
       }
       for (const auto& [key, entry] : table) {
-        if (fault_.has_value()) {
+        if (refusal_.has_value()) {
           return;
         }
         Check(entry.spec);
       }
     });
     CheckControlMembers();
-    return std::move(fault_);
+    return std::move(refusal_);
   }
 
  private:
   void Fail(RefusalReason reason, std::string detail) {
-    if (!fault_.has_value()) {
-      fault_ = Refused{reason, std::move(detail), {}};
+    if (!refusal_.has_value()) {
+      refusal_ = Refused{reason, std::move(detail), {}};
     }
   }
 
   void Require(bool holds,
                RefusalReason reason,
-               const Subject& who,
+               const ObjectLabel& label,
                const char* what) {
     if (!holds) {
-      Fail(reason, who.Text() + ": " + what);
+      Fail(reason, label.Text() + ": " + what);
     }
   }
 
   template <typename Spec>
-  void RequireObject(const typename Spec::Key& key, const Subject& who) {
+  void RequireObject(const typename Spec::Key& key, const ObjectLabel& label) {
     if (configuration_.Find<Spec>(key) == nullptr) {
-      Fail(RefusalReason::kUnknownObject, who.Text() + " refers to " +
+      Fail(RefusalReason::kUnknownObject, label.Text() + " refers to " +
                                               ObjectNameOf<Spec>(key) +
                                               ", which isn't there");
     }
@@ -107,15 +107,15 @@
 
   // `number` in [low, high].
   void RequireRange(std::uint64_t number,
-                    std::uint64_t low,
-                    std::uint64_t high,
-                    const Subject& who,
+                    std::uint64_t min_value,
+                    std::uint64_t max_value,
+                    const ObjectLabel& label,
                     const char* what) {
-    if (number < low || number > high) {
+    if (number < min_value || number > max_value) {
       Fail(RefusalReason::kOutOfRange,
-           who.Text() + ": " + what + " is " + std::to_string(number) +
-               ", accepted are " + std::to_string(low) + " to " +
-               std::to_string(high));
+           label.Text() + ": " + what + " is " + std::to_string(number) +
+               ", accepted are " + std::to_string(min_value) + " to " +
+               std::to_string(max_value));
     }
   }
 
@@ -129,46 +129,46 @@
   }
 
   void Check(const ServiceSpec& service) {
-    const Subject who{"service", service.id.value()};
+    const ObjectLabel label{"service", service.id.value()};
     RequireName(service.id.value());
     Require(service.deadline > Duration(0) && service.deadline <= kMaxDeadline,
-            RefusalReason::kOutOfRange, who,
+            RefusalReason::kOutOfRange, label,
             "the deadline must be above 0 and at most one hour");
     if (service.kind == ServiceKind::kEngine) {
-      Require(service.path_prefix.empty(), RefusalReason::kConflict, who,
+      Require(service.path_prefix.empty(), RefusalReason::kConflict, label,
               "only a plain service has a path");
       return;
     }
     Require(service.path_prefix.size() > 1 &&
                 service.path_prefix.front() == '/' &&
                 IsValidText(service.path_prefix),
-            RefusalReason::kMalformed, who,
+            RefusalReason::kMalformed, label,
             "a plain service needs a path that begins with /");
     const auto taken = paths_.emplace(service.path_prefix, service.id);
     if (!taken.second) {
       Fail(RefusalReason::kConflict,
-           who.Text() + ": the path " + service.path_prefix +
+           label.Text() + ": the path " + service.path_prefix +
                " is that of service " + taken.first->second.value());
     }
   }
 
   void Check(const WorkspaceSpec& workspace) {
-    const Subject who{"workspace", workspace.id.value()};
+    const ObjectLabel label{"workspace", workspace.id.value()};
     RequireName(workspace.id.value());
-    RequireRange(workspace.weight, 1, kMaxWeight, who, "weight");
+    RequireRange(workspace.weight, 1, kMaxWeight, label, "weight");
     for (const auto& limit :
          {workspace.requests_per_second, workspace.concurrent_requests,
           workspace.tokens_per_second}) {
-      Require(limit != 0U, RefusalReason::kOutOfRange, who,
+      Require(limit != 0U, RefusalReason::kOutOfRange, label,
               "a limit of 0 would refuse everything");
     }
     if (workspace.default_priority.has_value()) {
-      RequireObject<PrioritySpec>(*workspace.default_priority, who);
+      RequireObject<PrioritySpec>(*workspace.default_priority, label);
     }
     if (workspace.credential_hash.has_value()) {
       Require(!workspace.credential_hash->empty() &&
                   IsValidText(*workspace.credential_hash),
-              RefusalReason::kMalformed, who, "not a credential hash");
+              RefusalReason::kMalformed, label, "not a credential hash");
     }
   }
 
@@ -183,49 +183,49 @@
   }
 
   void Check(const GroupSpec& group) {
-    const Subject who{"group", group.id.value()};
+    const ObjectLabel label{"group", group.id.value()};
     RequireName(group.id.value());
     CheckSelector(group.targets);
     const ServiceSpec* service =
         configuration_.Find<ServiceSpec>(group.service);
-    RequireObject<ServiceSpec>(group.service, who);
+    RequireObject<ServiceSpec>(group.service, label);
     Require(service == nullptr || service->kind == ServiceKind::kEngine,
-            RefusalReason::kConflict, who, "its service is no engine");
-    RequireRange(group.ranks, 1, kMaxRanks, who, "ranks");
-    RequireRange(group.layers, 1, kMaxLayers, who, "layers");
-    RequireRange(group.experts, 1, kMaxExperts, who, "experts");
-    CheckPolicy(group, who);
-    CheckGroupMembers(group, who);
+            RefusalReason::kConflict, label, "its service is no engine");
+    RequireRange(group.ranks, 1, kMaxRanks, label, "ranks");
+    RequireRange(group.layers, 1, kMaxLayers, label, "layers");
+    RequireRange(group.experts, 1, kMaxExperts, label, "experts");
+    CheckPolicy(group, label);
+    CheckGroupMembers(group, label);
   }
 
-  void CheckPolicy(const GroupSpec& group, const Subject& who) {
+  void CheckPolicy(const GroupSpec& group, const ObjectLabel& label) {
     for (const double weight : {group.skew_weight, group.rebalance_weight}) {
       Require(
           std::isfinite(weight) && weight >= 0.0 && weight <= kMaxPolicyWeight,
-          RefusalReason::kOutOfRange, who, "a weight must be 0 to 1000000");
+          RefusalReason::kOutOfRange, label, "a weight must be 0 to 1000000");
     }
-    RequireRange(group.quiet_windows.size(), 0, kMaxQuietWindows, who,
+    RequireRange(group.quiet_windows.size(), 0, kMaxQuietWindows, label,
                  "quiet windows");
     for (const QuietWindow& window : group.quiet_windows) {
-      Require(window.start < kMinutesOfDay && window.end < kMinutesOfDay &&
+      Require(window.start < kMinutesPerDay && window.end < kMinutesPerDay &&
                   window.start != window.end,
-              RefusalReason::kOutOfRange, who,
+              RefusalReason::kOutOfRange, label,
               "a quiet window needs two different times of a day");
     }
   }
 
-  void CheckGroupMembers(const GroupSpec& group, const Subject& who) {
+  void CheckGroupMembers(const GroupSpec& group, const ObjectLabel& label) {
     if (group.members.empty()) {
       return;
     }
-    Require(group.members.size() >= group.ranks, RefusalReason::kConflict, who,
-            "it has more ranks than members");
-    RequireRange(group.members.size(), 1, 2ULL * kMaxRanks, who, "members");
+    Require(group.members.size() >= group.ranks, RefusalReason::kConflict,
+            label, "it has more ranks than members");
+    RequireRange(group.members.size(), 1, 2ULL * kMaxRanks, label, "members");
     for (const TargetId& member : group.members) {
       RequireName(member.value());
       const auto taken = members_.emplace(member, group.id);
       if (!taken.second) {
-        Fail(RefusalReason::kConflict, who.Text() + ": target " +
+        Fail(RefusalReason::kConflict, label.Text() + ": target " +
                                            member.value() +
                                            " is already a member of group " +
                                            taken.first->second.value());
@@ -248,50 +248,53 @@
   }
 
   // The group of an expert that exists in it, or null.
-  const GroupSpec* CheckExpert(const ExpertKey& expert, const Subject& who) {
-    RequireObject<GroupSpec>(expert.group, who);
+  const GroupSpec* CheckExpert(const ExpertKey& expert,
+                               const ObjectLabel& label) {
+    RequireObject<GroupSpec>(expert.group, label);
     const GroupSpec* group = configuration_.Find<GroupSpec>(expert.group);
     if (group == nullptr || group->layers == 0 || group->experts == 0) {
       return nullptr;
     }
-    RequireRange(expert.layer, 0, group->layers - 1, who, "layer");
-    RequireRange(expert.expert.value(), 0, group->experts - 1, who, "expert");
+    RequireRange(expert.layer, 0, group->layers - 1, label, "layer");
+    RequireRange(expert.expert.value(), 0, group->experts - 1, label, "expert");
     return group;
   }
 
-  void CheckRank(const GroupSpec* group, RankIndex rank, const Subject& who) {
+  void CheckRank(const GroupSpec* group,
+                 RankIndex rank,
+                 const ObjectLabel& label) {
     if (group != nullptr && group->ranks > 0) {
-      RequireRange(rank.value(), 0, group->ranks - 1, who, "rank");
+      RequireRange(rank.value(), 0, group->ranks - 1, label, "rank");
     }
   }
 
   void Check(const PinSpec& pin) {
     const std::string name = KeyText(pin.key());
-    const Subject who{PinSpec::kKind, name};
-    CheckRank(CheckExpert(pin.expert, who), pin.rank, who);
+    const ObjectLabel label{PinSpec::kKind, name};
+    CheckRank(CheckExpert(pin.expert, label), pin.rank, label);
     Require(configuration_.Find<ForbidSpec>({pin.expert, pin.rank}) == nullptr,
-            RefusalReason::kConflict, who, "the expert is kept from there");
+            RefusalReason::kConflict, label, "the expert is kept from there");
   }
 
   void Check(const ForbidSpec& forbid) {
     const std::string name = KeyText(forbid.key());
-    const Subject who{ForbidSpec::kKind, name};
-    CheckRank(CheckExpert(forbid.expert, who), forbid.rank, who);
+    const ObjectLabel label{ForbidSpec::kKind, name};
+    CheckRank(CheckExpert(forbid.expert, label), forbid.rank, label);
   }
 
   void Check(const MoveSpec& move) {
     const std::string name = KeyText(move.key());
-    const Subject who{MoveSpec::kKind, name};
-    const GroupSpec* group = CheckExpert(move.expert, who);
-    CheckRank(group, move.from, who);
-    CheckRank(group, move.to, who);
-    Require(move.from != move.to, RefusalReason::kConflict, who,
+    const ObjectLabel label{MoveSpec::kKind, name};
+    const GroupSpec* group = CheckExpert(move.expert, label);
+    CheckRank(group, move.from, label);
+    CheckRank(group, move.to, label);
+    Require(move.from != move.to, RefusalReason::kConflict, label,
             "both ranks are the same");
     Require(configuration_.Find<ForbidSpec>({move.expert, move.to}) == nullptr,
-            RefusalReason::kConflict, who, "the expert is kept from there");
+            RefusalReason::kConflict, label, "the expert is kept from there");
     const PinSpec* pin = configuration_.Find<PinSpec>(move.expert);
     Require(pin == nullptr || pin->rank == move.to, RefusalReason::kConflict,
-            who, "the expert is pinned elsewhere");
+            label, "the expert is pinned elsewhere");
   }
 
   void Check(const SettingSpec& setting) {
@@ -301,7 +304,7 @@
            "there is no setting " + setting.name.value());
       return;
     }
-    RequireRange(setting.value, known->low, known->high,
+    RequireRange(setting.value, known->min_value, known->max_value,
                  {"setting", setting.name.value()}, "its value");
   }
 
@@ -336,7 +339,7 @@
   }
 
   const Configuration& configuration_;
-  std::optional<Refused> fault_;
+  std::optional<Refused> refusal_;
   std::map<std::string, ServiceId> paths_;
   std::map<std::uint32_t, PriorityName> levels_;
   std::map<TargetId, GroupId> members_;
--- a/src/libs/language/config_answers.cc
+++ b/src/libs/language/config_answers.cc
@@ -151,7 +151,8 @@
   AnswerTable table{{"setting", "value", "default"}, {}};
   for (const config::KnownSetting& known : config::kKnownSettings) {
     table.rows.push_back({std::string(known.name),
-                          configuration.setting(known.name), known.fallback});
+                          configuration.setting(known.name),
+                          known.default_value});
   }
   return table;
 }
--- a/tests/auto/config/applied_configuration_test.cc
+++ b/tests/auto/config/applied_configuration_test.cc
@@ -23,7 +23,7 @@
     std::vector<Delta> sent;
     std::vector<Configuration> full;
     std::map<ConfigVersion, Configuration> accepted;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i <= 60; ++i) {
       const ConfigVersion before = machine.configuration().version();
       machine.Apply(RandomCommand(random, CommandId(std::to_string(i)), before),
@@ -67,7 +67,7 @@
     CAPTURE(seed);
     Random random(seed);
     StateMachine machine;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     std::vector<Delta> steps{*machine.DeltaFrom(ConfigVersion())};
     for (std::uint64_t i = 2; i <= 40; ++i) {
       const ConfigVersion before = machine.configuration().version();
@@ -80,15 +80,16 @@
     AppliedConfiguration node;
     const std::size_t split = random.Below(steps.size()) + 1;
     const auto middle = steps.begin() + static_cast<std::ptrdiff_t>(split);
-    CHECK(node.Apply(*Join({steps.begin(), middle})) == ApplyResult::kApplied);
-    if (const auto rest = Join({middle, steps.end()})) {
+    CHECK(node.Apply(*CombineDeltas({steps.begin(), middle})) ==
+          ApplyResult::kApplied);
+    if (const auto rest = CombineDeltas({middle, steps.end()})) {
       CHECK(node.Apply(*rest) == ApplyResult::kApplied);
     }
     CHECK(node.configuration() == machine.configuration());
     std::reverse(steps.begin(), steps.end());
-    CHECK(Join(steps).has_value() == (steps.size() == 1));
+    CHECK(CombineDeltas(steps).has_value() == (steps.size() == 1));
   }
-  CHECK_FALSE(Join({}).has_value());
+  CHECK_FALSE(CombineDeltas({}).has_value());
 }
 
 TEST_CASE("a node that missed hundreds of changes gets the latest in one go") {
@@ -116,8 +117,8 @@
   const Configuration old = machine.configuration();
   machine.Apply(CommandOf("c", {DeclareTarget{{TargetId("t")}}}), LogIndex(2));
   AppliedConfiguration node;
-  node.RaiseFloor(ConfigVersion(2));
-  CHECK(node.Replace(old) == ApplyResult::kBelowFloor);
+  node.RaiseMinVersion(ConfigVersion(2));
+  CHECK(node.Replace(old) == ApplyResult::kBelowMinVersion);
   CHECK(node.version() == ConfigVersion());
   CHECK(node.Replace(machine.configuration()) == ApplyResult::kApplied);
   CHECK(node.Replace(old) == ApplyResult::kStale);
--- a/tests/auto/config/codec_test.cc
+++ b/tests/auto/config/codec_test.cc
@@ -13,7 +13,7 @@
 namespace bilberryspool::config {
 namespace {
 
-boost::json::value Reparsed(const boost::json::value& json) {
+boost::json::value RoundTrip(const boost::json::value& json) {
   return boost::json::parse(boost::json::serialize(json));
 }
 
@@ -22,21 +22,21 @@
     CAPTURE(seed);
     Random random(seed);
     StateMachine machine;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i < 30; ++i) {
       const ConfigVersion version = machine.configuration().version();
       const Command command =
           RandomCommand(random, CommandId(std::to_string(i)), version);
-      CHECK(CommandFromJson(Reparsed(ToJson(command))) == command);
+      CHECK(CommandFromJson(RoundTrip(ToJson(command))) == command);
       const Outcome outcome = machine.Apply(command, LogIndex(i));
-      CHECK(OutcomeFromJson(Reparsed(ToJson(outcome))) == outcome);
+      CHECK(OutcomeFromJson(RoundTrip(ToJson(outcome))) == outcome);
       const auto delta =
           machine.DeltaFrom(ConfigVersion(random.Below(version.value() + 1)));
       REQUIRE(delta.has_value());
-      CHECK(DeltaFromJson(Reparsed(ToJson(*delta))) == *delta);
+      CHECK(DeltaFromJson(RoundTrip(ToJson(*delta))) == *delta);
     }
     const Configuration& configuration = machine.configuration();
-    CHECK(ConfigurationFromJson(Reparsed(ToJson(configuration))) ==
+    CHECK(ConfigurationFromJson(RoundTrip(ToJson(configuration))) ==
           configuration);
   }
 }
--- a/tests/auto/config/random_commands.cc
+++ b/tests/auto/config/random_commands.cc
@@ -43,10 +43,10 @@
 }  // namespace
 
 ThrowOnBrokenInvariant::ThrowOnBrokenInvariant()
-    : before_(SetInvariantHandler(&Throw)) {}
+    : previous_handler_(SetInvariantHandler(&Throw)) {}
 
 ThrowOnBrokenInvariant::~ThrowOnBrokenInvariant() {
-  SetInvariantHandler(before_);
+  SetInvariantHandler(previous_handler_);
 }
 
 std::uint64_t SeedCount(std::uint64_t fallback) {
@@ -147,7 +147,7 @@
                      {{1080, 1260}}}}});
 }
 
-Command WorldCommand() {
+Command ReferencedObjectsCommand() {
   Command command = CommandOf("world", {});
   for (std::uint32_t i = 0; i < 3; ++i) {
     const std::string number = std::to_string(i);
--- a/tests/auto/config/random_commands.h
+++ b/tests/auto/config/random_commands.h
@@ -24,7 +24,7 @@
   ThrowOnBrokenInvariant& operator=(const ThrowOnBrokenInvariant&) = delete;
 
  private:
-  InvariantHandler before_;
+  InvariantHandler previous_handler_;
 };
 
 // A change over a small set of names, so that changes meet each other.
@@ -41,7 +41,7 @@
 Command BaseCommand();
 
 // Declares most of what random changes refer to, so that many are accepted.
-Command WorldCommand();
+Command ReferencedObjectsCommand();
 
 }  // namespace bilberryspool::config
 
--- a/tests/auto/config/replicas_test.cc
+++ b/tests/auto/config/replicas_test.cc
@@ -19,21 +19,21 @@
     Random random(seed);
     StateMachine leader;
     StateMachine follower;
-    std::map<CommandId, Outcome> first;
-    std::vector<Command> given;
+    std::map<CommandId, Outcome> first_outcomes;
+    std::vector<Command> sent_commands;
     const std::uint64_t restart = 2 + random.Below(78);
-    leader.Apply(WorldCommand(), LogIndex(1));
-    follower.Apply(WorldCommand(), LogIndex(1));
+    leader.Apply(ReferencedObjectsCommand(), LogIndex(1));
+    follower.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i <= 80; ++i) {
       const ConfigVersion version = leader.configuration().version();
       Command command =
-          !given.empty() && random.Chance(0.2)
-              ? given[random.Below(given.size())]
+          !sent_commands.empty() && random.Chance(0.2)
+              ? sent_commands[random.Below(sent_commands.size())]
               : RandomCommand(random, CommandId(std::to_string(i)), version);
-      given.push_back(command);
+      sent_commands.push_back(command);
       const Outcome outcome = leader.Apply(command, LogIndex(i));
-      const bool is_new = first.emplace(command.id, outcome).second;
-      CHECK(first.at(command.id) == outcome);
+      const bool is_new = first_outcomes.emplace(command.id, outcome).second;
+      CHECK(first_outcomes.at(command.id) == outcome);
       if (!is_new) {
         CHECK(leader.configuration().version() == version);
       }
@@ -65,7 +65,7 @@
     std::uint64_t index = 1;
     for (int round = 0; round < 20; ++round) {
       const ConfigVersion version = machine.configuration().version();
-      for (int rival = 0; rival < 4; ++rival) {
+      for (int competitor = 0; competitor < 4; ++competitor) {
         ++index;
         Command command = CommandOf(
             std::to_string(index).c_str(),
--- a/tests/auto/config/state_machine_test.cc
+++ b/tests/auto/config/state_machine_test.cc
@@ -17,7 +17,7 @@
                             : std::make_optional(refused->reason);
 }
 
-StateMachine Prepared() {
+StateMachine MakePreparedMachine() {
   StateMachine machine;
   REQUIRE(IsAccepted(machine.Apply(BaseCommand(), LogIndex(1))));
   return machine;
@@ -93,7 +93,7 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.what);
-    StateMachine machine = Prepared();
+    StateMachine machine = MakePreparedMachine();
     const Configuration before = machine.configuration();
     const Command command = CommandOf("c", row.changes);
     const PlanResult plan = machine.Plan(command);
@@ -123,7 +123,7 @@
                       {CompareScope::kObjects, "dairy", true}};
   for (const Row& row : rows) {
     CAPTURE(row.second);
-    StateMachine machine = Prepared();
+    StateMachine machine = MakePreparedMachine();
     Command first =
         CommandOf("first", {DeclareWorkspace{{Workspace("kiln"), 20U}}});
     first.expected = {ConfigVersion(1), row.scope};
@@ -150,7 +150,7 @@
 // loses the answer to a change; a second one changes the same limit; the first
 // sends the change again. Cause: the resend is taken for a new command.
 TEST_CASE("a resend returns the first outcome and has no effect") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   const Command first =
       CommandOf("c", {DeclareWorkspace{{Workspace("kiln"), 20U}}});
   const Outcome outcome = machine.Apply(first, LogIndex(2));
@@ -167,7 +167,7 @@
 }
 
 TEST_CASE("a resend that comes after its outcome was forgotten is refused") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   Command old = CommandOf("old", {DeclareTarget{{TargetId("t"), true}}});
   old.issued_after = LogIndex(1);
   CHECK(IsAccepted(machine.Apply(old, LogIndex(2))));
@@ -185,10 +185,10 @@
 }
 
 TEST_CASE("the history is bounded, and a version beyond it is refused") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   for (std::uint32_t i = 0; i < 100; ++i) {
     Command command = CommandOf(("c" + std::to_string(i)).c_str(), {});
-    for (std::uint32_t j = 0; j < StateMachine::kMaxChangesOfCommand; ++j) {
+    for (std::uint32_t j = 0; j < StateMachine::kMaxChangesPerCommand; ++j) {
       command.changes.push_back(
           DeclareTarget{{TargetId("t" + std::to_string(j)), i % 2 == 0}});
     }
@@ -196,7 +196,7 @@
   }
   CHECK(machine.configuration().version() == ConfigVersion(101));
   CHECK(machine.state().history.records().size() ==
-        ChangeHistory::kObjectCapacity / StateMachine::kMaxChangesOfCommand);
+        ChangeHistory::kObjectCapacity / StateMachine::kMaxChangesPerCommand);
   CHECK_FALSE(machine.DeltaFrom(ConfigVersion(1)).has_value());
   struct Row {
     std::uint64_t version;
@@ -216,7 +216,7 @@
 // the holder gone and reach for the lease. Cause: both grants are accepted, or
 // a group that was declared anew starts again at a low token.
 TEST_CASE("a lease goes to one holder, under a token never given before") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   const GroupId group("g");
   const auto grant = [&](const char* id, const char* node,
                          std::uint64_t previous) {
@@ -243,7 +243,7 @@
 // group is removed and declared anew, and its versions begin at 1. Cause: a
 // record is taken without regard to the lease or the recorded version.
 TEST_CASE("a map is recorded under the newest lease, its versions only rise") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   const GroupId group("g");
   std::uint64_t index = 1;
   const auto apply = [&](const Change& change) {
@@ -276,7 +276,7 @@
 }
 
 TEST_CASE("a change that finds everything as it asks for moves no version") {
-  StateMachine machine = Prepared();
+  StateMachine machine = MakePreparedMachine();
   Command again = BaseCommand();
   again.id = CommandId("again");
   CHECK(machine.Apply(again, LogIndex(2)) ==
--- a/tests/auto/language/page_test.cc
+++ b/tests/auto/language/page_test.cc
@@ -41,9 +41,9 @@
   }
   for (const config::KnownSetting& known : config::kKnownSettings) {
     const std::string row = "| `" + std::string(known.name) + "` | " +
-                            std::to_string(known.fallback) + " | " +
-                            std::to_string(known.low) + " to " +
-                            std::to_string(known.high) + " |";
+                            std::to_string(known.default_value) + " | " +
+                            std::to_string(known.min_value) + " to " +
+                            std::to_string(known.max_value) + " |";
     CAPTURE(row);
     CHECK(text.find(row) != std::string::npos);
   }
