--- a/src/libs/config/applied_configuration.cc
+++ b/src/libs/config/applied_configuration.cc
@@ -59,9 +59,10 @@
 
 void AppliedConfiguration::SetConfiguration(Configuration next) {
   BILBERRYSPOOL_INVARIANT(next.version() >= version(),
-                          "a version in force never goes back");
-  BILBERRYSPOOL_INVARIANT(next.version() >= min_version_,
-                          "nothing below the floor takes force");
+                          "the version in force must not decrease");
+  BILBERRYSPOOL_INVARIANT(
+      next.version() >= min_version_,
+      "a version below the minimum version must not be applied");
   configuration_ = std::move(next);
   diverged_ = false;
 }
--- a/src/libs/config/applied_configuration.h
+++ b/src/libs/config/applied_configuration.h
@@ -1,9 +1,9 @@
-// The configuration as it is in force on one node.
+// The configuration that is in force on one node.
 //
-// Deltas arrive late, twice, out of order and from several peers, some of which
-// are behind. What is in force here only moves forward: an older version never
-// replaces a newer one, and a state that doesn't match its digest is noticed
-// and asked for anew.
+// Deltas may arrive late, twice, out of order and from several peers, some of
+// which are behind. The version in force never decreases: an older version
+// never replaces a newer one. A state that doesn't match its digest is reported
+// to the caller, which then requests the full state.
 
 #ifndef LIBS_CONFIG_APPLIED_CONFIGURATION_H_
 #define LIBS_CONFIG_APPLIED_CONFIGURATION_H_
@@ -15,38 +15,41 @@
 namespace bilberryspool::config {
 
 enum class ApplyResult {
-  // In force now.
+  // The update is now in force.
   kApplied,
-  // This node has it, or a newer one.
+  // The node already has this version or a newer one.
   kStale,
-  // It builds on a version that this node doesn't have: ask for a delta from
-  // the present version.
+  // The delta starts at a version that this node doesn't have: request a delta
+  // from the current version.
   kGap,
-  // The digests differ: ask for the full state.
+  // The digests differ: request the full state.
   kDiverged,
-  // Older than a version known to have been in force (see RaiseMinVersion).
+  // Older than a version known to have been in force; see RaiseMinVersion().
   kBelowMinVersion,
 };
 
+// Holds the configuration in force and applies deltas and full states to it.
 class AppliedConfiguration {
  public:
-  // Starts with nothing, version 0, which stands for "not known yet".
+  // Starts empty at version 0, which means "not known yet".
   AppliedConfiguration() = default;
 
-  // Tells of a version that this node, or the peers it served, had in force
-  // before: from its data folder after a restart, or from what peers and agents
-  // say. Nothing older takes force; until then the node keeps what it has.
+  // Reports a version that this node, or the peers it served, had in force
+  // before; it is read from the data folder after a restart or reported by
+  // peers and agents. Older versions are not applied from then on; the node
+  // keeps its configuration until one that is new enough arrives.
   void RaiseMinVersion(ConfigVersion version);
 
   ApplyResult Apply(const Delta& delta);
 
-  // Takes a full state, however many versions were missed.
+  // Replaces the configuration by a full state, regardless of how many versions
+  // were missed.
   ApplyResult Replace(const Configuration& full);
 
   const Configuration& configuration() const { return configuration_; }
   ConfigVersion version() const { return configuration_.version(); }
   ConfigVersion min_version() const { return min_version_; }
-  // True from a digest that differed until a full state came.
+  // True after a digest mismatch, until a full state has been applied.
   bool diverged() const { return diverged_; }
 
  private:
--- a/src/libs/config/canonical_form.h
+++ b/src/libs/config/canonical_form.h
@@ -1,5 +1,6 @@
-// Bytes that are equal where two values are equal, and differ otherwise: what
-// digests are taken of. Not a wire format; see json_value.h.
+// A canonical serialization of values, from which digests are computed: the
+// bytes of two values are equal if and only if the values are equal. Not a wire
+// format; see json_value.h.
 
 #ifndef LIBS_CONFIG_CANONICAL_FORM_H_
 #define LIBS_CONFIG_CANONICAL_FORM_H_
@@ -23,6 +24,7 @@
 
 namespace bilberryspool::config::internal {
 
+// Appends the canonical bytes of the values that are added.
 class CanonicalForm {
  public:
   const std::string& bytes() const { return bytes_; }
@@ -106,9 +108,9 @@
   }
 
  private:
-  // Members that hold their default are left out: a member that a later program
-  // adds changes no fingerprint until it is used, so programs of both versions
-  // agree while a deployment is upgraded.
+  // Members with their default value are omitted: a member added by a newer
+  // program version changes no fingerprint until it is used, so that both
+  // program versions agree during an upgrade of the deployment.
   template <typename Value>
   void AddMembers(const Value& value) {
     const Value defaults{};
@@ -124,7 +126,7 @@
     Add(std::string());
   }
 
-  // Little-endian whatever the machine is: replicas may differ.
+  // Always little-endian, because replicas may run on different architectures.
   void AddNumber(std::uint64_t number) {
     for (int shift = 0; shift < 64; shift += 8) {
       bytes_ +=
@@ -135,7 +137,7 @@
   std::string bytes_;
 };
 
-// Fingerprint of a value by its canonical form.
+// Fingerprint of the canonical bytes of a value.
 std::uint64_t Fingerprint(const std::string& bytes);
 
 template <typename Value>
--- a/src/libs/config/change.h
+++ b/src/libs/config/change.h
@@ -1,4 +1,4 @@
-// The changes that a command is made of.
+// The changes that a command consists of.
 
 #ifndef LIBS_CONFIG_CHANGE_H_
 #define LIBS_CONFIG_CHANGE_H_
@@ -14,7 +14,7 @@
 
 namespace bilberryspool::config {
 
-// Puts an object as a whole: creates it, or replaces the one with its key.
+// Creates an object, or replaces the whole object with the same key.
 template <typename Spec>
 struct Declare {
   Spec spec;
@@ -22,7 +22,7 @@
   bool operator==(const Declare&) const = default;
 };
 
-// Removes an object that must be there.
+// Removes an object, which must exist.
 template <typename Spec>
 struct Remove {
   typename Spec::Key key;
@@ -53,9 +53,9 @@
 using SetSetting = Declare<SettingSpec>;
 using UnsetSetting = Remove<SettingSpec>;
 
-// Asks for a control replica to be replaced. The successor starts as a learner;
-// refused while another replacement is under way, so that the quorum is never
-// weakened by two at once.
+// Requests the replacement of a control replica. The successor starts as a
+// learner. Refused while another replacement is in progress, because two at
+// once would weaken the quorum.
 struct ReplaceControlMember {
   NodeId outgoing;
   NodeId incoming;
@@ -68,8 +68,8 @@
                       (),
                       (outgoing, incoming, address, domain))
 
-// Calls a replacement off, as when the successor is lost before it votes: its
-// learner goes and the member stays.
+// Cancels a replacement, for example when the successor is lost before it
+// votes: the learner is removed and the member stays.
 struct CancelReplacement {
   NodeId outgoing;
 
@@ -77,9 +77,9 @@
 };
 BOOST_DESCRIBE_STRUCT(CancelReplacement, (), (outgoing))
 
-// What the replicated log's membership is now. Given by the system itself,
-// and compared (kObjects) with the version it was seen at, so that a late
-// observation doesn't undo an operator's replacement.
+// Records the current membership of the replicated log. Issued by the system
+// itself. It expects (with kObjects) the version at which the membership was
+// observed, so that a late observation doesn't undo an operator's replacement.
 struct ObserveControlMembers {
   std::vector<ControlMemberSpec> members;
 
@@ -88,8 +88,9 @@
 BOOST_DESCRIBE_STRUCT(ObserveControlMembers, (), (members))
 
 // Makes a node the group's controller under a new fencing token. `previous` is
-// the group's token as the node knows it (0: none yet): of two that reach for
-// the group at once only one gets it. Given by the system itself.
+// the group's token as known to the node (0: none yet), so that only one of two
+// nodes that request the lease at the same time gets it. Issued by the system
+// itself.
 struct GrantLease {
   GroupId group;
   NodeId holder;
@@ -100,7 +101,7 @@
 };
 BOOST_DESCRIBE_STRUCT(GrantLease, (), (group, holder, incarnation, previous))
 
-// Gives a lease back early; refused unless `token` is the group's present one.
+// Releases a lease early; refused unless `token` is the group's current token.
 struct ReleaseLease {
   GroupId group;
   FencingToken token;
@@ -109,9 +110,10 @@
 };
 BOOST_DESCRIBE_STRUCT(ReleaseLease, (), (group, token))
 
-// Records a group's expert map before its ranks prepare it; refused unless
-// `map.token` is the group's newest lease and the version is higher than the
-// recorded one, so that versions never go back. Given by the system itself.
+// Records a group's expert map before its ranks prepare it. Refused unless
+// `map.token` is the token of the group's current lease and the version is
+// higher than the recorded one, so that versions never decrease. Issued by the
+// system itself.
 struct RecordMap {
   MapSpec map;
 
@@ -148,8 +150,9 @@
                             ReleaseLease,
                             RecordMap>;
 
-// True for changes that the system gives by itself. They move the version, but
-// operators who compare the whole configuration don't collide with them.
+// True for changes that the system itself issues. They raise the version, but
+// don't conflict with the commands of operators that expect the whole
+// configuration to be unchanged (CompareScope::kConfiguration).
 bool IsSystemChange(const Change& change);
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/change_history.cc
+++ b/src/libs/config/change_history.cc
@@ -9,7 +9,7 @@
 void ChangeHistory::Add(ChangeRecord record) {
   BILBERRYSPOOL_INVARIANT(
       records_.empty() || record.version == records_.back().version.Next(),
-      "recorded versions follow each other");
+      "recorded versions must be consecutive");
   object_count_ += record.updates.size();
   records_.push_back(std::move(record));
   while (records_.size() > kCapacity || object_count_ > kObjectCapacity) {
--- a/src/libs/config/change_history.h
+++ b/src/libs/config/change_history.h
@@ -13,36 +13,38 @@
 
 namespace bilberryspool::config {
 
-// How one version came about.
+// The command that led to a version, and the updates it made.
 struct ChangeRecord {
   ConfigVersion version;
   OperatorId operator_id;
   CommandId command;
-  // Given by the system itself, not by an operator.
+  // Issued by the system itself rather than by an operator.
   bool system = false;
   std::vector<ObjectUpdate> updates;
 
   bool operator==(const ChangeRecord&) const = default;
 };
 
-// The latest versions, one record each, without gaps. Bounded: what is older
-// is answered by a full state instead.
+// Records of the latest versions, one per version and without gaps. The size is
+// bounded; a node with an older version needs the full state instead of a
+// delta.
 class ChangeHistory {
  public:
-  // Half an hour at ten times 8,200 changes a day.
+  // Maximum number of records: half an hour at ten times the rate of 8,200
+  // changes a day.
   static constexpr std::size_t kCapacity = 2048;
-  // Of objects in all records together: bounds the memory where commands are
-  // large.
+  // Maximum number of objects in all records together; bounds the memory if
+  // commands are large.
   static constexpr std::size_t kObjectCapacity = 32768;
 
-  // `record.version` must follow the latest.
+  // `record.version` must be the successor of the latest recorded version.
   void Add(ChangeRecord record);
 
-  // Whether each version after `version` is still recorded, given the latest.
+  // Whether every version after `version`, up to `latest`, is still recorded.
   bool Covers(ConfigVersion version, ConfigVersion latest) const;
 
-  // Brings a node at `from` to `latest`; none where `from` is newer than that
-  // or too old.
+  // The delta from version `from` to `latest`; none if `from` is newer than
+  // `latest` or no longer covered by the history.
   std::optional<Delta> DeltaFrom(ConfigVersion from,
                                  const Configuration& latest) const;
 
--- a/src/libs/config/codec.cc
+++ b/src/libs/config/codec.cc
@@ -28,7 +28,7 @@
   return member != nullptr && JsonReader::Read(*member, value);
 }
 
-// Null, which nothing is read from, where the bytes aren't JSON.
+// Returns null, which no type can be decoded from, if the bytes aren't JSON.
 boost::json::value Parse(std::string_view bytes) {
   boost::json::error_code error;
   boost::json::value json = boost::json::parse(bytes, error);
--- a/src/libs/config/codec.h
+++ b/src/libs/config/codec.h
@@ -1,6 +1,6 @@
-// JSON of what the system's processes exchange and store: log entries,
-// outcomes, deltas and full states. Reading returns none where the bytes aren't
-// what they should be.
+// JSON encoding of what the system's processes exchange and store: log entries,
+// outcomes, deltas and full states. The decoders return none if the input is
+// invalid.
 
 #ifndef LIBS_CONFIG_CODEC_H_
 #define LIBS_CONFIG_CODEC_H_
@@ -27,14 +27,15 @@
 boost::json::value ToJson(const Delta& delta);
 std::optional<Delta> DeltaFromJson(const boost::json::value& json);
 
-// A full state carries its digest; one that doesn't match isn't read.
+// A full state contains its digest; decoding fails if the digest doesn't match.
 boost::json::value ToJson(const Configuration& configuration);
 std::optional<Configuration> ConfigurationFromJson(
     const boost::json::value& json);
 
 std::string SerializeJson(const boost::json::value& json);
 
-// The same as bytes, for messages and log entries that carry them unread.
+// The same as serialized bytes, for messages and log entries whose carriers
+// don't decode them.
 template <typename Value>
 std::string ToBytes(const Value& value) {
   return SerializeJson(ToJson(value));
--- a/src/libs/config/command.h
+++ b/src/libs/config/command.h
@@ -13,17 +13,20 @@
 
 namespace bilberryspool::config {
 
-// What must not have changed since the version that the operator read.
+// Which part of the configuration must be unchanged since the version that the
+// operator read.
 enum class CompareScope {
-  // Nothing at all: of two operators with equal numbers one wins, the other is
-  // refused, whatever they change.
+  // The whole configuration: of two operators that read the same version only
+  // one is accepted, whatever they change.
   kConfiguration,
-  // The objects that the command changes: operators who work on different
-  // things don't collide.
+  // The objects that the command changes: operators who change different
+  // objects don't conflict.
   kObjects,
 };
 BOOST_DESCRIBE_ENUM(CompareScope, kConfiguration, kObjects)
 
+// The version that a command is based on. The command is refused if anything in
+// `scope` has changed since.
 struct Expectation {
   ConfigVersion version;
   CompareScope scope = CompareScope::kConfiguration;
@@ -32,16 +35,16 @@
 };
 BOOST_DESCRIBE_STRUCT(Expectation, (), (version, scope))
 
-// An operator's order: all of its changes, or none.
+// A set of changes that an operator requests; either all or none take effect.
 struct Command {
-  // Survives resends; chosen once per order.
+  // Chosen once per command; resends keep it.
   CommandId id;
   OperatorId operator_id;
   std::optional<Expectation> expected;
   std::vector<Change> changes;
-  // Log index that was applied where the order was first given. With it, a
-  // resend that comes after its first outcome was forgotten is refused rather
-  // than carried out twice.
+  // The log index that had been applied on the node that first received the
+  // command. With it, a resend that arrives after the record of its first
+  // outcome was evicted is refused rather than executed twice.
   std::optional<LogIndex> issued_after;
 
   bool operator==(const Command&) const = default;
--- a/src/libs/config/command_execution.cc
+++ b/src/libs/config/command_execution.cc
@@ -12,6 +12,7 @@
 namespace bilberryspool::config::internal {
 namespace {
 
+// Executes one command on a configuration and rolls it back on failure.
 class Execution {
  public:
   Execution(const Command& command,
@@ -214,7 +215,8 @@
     PutObject(change.map);
   }
 
-  // A drain or a denial must not silence a service by accident.
+  // Refuses a command, such as a drain or a denied placement, after which a
+  // service would by accident have no target left.
   void RequireNoServiceLosesAllTargets() {
     const std::set<ServiceId> served = ServedServices(configuration_);
     for (const ServiceId& service : served_before_) {
--- a/src/libs/config/command_execution.h
+++ b/src/libs/config/command_execution.h
@@ -11,23 +11,24 @@
 
 namespace bilberryspool::config::internal {
 
-// What a command did to a configuration; nothing where it found all as asked.
+// The updates that a command made to a configuration; empty if the
+// configuration already was as requested.
 struct ExecutionResult {
   std::vector<ObjectUpdate> updates;
-  // The reverse, in the order in which they are to be applied.
+  // The updates that undo `updates`, in the order in which to apply them.
   std::vector<ObjectUpdate> undo;
   // The token granted, if any; always above `latest_token`.
   std::optional<FencingToken> token;
 };
 
-// Carries out all changes of `command` on `configuration` and raises its
-// version by one if anything changed; leaves it as it was where one of them
-// fails or the whole doesn't pass the checks.
+// Applies all changes of `command` to `configuration` and raises its version by
+// one if anything changed. Leaves `configuration` unchanged if a change fails
+// or the result is invalid.
 std::variant<ExecutionResult, Refused> Execute(const Command& command,
                                                FencingToken latest_token,
                                                Configuration& configuration);
 
-// The names of the objects that a change is about.
+// The names of the objects that a change affects.
 std::vector<std::string> TouchedObjects(const Change& change);
 
 }  // namespace bilberryspool::config::internal
--- a/src/libs/config/command_table.cc
+++ b/src/libs/config/command_table.cc
@@ -19,7 +19,7 @@
 void CommandTable::Add(CommandRecord record) {
   const bool added =
       positions_.emplace(record.id, evicted_count_ + records_.size()).second;
-  BILBERRYSPOOL_INVARIANT(added, "a command id takes effect once");
+  BILBERRYSPOOL_INVARIANT(added, "a command id must not be recorded twice");
   records_.push_back(std::move(record));
   if (records_.size() <= kCapacity) {
     return;
--- a/src/libs/config/command_table.h
+++ b/src/libs/config/command_table.h
@@ -15,28 +15,28 @@
 struct CommandRecord {
   CommandId id;
   LogIndex index;
-  // Fingerprint of what the command asked for.
+  // Fingerprint of the command's content.
   std::uint64_t body = 0;
   Outcome outcome;
 
   bool operator==(const CommandRecord&) const = default;
 };
 
-// Remembers the outcomes of commands, so that one that is sent again after its
-// answer was lost has no second effect. Part of the replicated state: it
-// outlives a change of leader and a restart. Bounded to the latest kCapacity
-// commands, about two days at 8,200 a day.
+// Stores the outcomes of commands, so that a command that is sent again because
+// its answer was lost has no second effect. Part of the replicated state, so it
+// survives a change of leader and a restart. Bounded to the latest kCapacity
+// commands, about two days at 8,200 commands a day.
 class CommandTable {
  public:
   static constexpr std::size_t kCapacity = 16384;
 
-  // The record, or null.
+  // The record of the command, or null.
   const CommandRecord* Find(const CommandId& id) const;
 
-  // Adds a record of an id that isn't in the table.
+  // Adds a record, whose id must not be in the table yet.
   void Add(CommandRecord record);
 
-  // Commands up to here may have been forgotten.
+  // The records of commands up to this log index may have been evicted.
   LogIndex forgotten_up_to() const { return forgotten_up_to_; }
   void set_forgotten_up_to(LogIndex index) { forgotten_up_to_ = index; }
 
@@ -49,7 +49,8 @@
 
  private:
   std::deque<CommandRecord> records_;
-  // Counts the records ever dropped, so that places stay valid.
+  // Number of records evicted so far. Positions count evicted records too, so
+  // that they stay valid after an eviction.
   std::size_t evicted_count_ = 0;
   std::map<CommandId, std::size_t> positions_;
   LogIndex forgotten_up_to_;
--- a/src/libs/config/configuration.cc
+++ b/src/libs/config/configuration.cc
@@ -19,7 +19,7 @@
     return spec->value;
   }
   const KnownSetting* known = FindKnownSetting(key);
-  BILBERRYSPOOL_INVARIANT(known != nullptr, "a setting that is read is known");
+  BILBERRYSPOOL_INVARIANT(known != nullptr, "only known settings may be read");
   return known->default_value;
 }
 
--- a/src/libs/config/configuration.h
+++ b/src/libs/config/configuration.h
@@ -1,9 +1,9 @@
 // The accepted configuration of a deployment, as a value.
 //
-// Everything operators declare lives here as objects in ordered tables, so that
-// each replica and each node that holds the same version holds the same bytes.
-// The digest is kept along with each change: a node whose state went astray (a
-// lost delta, a fault in memory) is noticed by comparing 8 bytes.
+// Everything that operators declare is stored as objects in ordered tables, so
+// that all replicas and nodes with the same version have identical contents.
+// The digest is updated with each change, so that a diverged node (after a lost
+// delta or a memory fault) is detected by comparing 8 bytes.
 
 #ifndef LIBS_CONFIG_CONFIGURATION_H_
 #define LIBS_CONFIG_CONFIGURATION_H_
@@ -18,7 +18,7 @@
 
 namespace bilberryspool::config {
 
-// Fingerprint of a configuration, its version included.
+// Fingerprint of a configuration including its version.
 using Digest = StrongType<struct DigestTag, std::uint64_t>;
 
 class Configuration {
@@ -40,10 +40,10 @@
     return found == table<Spec>().end() ? nullptr : &found->second.spec;
   }
 
-  // The value of a known setting: the one set, or its default.
+  // The value of a known setting, or its default if it isn't set.
   std::uint64_t setting(const char* name) const;
 
-  // Carries out the update and returns the one that undoes it.
+  // Applies the update and returns the update that undoes it.
   ObjectUpdate Apply(const ObjectUpdate& update);
 
   // Calls `visitor` with each table, in a fixed order.
@@ -64,11 +64,13 @@
 
   ConfigVersion version_;
   AllSpecs::Into<std::tuple, Table> tables_;
-  // Sum of the objects' fingerprints, so that a change costs only its objects.
+  // Sum of the objects' fingerprints. Updating it costs time only for the
+  // objects that change.
   std::uint64_t object_sum_ = 0;
 };
 
-// "service drafter": names an object for people and for comparing.
+// The kind and key of an object, such as "service drafter", for messages and
+// comparisons.
 std::string ObjectName(const ObjectUpdate& update);
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/control_member_spec.h
+++ b/src/libs/config/control_member_spec.h
@@ -9,12 +9,14 @@
 
 namespace bilberryspool::config {
 
-// A learner has no vote yet; a leaving member goes once its successor votes.
+// A learner has no vote yet; a leaving member is removed once its successor is
+// a voter.
 enum class MemberStanding { kVoter, kLearner, kLeaving };
 BOOST_DESCRIBE_ENUM(MemberStanding, kVoter, kLearner, kLeaving)
 
-// One control replica. The replicated log decides its own membership; this is
-// what it was last seen to be, and what operators ask for.
+// One control replica. The replicated log decides on its own membership; this
+// is the last observed membership together with the replacements that operators
+// requested.
 struct ControlMemberSpec {
   using Key = NodeId;
   static constexpr const char* kKind = "member";
--- a/src/libs/config/delta.h
+++ b/src/libs/config/delta.h
@@ -10,24 +10,24 @@
 
 namespace bilberryspool::config {
 
-// Turns version `from` into version `to`. It holds the last state of each
-// object that changed in between, not the steps.
+// Turns version `from` into version `to`. Contains the final state of each
+// object that changed in between, but no intermediate states.
 struct Delta {
   ConfigVersion from;
   ConfigVersion to;
   std::vector<ObjectUpdate> updates;
-  // Of version `to`.
+  // Digest of version `to`.
   Digest digest;
 
   bool operator==(const Delta&) const = default;
 };
 
-// One delta for several steps, the oldest first; none where one doesn't begin
-// at the version at which the one before ends.
+// Combines consecutive deltas, the oldest first, into one. None if `steps` is
+// empty or a delta doesn't start at the version at which the previous one ends.
 std::optional<Delta> CombineDeltas(const std::vector<Delta>& steps);
 
-// Of updates given from the latest to the earliest, keeps the latest of each
-// object.
+// The latest update of each object. The updates are passed from the latest to
+// the earliest.
 std::vector<ObjectUpdate> LatestUpdatePerObject(
     const std::vector<ObjectUpdate>& latest_first);
 
--- a/src/libs/config/drain_spec.h
+++ b/src/libs/config/drain_spec.h
@@ -7,7 +7,7 @@
 
 namespace bilberryspool::config {
 
-// The selected targets receive no new work.
+// Excludes the selected targets from new work.
 struct DrainSpec {
   using Key = TargetSelector;
   static constexpr const char* kKind = "drain";
--- a/src/libs/config/forbid_spec.h
+++ b/src/libs/config/forbid_spec.h
@@ -10,7 +10,7 @@
 
 namespace bilberryspool::config {
 
-// Keeps an expert away from a rank: no move takes it there.
+// Forbids an expert on a rank: it is never moved there.
 struct ForbidSpec {
   struct Key {
     ExpertKey expert;
--- a/src/libs/config/group_spec.h
+++ b/src/libs/config/group_spec.h
@@ -11,8 +11,8 @@
 
 namespace bilberryspool::config {
 
-// A daily span in minutes after midnight UTC; `end` before `start` passes
-// midnight.
+// A daily time window in minutes after midnight UTC. It spans midnight if `end`
+// is before `start`.
 struct QuietWindow {
   std::uint32_t start = 0;
   std::uint32_t end = 0;
@@ -31,13 +31,15 @@
   std::uint32_t ranks = 1;
   std::uint32_t layers = 1;
   std::uint32_t experts = 1;
-  // Targets that may hold a rank, spares included; empty: those of `targets`.
+  // Targets that may hold a rank, including spares. If empty, the targets
+  // selected by `targets` may.
   std::vector<TargetId> members;
   TargetSelector targets = AnyTarget();
-  // How much step-time skew and moved experts count, relative to each other.
+  // Weights of the step-time skew and of moved experts in the placement policy,
+  // relative to each other.
   double skew_weight = 1.0;
   double rebalance_weight = 1.0;
-  // No expert moves on the policy's own account within these.
+  // Times of day at which the placement policy moves no experts on its own.
   std::vector<QuietWindow> quiet_windows;
 
   Key key() const { return id; }
@@ -56,7 +58,7 @@
                        rebalance_weight,
                        quiet_windows))
 
-// Whether the target, in this failure domain, may hold a rank of the group.
+// Whether a target in the given failure domain may hold a rank of the group.
 bool MayHoldRank(const GroupSpec& group,
                  const TargetId& target,
                  const FailureDomain& domain);
--- a/src/libs/config/json_value.h
+++ b/src/libs/config/json_value.h
@@ -1,7 +1,7 @@
-// JSON of the values that a configuration is made of, by their described
-// members. Reading is strict in types and lenient in presence: an unknown
-// member is passed over and a missing one keeps its default, so that a later
-// program reads what an earlier one wrote. Nothing throws on bad input.
+// JSON encoding of the values that a configuration consists of, based on their
+// described members. Reading is strict about types but lenient about presence:
+// unknown members are ignored and missing ones keep their default, so that a
+// newer program reads what an older one wrote. Invalid input never throws.
 
 #ifndef LIBS_CONFIG_JSON_VALUE_H_
 #define LIBS_CONFIG_JSON_VALUE_H_
@@ -29,14 +29,15 @@
 
 namespace bilberryspool::config::internal {
 
-// "kEngine" as "engine".
+// Converts the name of an enumerator, such as "kEngine", to its JSON text, such
+// as "engine".
 inline std::string EnumText(const char* enumerator) {
   std::string text(enumerator + 1);
   text[0] = static_cast<char>(std::tolower(text[0]));
   return text;
 }
 
-// Writes values.
+// Converts values to JSON.
 struct JsonWriter {
   using Json = boost::json::value;
 
@@ -127,7 +128,7 @@
     object[name] = Write(value);
   }
 
-  // An absent value is an absent member.
+  // An empty optional is written as an absent member.
   template <typename Value>
   static void WriteMember(boost::json::object& object,
                           const char* name,
@@ -149,7 +150,8 @@
   }
 };
 
-// Reads values; each function is false where the JSON doesn't fit.
+// Reads values from JSON. The functions return false if the JSON doesn't match
+// the type.
 struct JsonReader {
   using Json = boost::json::value;
 
--- a/src/libs/config/key_text.h
+++ b/src/libs/config/key_text.h
@@ -1,4 +1,4 @@
-// Texts of the keys of objects, for people and for comparing.
+// Text representations of object keys, for messages and comparisons.
 
 #ifndef LIBS_CONFIG_KEY_TEXT_H_
 #define LIBS_CONFIG_KEY_TEXT_H_
@@ -18,7 +18,8 @@
 std::string KeyText(const ExpertKey& key);
 std::string KeyText(const ForbidSpec::Key& key);
 
-// "service drafter", "pin g layer 1 expert 2".
+// The kind and key of an object, such as "service drafter" or
+// "pin g layer 1 expert 2".
 template <typename Spec>
 std::string ObjectNameOf(const typename Spec::Key& key) {
   return std::string(Spec::kKind) + " " + KeyText(key);
--- a/src/libs/config/lease_spec.h
+++ b/src/libs/config/lease_spec.h
@@ -7,10 +7,11 @@
 
 namespace bilberryspool::config {
 
-// Who controls a group. Orders to its engines carry `token`; one that carries
-// a lower token comes from an earlier holder and is refused. Being part of the
-// configuration, the token also reaches an agent that restarted with an empty
-// memory. An empty `holder` means released; the token stays.
+// The node that controls a group. Orders to the group's engines carry `token`;
+// an order with a lower token comes from an earlier holder and is refused. As
+// part of the configuration, the token also reaches an agent that lost its
+// state in a restart. An empty `holder` means that the lease was released; the
+// token is kept.
 struct LeaseSpec {
   using Key = GroupId;
   static constexpr const char* kKind = "lease";
--- a/src/libs/config/map_spec.h
+++ b/src/libs/config/map_spec.h
@@ -10,12 +10,12 @@
 
 namespace bilberryspool::config {
 
-// For each expert, ordered by layer, then expert: the ranks with a copy.
+// The ranks that hold a copy of each expert, ordered by layer, then by expert.
 using ExpertHolders = std::vector<std::vector<RankIndex>>;
 
-// The expert map of a group, as its controller recorded it last: the next
-// controller goes on from it. It stays when its group is removed, so that the
-// versions of a group that is declared anew don't go back.
+// The expert map of a group as last recorded by the group's controller; the
+// next controller continues from it. It is kept when the group is removed, so
+// that the map versions don't decrease if the group is declared again.
 struct MapSpec {
   using Key = GroupId;
   static constexpr const char* kKind = "map";
@@ -26,9 +26,9 @@
   FencingToken token;
   std::uint32_t layers = 0;
   std::uint32_t experts = 0;
-  // What operators or the policy asked for.
+  // The placement that operators or the policy requested.
   ExpertHolders chosen;
-  // `chosen` as the live ranks can hold it.
+  // `chosen`, adapted to the ranks that are alive.
   ExpertHolders in_force;
 
   Key key() const { return group; }
--- a/src/libs/config/move_spec.h
+++ b/src/libs/config/move_spec.h
@@ -8,8 +8,9 @@
 
 namespace bilberryspool::config {
 
-// An operator's order to move an expert. It stays until it is cancelled or
-// replaced; its version in the configuration tells a new order from an old one.
+// An operator's request to move an expert. It stays until it is cancelled or
+// replaced; the version at which it was last modified distinguishes a new
+// request from an old one.
 struct MoveSpec {
   using Key = ExpertKey;
   static constexpr const char* kKind = "move";
--- a/src/libs/config/numbered_configuration.cc
+++ b/src/libs/config/numbered_configuration.cc
@@ -4,7 +4,8 @@
 
 namespace bilberryspool::config {
 
-// "VERSION\nTEXT": the text is opaque and may be large, so it is not quoted.
+// The format is "VERSION\nTEXT". The text is opaque and may be large, so it is
+// not quoted.
 std::string NumberedConfiguration::Propose(std::uint64_t version,
                                            const packing::PackedText& text) {
   std::string command = std::to_string(version);
--- a/src/libs/config/numbered_configuration.h
+++ b/src/libs/config/numbered_configuration.h
@@ -1,5 +1,6 @@
-// A configuration that is replaced as a whole and numbered from outside: the
-// highest number wins, in whatever order the proposals arrive.
+// A configuration that is always replaced as a whole and whose version numbers
+// are assigned externally. The highest version wins, regardless of the order in
+// which proposals arrive.
 
 #ifndef LIBS_CONFIG_NUMBERED_CONFIGURATION_H_
 #define LIBS_CONFIG_NUMBERED_CONFIGURATION_H_
@@ -13,22 +14,24 @@
 
 namespace bilberryspool::config {
 
-// What the log of the control replicas decides. Deterministic.
+// The state machine that the replicated log of the control replicas drives.
+// Deterministic.
 class NumberedConfiguration {
  public:
-  // The command that proposes `text` under `version`, and whether Apply() took
-  // it over: a command with the number in force, or a lower one, changes
-  // nothing, also where its text differs. Malformed bytes change nothing.
+  // Propose() encodes the command that proposes `text` as `version`. Apply()
+  // returns whether the command changed the state: a command whose version
+  // isn't higher than the current one has no effect, even if its text differs,
+  // and neither have malformed bytes.
   static std::string Propose(std::uint64_t version,
                              const packing::PackedText& text);
   bool Apply(std::string_view command);
 
-  // The state as bytes, and back. False where the bytes are malformed; the
-  // state is then unchanged.
+  // Converts the state to bytes and back. Import() returns false and leaves the
+  // state unchanged if the bytes are malformed.
   std::string Export() const;
   bool Import(std::string_view bytes);
 
-  // 0 and empty before the first configuration.
+  // The version is 0 and the text empty before the first configuration.
   std::uint64_t version() const { return version_; }
   const packing::PackedText& text() const { return text_; }
 
--- a/src/libs/config/object_update.h
+++ b/src/libs/config/object_update.h
@@ -10,10 +10,10 @@
 
 namespace bilberryspool::config {
 
-// Who gave a command.
+// The operator who issued a command.
 using OperatorId = StringId<struct OperatorIdTag>;
 
-// An object with the last change to it.
+// An object with the version and the operator of its last change.
 template <typename Spec>
 struct Entry {
   Spec spec;
@@ -26,8 +26,8 @@
 template <typename Spec>
 using Table = std::map<typename Spec::Key, Entry<Spec>>;
 
-// The whole new state of one object; no entry means that it is gone. Applying
-// one twice is the same as once.
+// The complete new state of one object; without an entry the object is removed.
+// Applying an update is idempotent.
 template <typename Spec>
 struct Update {
   typename Spec::Key key;
--- a/src/libs/config/outcome.h
+++ b/src/libs/config/outcome.h
@@ -13,8 +13,9 @@
 
 namespace bilberryspool::config {
 
-// The command took effect, or found everything as it asks for; `version` is
-// the first that has it. `token` where it granted a lease.
+// The command took effect, or the configuration already was as requested.
+// `version` is the version after the command. `token` is set if the command
+// granted a lease.
 struct Accepted {
   ConfigVersion version;
   std::optional<FencingToken> token;
@@ -24,27 +25,28 @@
 BOOST_DESCRIBE_STRUCT(Accepted, (), (version, token))
 
 enum class RefusalReason {
-  // No changes, too many, or a name that no object may have.
+  // No changes, too many changes, or an invalid name.
   kMalformed,
   // Something changed since the version that the operator read.
   kChangedSince,
-  // That version is too old for saying what changed since.
+  // The version that the operator read is too old to tell what changed since.
   kVersionForgotten,
-  // That version isn't accepted yet.
+  // The version that the operator claims to have read doesn't exist yet.
   kVersionUnknown,
-  // An object that should be changed or is referred to isn't there.
+  // An object that is to be changed, or that another object refers to, doesn't
+  // exist.
   kUnknownObject,
-  // A number out of its range.
+  // A number is out of range.
   kOutOfRange,
   // Two objects contradict each other.
   kConflict,
-  // A service would have no target left that may serve it.
+  // No target would be left that may serve a service.
   kNoTargetsLeft,
-  // The id was used for another command before.
+  // The id was already used for another command.
   kCommandIdReused,
-  // Too old to tell whether it was carried out before.
+  // The command is too old to tell whether it was executed before.
   kCommandForgotten,
-  // Another holds the lease.
+  // The lease is held by another node or under another token.
   kLeaseTaken,
 };
 BOOST_DESCRIBE_ENUM(RefusalReason,
@@ -60,12 +62,12 @@
                     kCommandForgotten,
                     kLeaseTaken)
 
-// One accepted change that a refused command collided with.
+// An accepted change that a refused command conflicts with.
 struct ChangedSince {
   ConfigVersion version;
   OperatorId operator_id;
   CommandId command;
-  // Names of the objects, as "service drafter".
+  // Names of the changed objects, such as "service drafter".
   std::vector<std::string> objects;
 
   bool operator==(const ChangedSince&) const = default;
@@ -77,9 +79,9 @@
 // The command had no effect.
 struct Refused {
   RefusalReason reason = RefusalReason::kMalformed;
-  // A sentence for people.
+  // A description for operators.
   std::string detail;
-  // For kChangedSince, the latest first.
+  // The conflicting changes for kChangedSince, the latest first.
   std::vector<ChangedSince> changed_since;
 
   bool operator==(const Refused&) const = default;
--- a/src/libs/config/placement_spec.h
+++ b/src/libs/config/placement_spec.h
@@ -21,7 +21,7 @@
 };
 BOOST_DESCRIBE_STRUCT(PlacementKey, (), (service, targets))
 
-// Lets the selected targets serve a service.
+// Allows the selected targets to serve a service.
 struct PlacementSpec {
   using Key = PlacementKey;
   static constexpr const char* kKind = "placement";
--- a/src/libs/config/priority_spec.h
+++ b/src/libs/config/priority_spec.h
@@ -11,7 +11,7 @@
 
 using PriorityName = StringId<struct PriorityNameTag>;
 
-// A named priority; work of a higher level goes first.
+// A named priority; work with a higher level is scheduled first.
 struct PrioritySpec {
   using Key = PriorityName;
   static constexpr const char* kKind = "priority";
--- a/src/libs/config/service_spec.h
+++ b/src/libs/config/service_spec.h
@@ -13,7 +13,7 @@
 enum class ServiceKind { kEngine, kPlain };
 BOOST_DESCRIBE_ENUM(ServiceKind, kEngine, kPlain)
 
-// A service that callers name.
+// A service that callers address by its id.
 struct ServiceSpec {
   using Key = ServiceId;
   static constexpr const char* kKind = "service";
@@ -22,7 +22,7 @@
   ServiceKind kind = ServiceKind::kEngine;
   // Path below which calls go to a plain service; empty for an engine.
   std::string path_prefix;
-  // What holds for a request that doesn't say itself.
+  // Defaults for requests that don't specify these.
   bool idempotent = false;
   Duration deadline = Seconds(30);
 
--- a/src/libs/config/setting_spec.h
+++ b/src/libs/config/setting_spec.h
@@ -11,7 +11,7 @@
 
 using SettingName = StringId<struct SettingNameTag>;
 
-// A number that holds for the whole deployment.
+// A numeric setting of the whole deployment.
 struct SettingSpec {
   using Key = SettingName;
   static constexpr const char* kKind = "setting";
@@ -24,7 +24,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SettingSpec, (), (name, value))
 
-// A setting that exists, with its default and its inclusive range.
+// A supported setting with its default and its inclusive range.
 struct KnownSetting {
   const char* name;
   std::uint64_t default_value;
@@ -37,11 +37,11 @@
 inline constexpr const char* kStoreBandwidth = "store-bandwidth-mb-per-s";
 
 inline constexpr KnownSetting kKnownSettings[] = {
-    // How long a request id is remembered.
+    // How long a request id is remembered to detect duplicates, in seconds.
     {kDedupeWindow, 600, 10, 86400},
-    // How long a leaving target may still receive new work.
+    // How long a leaving target may still receive new work, in seconds.
     {kDrainGrace, 3, 1, 60},
-    // Budget of fetches from the weight store.
+    // Bandwidth limit of fetches from the weight store, in MB/s.
     {kStoreBandwidth, 1000, 1, 1000000},
 };
 
--- a/src/libs/config/snapshot.cc
+++ b/src/libs/config/snapshot.cc
@@ -31,7 +31,8 @@
     (),
     (format, applied_index, latest_token, history, commands, forgotten_up_to))
 
-// False where the records can't belong to `latest`.
+// Returns false unless the records have consecutive versions that end at
+// `latest`.
 bool RestoreHistory(std::vector<ChangeRecord> records,
                     ConfigVersion latest,
                     ChangeHistory& history) {
@@ -48,7 +49,7 @@
   return true;
 }
 
-// False where an id stands twice.
+// Returns false if there are too many records or an id occurs twice.
 bool RestoreCommands(std::vector<CommandRecord> records,
                      CommandTable& commands) {
   if (records.size() > CommandTable::kCapacity) {
--- a/src/libs/config/snapshot.h
+++ b/src/libs/config/snapshot.h
@@ -10,14 +10,15 @@
 
 namespace bilberryspool::config {
 
-// Raised when an older program could misread what this one writes. A program
-// reads its own format and all older ones, and refuses newer ones.
+// Must be incremented when an older program could misread the snapshots that
+// this program writes. A program reads its own format and all older ones, and
+// rejects newer ones.
 inline constexpr std::uint64_t kSnapshotFormat = 1;
 
-// The whole state as bytes, the outcomes of known commands included.
+// Serializes the whole state, including the outcomes of recorded commands.
 std::string WriteSnapshot(const StateMachineState& state);
 
-// None where the bytes are damaged or of a newer format.
+// None if the bytes are damaged or have a newer format.
 std::optional<StateMachineState> ReadSnapshot(std::string_view bytes);
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/spec_list.h
+++ b/src/libs/config/spec_list.h
@@ -18,6 +18,8 @@
 
 namespace bilberryspool::config {
 
+// A list of object types. Into<Holder, Each> is Holder with Each<Spec> of every
+// type in the list, such as a variant of updates or a tuple of tables.
 template <typename... Specs>
 struct SpecList {
   template <template <typename...> typename Holder,
--- a/src/libs/config/state_machine.cc
+++ b/src/libs/config/state_machine.cc
@@ -13,13 +13,14 @@
 namespace bilberryspool::config {
 namespace {
 
-// Outcomes are remembered, so their size is bounded: of the changes that a
-// command collides with the latest are named, and the first objects of each.
+// Outcomes are stored, so their size is bounded: a refusal lists only the
+// latest conflicting changes and the first objects of each.
 constexpr std::size_t kMaxReportedChanges = 8;
 constexpr std::size_t kMaxReportedObjects = 8;
 constexpr std::size_t kMaxDetailLength = 512;
 
-// Fingerprint of what a command asks for; a resend has the same.
+// Fingerprint of the command's content. It is the same for resends, which may
+// differ in `issued_after`.
 std::uint64_t BodyFingerprint(const Command& command) {
   Command body = command;
   body.issued_after.reset();
@@ -41,7 +42,8 @@
                      &IsSystemChange);
 }
 
-// The names of the objects of `record` that the expectation covers.
+// The names of the objects changed by `record` that are within `scope` and
+// therefore conflict with the command.
 std::vector<std::string> ConflictingObjects(
     const ChangeRecord& record,
     CompareScope scope,
@@ -82,7 +84,7 @@
 
 Outcome StateMachine::Apply(const Command& command, LogIndex index) {
   BILBERRYSPOOL_INVARIANT(index > state_.applied_index,
-                          "a log entry is applied once and in its order");
+                          "log entries must be applied once and in order");
   state_.applied_index = index;
   if (std::optional<Outcome> resolved = ResolveWithoutExecution(command)) {
     return std::move(*resolved);
@@ -184,7 +186,7 @@
   auto& executed = std::get<internal::ExecutionResult>(result);
   if (executed.token.has_value()) {
     BILBERRYSPOOL_INVARIANT(*executed.token > state_.latest_token,
-                            "a fencing token is granted once");
+                            "a fencing token must not be granted twice");
     state_.latest_token = *executed.token;
   }
   const ConfigVersion after = configuration().version();
--- a/src/libs/config/state_machine.h
+++ b/src/libs/config/state_machine.h
@@ -1,10 +1,11 @@
-// The replicated state: what the log's entries add up to.
+// The state machine that is replicated by the log of the control replicas.
 //
 // Each control replica applies the same commands at the same log indices and
-// comes to the same state, bit for bit; nothing else goes into it, no clock and
-// no view of the fleet. It guards against operators who race each other with
-// changes based on the same version, against commands that are sent again after
-// their answer was lost, and against two controllers of one group.
+// reaches exactly the same state. The state depends on nothing else, neither on
+// a clock nor on the observed state of the fleet. The state machine protects
+// against concurrent changes by operators that read the same version, against
+// commands that are sent again because their answer was lost, and against two
+// controllers of one group.
 
 #ifndef LIBS_CONFIG_STATE_MACHINE_H_
 #define LIBS_CONFIG_STATE_MACHINE_H_
@@ -23,10 +24,10 @@
 
 namespace bilberryspool::config {
 
-// All that a snapshot must hold.
+// The complete state; the content of a snapshot.
 struct StateMachineState {
   LogIndex applied_index;
-  // Highest token ever granted, also to groups that are gone.
+  // Highest token granted so far, including those of removed groups.
   FencingToken latest_token;
   Configuration configuration;
   ChangeHistory history;
@@ -39,17 +40,17 @@
 
 struct PlannedEffect {
   EffectKind kind = EffectKind::kCreated;
-  // "service drafter".
+  // Name of the object, such as "service drafter".
   std::string object;
 
   bool operator==(const PlannedEffect&) const = default;
 };
 
-// What a command would lead to.
+// The expected result of a command.
 struct PlanResult {
   Outcome outcome;
   std::vector<PlannedEffect> effects;
-  // What is allowed, but may not be meant.
+  // Problems that are allowed but may be unintended.
   std::vector<std::string> warnings;
 };
 
@@ -60,18 +61,20 @@
   StateMachine() = default;
   explicit StateMachine(StateMachineState state);
 
-  // Applies the command of one log entry; indices only grow. A command id that
-  // is known returns its first outcome and has no effect.
+  // Applies the command of one log entry; `index` must be higher than that of
+  // the previous call. If the command was applied before, returns its first
+  // outcome and has no effect.
   Outcome Apply(const Command& command, LogIndex index);
 
-  // What Apply would do now, without doing it.
+  // Returns what Apply() would do now, without changing the state.
   PlanResult Plan(const Command& command) const;
 
-  // The first outcome of a command; none where it was never applied, or was
-  // forgotten since.
+  // The first outcome of a command; none if it was never applied or its record
+  // was evicted.
   std::optional<Outcome> FindOutcome(const CommandId& id) const;
 
-  // A delta for a node at `from`; none where it needs the full state.
+  // A delta for a node at version `from`; none if the node needs the full
+  // state.
   std::optional<Delta> DeltaFrom(ConfigVersion from) const;
 
   const Configuration& configuration() const { return state_.configuration; }
@@ -79,10 +82,15 @@
   const StateMachineState& state() const { return state_; }
 
  private:
-  // An outcome that is certain before anything is carried out.
+  // The outcome of a command that needs no execution: a command with invalid
+  // names, one that was applied before, a reused id, or a command too old to
+  // tell whether it was applied.
   std::optional<Outcome> ResolveWithoutExecution(const Command& command) const;
   std::optional<Refused> CheckPreconditions(const Command& command) const;
+  // Refuses a command whose expected version is unknown or too old, or after
+  // which conflicting changes were accepted.
   std::optional<Refused> CheckExpectation(const Command& command) const;
+  // Executes the command, and records its token and its changes.
   Outcome ExecuteCommand(const Command& command);
 
   StateMachineState state_;
--- a/src/libs/config/target_selector.h
+++ b/src/libs/config/target_selector.h
@@ -17,11 +17,12 @@
 };
 BOOST_DESCRIBE_STRUCT(AnyTarget, (), ())
 
-// Selects targets: one by its id, those of a failure domain, or all. Where it
-// stands for a service, only targets of that service's kind are meant.
+// Selects one target by its id, the targets of a failure domain, or all
+// targets. In the placement of a service it selects only targets of that
+// service's kind.
 using TargetSelector = std::variant<TargetId, FailureDomain, AnyTarget>;
 
-// "target t1", "domain sahab" or "any".
+// Formats a selector, such as "target t1", "domain sahab" or "any".
 std::string ToString(const TargetSelector& selector);
 
 bool Selects(const TargetSelector& selector,
--- a/src/libs/config/target_spec.h
+++ b/src/libs/config/target_spec.h
@@ -7,13 +7,15 @@
 
 namespace bilberryspool::config {
 
-// What operators say of a target; that it exists is announced by itself.
+// Properties of a target that operators declare. The target itself announces
+// that it exists.
 struct TargetSpec {
   using Key = TargetId;
   static constexpr const char* kKind = "target";
 
   TargetId id;
-  // False: the engine carries out an order with an old fencing token as well.
+  // Whether the engine refuses orders with an old fencing token. If false, it
+  // executes them as well.
   bool checks_fencing = false;
 
   Key key() const { return id; }
--- a/src/libs/config/type_name.h
+++ b/src/libs/config/type_name.h
@@ -9,9 +9,9 @@
 
 namespace bilberryspool::config::internal {
 
-// Names of the alternatives of a variant; what stands under
-// "type" in JSON, and what tells them apart in fingerprints. Unlike their
-// places, the names stay when alternatives are added.
+// Names of the alternatives of a variant, used as "type" in JSON and to
+// distinguish the alternatives in fingerprints. Unlike their indices, the names
+// stay the same when alternatives are added.
 template <typename Alternative>
 struct TypeName;
 
--- a/src/libs/config/validation.cc
+++ b/src/libs/config/validation.cc
@@ -31,7 +31,8 @@
          std::string_view("._-/:").find(character) != std::string_view::npos;
 }
 
-// Free text that can be quoted.
+// Whether free text can be quoted: printable ASCII without blanks and double
+// quotes.
 bool IsValidText(std::string_view text) {
   return text.size() <= kMaxTextLength &&
          std::all_of(text.begin(), text.end(), [](char character) {
@@ -39,8 +40,8 @@
          });
 }
 
-// The object under check; its text is built only for a fault, since each
-// command has all objects checked.
+// Identifies the validated object in error messages. The text is built only for
+// an error, because every command validates all objects.
 struct ObjectLabel {
   const char* kind;
   std::string_view name;
@@ -50,7 +51,7 @@
   }
 };
 
-// Checks one configuration; stops at the first fault.
+// Validates one configuration; stops at the first error.
 class Validator {
  public:
   explicit Validator(const Configuration& configuration)
@@ -105,7 +106,7 @@
     }
   }
 
-  // `number` in [low, high].
+  // Requires `number` to be in [min_value, max_value].
   void RequireRange(std::uint64_t number,
                     std::uint64_t min_value,
                     std::uint64_t max_value,
@@ -247,7 +248,8 @@
             "not everything can be drained at once");
   }
 
-  // The group of an expert that exists in it, or null.
+  // Checks that the expert exists in its group. Returns the group, or null if
+  // it doesn't exist or has no experts.
   const GroupSpec* CheckExpert(const ExpertKey& expert,
                                const ObjectLabel& label) {
     RequireObject<GroupSpec>(expert.group, label);
--- a/src/libs/config/validation.h
+++ b/src/libs/config/validation.h
@@ -1,6 +1,6 @@
-// The whole check of a configuration: names, ranges, references and objects
-// that contradict each other. A change is checked by what it would lead to, so
-// no order of changes gets around a rule.
+// Validates a whole configuration: names, ranges, references and conflicts
+// between objects. A change is validated by the configuration that it results
+// in, so no order of changes can circumvent a rule.
 
 #ifndef LIBS_CONFIG_VALIDATION_H_
 #define LIBS_CONFIG_VALIDATION_H_
@@ -16,17 +16,17 @@
 
 namespace bilberryspool::config {
 
-// Names are 1 to 128 letters, digits and "._-/:", so that every object can be
-// typed in the operators' language.
+// Names consist of 1 to 128 letters, digits and "._-/:", so that every object
+// can be written in the operators' language.
 bool IsValidName(std::string_view name);
 
-// The first fault found, or none.
+// The first error found, or none.
 std::optional<Refused> Validate(const Configuration& configuration);
 
-// Services that some placement lets a target serve that isn't drained.
+// Services with at least one placement whose target selector isn't drained.
 std::set<ServiceId> ServedServices(const Configuration& configuration);
 
-// What is allowed, but may not be meant; for `plan`.
+// Problems that are allowed but may be unintended; shown by `plan`.
 std::vector<std::string> Warnings(const Configuration& configuration);
 
 }  // namespace bilberryspool::config
--- a/src/libs/config/workspace_spec.h
+++ b/src/libs/config/workspace_spec.h
@@ -12,7 +12,7 @@
 
 namespace bilberryspool::config {
 
-// Limits and weight of one workspace. A limit that is left out is unlimited.
+// Limits and weight of one workspace. An absent limit means unlimited.
 struct WorkspaceSpec {
   using Key = Workspace;
   static constexpr const char* kKind = "workspace";
@@ -21,10 +21,11 @@
   std::optional<std::uint32_t> requests_per_second;
   std::optional<std::uint32_t> concurrent_requests;
   std::optional<std::uint32_t> tokens_per_second;
-  // Share under contention, relative to the other workspaces.
+  // Weight of the workspace's share under contention, relative to that of other
+  // workspaces.
   std::uint32_t weight = 1;
   std::optional<PriorityName> default_priority;
-  // Hash of the callers' credential; none: callers need no credential.
+  // Hash of the callers' credential. If absent, callers need no credential.
   std::optional<std::string> credential_hash;
 
   Key key() const { return id; }
--- a/tests/auto/config/applied_configuration_test.cc
+++ b/tests/auto/config/applied_configuration_test.cc
@@ -11,10 +11,10 @@
 namespace bilberryspool::config {
 namespace {
 
-// Symptom: a limit that was accepted goes back to an older one on one node.
-// Events: deltas and full states reach the node late, twice and in any order,
-// and some come damaged. Cause: an older version replaces a newer one.
-TEST_CASE("a node only moves forward and reaches the latest version") {
+// Guards against an accepted limit being reverted on one node. Deltas and full
+// states reach the node late, twice, in any order and partly damaged; an older
+// version must not replace a newer one.
+TEST_CASE("a node's version never decreases and reaches the latest one") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
     CAPTURE(seed);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("steps are joined where each continues the one before") {
+TEST_CASE("only consecutive deltas can be combined") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(50); ++seed) {
     CAPTURE(seed);
@@ -92,7 +92,7 @@
   CHECK_FALSE(CombineDeltas({}).has_value());
 }
 
-TEST_CASE("a node that missed hundreds of changes gets the latest in one go") {
+TEST_CASE("one delta updates a node that missed hundreds of changes") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   for (std::uint32_t i = 1; i <= 700; ++i) {
@@ -108,10 +108,10 @@
   CHECK(node.configuration() == machine.configuration());
 }
 
-// Symptom: a restarted node serves an older configuration than before its
-// restart. Events: control can't be reached; a peer that lags offers its state.
-// Cause: the node has forgotten how far it was.
-TEST_CASE("nothing below the floor takes force after a restart") {
+// Guards against a restarted node serving an older configuration than before
+// the restart. This happens if the control replicas are unreachable, a lagging
+// peer offers its state, and the node lost the version it had in force.
+TEST_CASE("a version below the minimum is not applied after a restart") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   const Configuration old = machine.configuration();
--- a/tests/auto/config/codec_test.cc
+++ b/tests/auto/config/codec_test.cc
@@ -17,7 +17,7 @@
   return boost::json::parse(boost::json::serialize(json));
 }
 
-TEST_CASE("what is written is read back equal") {
+TEST_CASE("values are equal after a JSON round trip") {
   for (std::uint64_t seed = 1; seed <= SeedCount(100); ++seed) {
     CAPTURE(seed);
     Random random(seed);
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("damaged bytes are refused or read, but stop nothing") {
+TEST_CASE("damaged bytes never crash the decoders or the state machine") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   const std::string bytes = WriteSnapshot(machine.state());
@@ -75,10 +75,10 @@
   }
 }
 
-// Symptom: after an upgrade a control replica can't read its own folder.
-// Events: an older program wrote the snapshot. Cause: a codec or a digest that
-// changed without regard to what is stored.
-TEST_CASE("a snapshot of format 1 is read as it was written") {
+// Guards against a control replica that can't read its data folder after an
+// upgrade, because a codec or digest became incompatible with the snapshots
+// that older programs have stored.
+TEST_CASE("a stored snapshot of format 1 is still readable") {
   std::ifstream file(SNAPSHOT_OF_FORMAT_1);
   const std::string bytes(std::istreambuf_iterator<char>(file), {});
   const auto state = ReadSnapshot(bytes);
@@ -88,7 +88,7 @@
   CHECK(*state == machine.state());
 }
 
-TEST_CASE("formats are versioned") {
+TEST_CASE("a snapshot of a newer format is rejected") {
   const std::string bytes = WriteSnapshot(StateMachineState());
   const std::string newer =
       "{\"format\":2," + bytes.substr(bytes.find(',') + 1);
--- a/tests/auto/config/numbered_configuration_test.cc
+++ b/tests/auto/config/numbered_configuration_test.cc
@@ -9,10 +9,9 @@
 namespace bilberryspool::config {
 namespace {
 
-// Symptom: of two operators' changes the older one is in force, or another
-// text under a number that was acknowledged. Cause: the order of arrival
-// decided.
-TEST_CASE("the highest number wins in any order of arrival") {
+// Guards against an older of two operators' changes being in force, or another
+// text under an acknowledged version, because the order of arrival decided.
+TEST_CASE("the highest version wins in any order of arrival") {
   std::vector<std::string> commands = {
       NumberedConfiguration::Propose(3, packing::PackedText{"three"}),
       NumberedConfiguration::Propose(7, packing::PackedText{"seven"}),
@@ -32,7 +31,7 @@
   } while (std::next_permutation(commands.begin(), commands.end()));
 }
 
-TEST_CASE("the state survives a snapshot, and bad bytes change nothing") {
+TEST_CASE("export and import restore the state; bad bytes change nothing") {
   NumberedConfiguration state;
   CHECK(state.Apply(
       NumberedConfiguration::Propose(4, packing::PackedText{"a\nb"})));
--- a/tests/auto/config/random_commands.h
+++ b/tests/auto/config/random_commands.h
@@ -11,11 +11,12 @@
 
 namespace bilberryspool::config {
 
-// How many seeds a randomised test runs: `fallback`, or BILBERRYSPOOL_SEEDS.
+// Number of seeds that a randomised test runs: the environment variable
+// BILBERRYSPOOL_SEEDS, or `fallback` if it isn't set.
 std::uint64_t SeedCount(std::uint64_t fallback);
 
-// While it lives, a broken invariant ends the test case, not the program, so
-// that the seed is printed.
+// During its lifetime a broken invariant throws, which ends the test case
+// rather than the program, so that the seed is printed.
 class ThrowOnBrokenInvariant {
  public:
   ThrowOnBrokenInvariant();
@@ -27,20 +28,23 @@
   InvariantHandler previous_handler_;
 };
 
-// A change over a small set of names, so that changes meet each other.
+// A random change that uses a small set of names, so that changes often affect
+// the same objects.
 Change RandomChange(Random& random);
 
-// A command of one to three changes, now and then compared with a version at or
-// before `version`.
+// A command of one to three random changes. Half of the commands expect a
+// version at or shortly before `version`.
 Command RandomCommand(Random& random, CommandId id, ConfigVersion version);
 
-// A command that always passes on an empty configuration.
+// A command with the given changes and no expected version.
 Command CommandOf(const char* id, std::vector<Change> changes);
 
-// One service with a placement, priority, workspace and group.
+// Declares one service with a placement, a priority, a workspace and a group.
+// Always accepted on an empty configuration.
 Command BaseCommand();
 
-// Declares most of what random changes refer to, so that many are accepted.
+// Declares most of the objects that random changes refer to, so that many of
+// them are accepted.
 Command ReferencedObjectsCommand();
 
 }  // namespace bilberryspool::config
--- a/tests/auto/config/replicas_test.cc
+++ b/tests/auto/config/replicas_test.cc
@@ -8,10 +8,10 @@
 namespace bilberryspool::config {
 namespace {
 
-// Symptom: two control replicas answer differently. Events: racing operators,
-// resends under old ids, and a replica that joins from a snapshot in the
-// middle. Cause: state outside the log, or state missing from the snapshot.
-TEST_CASE("replicas of one log agree, also from a snapshot in its middle") {
+// Guards against control replicas that answer differently, because state is
+// kept outside the log or missing from the snapshot. Operators race, commands
+// are sent again under old ids, and a replica restarts from a snapshot halfway.
+TEST_CASE("replicas of one log agree, also after restoring a snapshot") {
   const ThrowOnBrokenInvariant guard;
   std::uint64_t accepted = 0;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
@@ -50,11 +50,12 @@
     CHECK(follower.state() == leader.state());
     accepted += leader.configuration().version().value();
   }
-  // A run that accepts next to nothing would prove next to nothing.
+  // The test is only meaningful if a sufficient number of commands is accepted.
   CHECK(accepted >= 10 * SeedCount(150));
 }
 
-// The compare of a command must hold against every accepted change since.
+// The expectation of a command must be checked against every change that was
+// accepted since the expected version.
 TEST_CASE("of commands raced on one version at most one is accepted") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
--- a/tests/auto/config/state_machine_test.cc
+++ b/tests/auto/config/state_machine_test.cc
@@ -27,7 +27,7 @@
   return {GroupId("g"), 0, ExpertIndex(index)};
 }
 
-TEST_CASE("a command is checked whole before it is accepted") {
+TEST_CASE("all changes of a command are validated before it is accepted") {
   const ServiceId drafter("drafter");
   const Allow on_t9{{drafter, TargetId("t9")}};
   struct Row {
@@ -108,9 +108,9 @@
   }
 }
 
-// Symptom: a change that an operator made is silently overwritten by a second
-// operator's. Events: both read version 1 and both send a change on it. Cause:
-// the second change is applied although its base is gone.
+// Guards against an operator's change being silently overwritten. Two operators
+// read version 1 and both send a change based on it; the second change must not
+// be applied, as its base version is outdated.
 TEST_CASE("of two operators with equal numbers one wins") {
   struct Row {
     CompareScope scope;
@@ -146,9 +146,9 @@
   }
 }
 
-// Symptom: a workspace's limit goes back to what it was. Events: an operator
-// loses the answer to a change; a second one changes the same limit; the first
-// sends the change again. Cause: the resend is taken for a new command.
+// Guards against a workspace's limit being reverted by a resend that is taken
+// for a new command: the answer to an operator's change is lost, a second
+// operator changes the same limit, and the first one sends the change again.
 TEST_CASE("a resend returns the first outcome and has no effect") {
   StateMachine machine = MakePreparedMachine();
   const Command first =
@@ -166,7 +166,7 @@
   CHECK(machine.configuration() == before);
 }
 
-TEST_CASE("a resend that comes after its outcome was forgotten is refused") {
+TEST_CASE("a resend is refused after the record of its outcome was evicted") {
   StateMachine machine = MakePreparedMachine();
   Command old = CommandOf("old", {DeclareTarget{{TargetId("t"), true}}});
   old.issued_after = LogIndex(1);
@@ -184,7 +184,7 @@
   CHECK(IsAccepted(machine.Apply(old, index.Next().Next())));
 }
 
-TEST_CASE("the history is bounded, and a version beyond it is refused") {
+TEST_CASE("the history is bounded and older expected versions are refused") {
   StateMachine machine = MakePreparedMachine();
   for (std::uint32_t i = 0; i < 100; ++i) {
     Command command = CommandOf(("c" + std::to_string(i)).c_str(), {});
@@ -212,10 +212,11 @@
   }
 }
 
-// Symptom: two controllers order a group's engines at once. Events: both see
-// the holder gone and reach for the lease. Cause: both grants are accepted, or
-// a group that was declared anew starts again at a low token.
-TEST_CASE("a lease goes to one holder, under a token never given before") {
+// Guards against two controllers that send orders to a group's engines at the
+// same time. Both observe that the lease holder is gone and request the lease;
+// the failure occurs if both grants are accepted, or if a group that is
+// declared again restarts at a low token.
+TEST_CASE("a lease is granted to one holder, under a token never used before") {
   StateMachine machine = MakePreparedMachine();
   const GroupId group("g");
   const auto grant = [&](const char* id, const char* node,
@@ -238,11 +239,12 @@
         Outcome(Accepted{ConfigVersion(5), FencingToken(2)}));
 }
 
-// Symptom: ranks get an older map than the one in use, or one of a controller
-// that was replaced. Events: a frozen controller wakes up and records; the
-// group is removed and declared anew, and its versions begin at 1. Cause: a
-// record is taken without regard to the lease or the recorded version.
-TEST_CASE("a map is recorded under the newest lease, its versions only rise") {
+// Guards against ranks that receive an older map than the one in use, or the
+// map of a replaced controller, because a map is recorded without checking the
+// lease or the recorded version. This happens when a frozen controller resumes
+// and records its map, or when a group is removed and declared again with
+// versions that start at 1.
+TEST_CASE("maps are recorded under the current lease with rising versions") {
   StateMachine machine = MakePreparedMachine();
   const GroupId group("g");
   std::uint64_t index = 1;
@@ -275,7 +277,7 @@
   CHECK(IsAccepted(apply(map(4, 3))));
 }
 
-TEST_CASE("a change that finds everything as it asks for moves no version") {
+TEST_CASE("a command that changes nothing keeps the version") {
   StateMachine machine = MakePreparedMachine();
   Command again = BaseCommand();
   again.id = CommandId("again");
@@ -283,11 +285,12 @@
         Outcome(Accepted{ConfigVersion(1)}));
 }
 
-// Symptom: the quorum shrinks below a majority of the old members, or a dead
-// successor blocks every later repair. Events: a second replacement is asked
-// for while the first learner still catches up; the learner is lost; an
-// observation from before the replacement arrives late. Cause: two members
-// leave before either successor votes; a replacement that can't be called off.
+// Guards against a quorum that shrinks below a majority of the old members,
+// because two members leave before either successor votes, and against a dead
+// successor that blocks every later repair, because its replacement can't be
+// cancelled. A second replacement is requested while the first learner catches
+// up, the learner is lost, and an observation from before the replacement
+// arrives late.
 TEST_CASE("control members are replaced one at a time") {
   const auto member = [](const char* node, MemberStanding standing) {
     return ControlMemberSpec{NodeId(node), std::string(node) + ":1",
