--- a/src/libs/language/expectations.cc
+++ b/src/libs/language/expectations.cc
@@ -2,26 +2,26 @@
 
 namespace bilberryspool::language::internal {
 
-void Expectations::AddWord(std::size_t place, const std::string& word) {
-  if (Reach(place)) {
+void Expectations::AddWord(std::size_t offset, const std::string& word) {
+  if (AdvanceTo(offset)) {
     words_.insert(word);
   }
 }
 
-void Expectations::AddDescription(std::size_t place,
+void Expectations::AddDescription(std::size_t offset,
                                   const std::string& description) {
-  if (Reach(place)) {
+  if (AdvanceTo(offset)) {
     descriptions_.insert(description);
   }
 }
 
-bool Expectations::Reach(std::size_t place) {
-  if (place > place_) {
-    place_ = place;
+bool Expectations::AdvanceTo(std::size_t offset) {
+  if (offset > furthest_offset_) {
+    furthest_offset_ = offset;
     words_.clear();
     descriptions_.clear();
   }
-  return place == place_;
+  return offset == furthest_offset_;
 }
 
 }  // namespace bilberryspool::language::internal
--- a/src/libs/language/expectations.h
+++ b/src/libs/language/expectations.h
@@ -11,18 +11,18 @@
 // that failed earlier says nothing about what the operator meant.
 class Expectations {
  public:
-  void AddWord(std::size_t place, const std::string& word);
-  void AddDescription(std::size_t place, const std::string& description);
+  void AddWord(std::size_t offset, const std::string& word);
+  void AddDescription(std::size_t offset, const std::string& description);
 
-  std::size_t place() const { return place_; }
+  std::size_t offset() const { return furthest_offset_; }
   const std::set<std::string>& words() const { return words_; }
   const std::set<std::string>& descriptions() const { return descriptions_; }
 
  private:
   // False where `place` lies before the furthest one.
-  bool Reach(std::size_t place);
+  bool AdvanceTo(std::size_t offset);
 
-  std::size_t place_ = 0;
+  std::size_t furthest_offset_ = 0;
   std::set<std::string> words_;
   std::set<std::string> descriptions_;
 };
--- a/src/libs/language/filter.cc
+++ b/src/libs/language/filter.cc
@@ -33,14 +33,14 @@
   return text == nullptr ? std::string() : *text;
 }
 
-bool Holds(const Filter& filter, const Cell& cell) {
+bool Matches(const Filter& filter, const Cell& cell) {
   const std::optional<double> number = NumberOf(cell);
-  const std::optional<double> wanted = NumberOf(filter.value);
-  if (number.has_value() != wanted.has_value() && number.has_value()) {
+  const std::optional<double> filter_number = NumberOf(filter.value);
+  if (number.has_value() != filter_number.has_value() && number.has_value()) {
     return filter.comparison == Comparison::kNotEqual;
   }
   const std::partial_ordering order =
-      number.has_value() ? *number <=> *wanted
+      number.has_value() ? *number <=> *filter_number
                          : std::partial_ordering(TextOf(cell) <=> filter.value);
   switch (filter.comparison) {
     case Comparison::kEqual:
@@ -57,7 +57,7 @@
   return false;
 }
 
-void Reject(const Filter& filter, Answer& answer) {
+void RejectUnknownColumn(const Filter& filter, Answer& answer) {
   std::string note = "there is no column " + filter.column + "; there are";
   for (const std::string& column : answer.table->columns) {
     note += " " + column;
@@ -75,13 +75,13 @@
     auto& [columns, rows] = *answer.table;
     const auto found = std::find(columns.begin(), columns.end(), filter.column);
     if (found == columns.end()) {
-      Reject(filter, answer);
+      RejectUnknownColumn(filter, answer);
       return;
     }
     const auto column =
         static_cast<std::size_t>(std::distance(columns.begin(), found));
     std::erase_if(rows, [&](const std::vector<Cell>& row) {
-      return column >= row.size() || !Holds(filter, row[column]);
+      return column >= row.size() || !Matches(filter, row[column]);
     });
   }
 }
--- a/src/libs/language/grammar.cc
+++ b/src/libs/language/grammar.cc
@@ -47,7 +47,7 @@
 // goes into the value of the rule that it stands in.
 
 template <typename Target, typename Value>
-void Assign(Target& target, Value&& value) {
+void AssignConverted(Target& target, Value&& value) {
   target = Target(std::forward<Value>(value));
 }
 
@@ -56,7 +56,7 @@
 struct Set {
   template <typename Context>
   void operator()(Context& context) const {
-    Assign(x3::_val(context).*Member, x3::_attr(context));
+    AssignConverted(x3::_val(context).*Member, x3::_attr(context));
   }
 };
 
@@ -74,7 +74,7 @@
 struct SetIn {
   template <typename Context>
   void operator()(Context& context) const {
-    Assign(x3::_val(context).*Outer.*Inner, x3::_attr(context));
+    AssignConverted(x3::_val(context).*Outer.*Inner, x3::_attr(context));
   }
 };
 
@@ -89,7 +89,7 @@
 
 // Makes the whole value, as one alternative of a variant.
 template <typename Alternative>
-struct Become {
+struct AssignAlternative {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context) = Alternative(x3::_attr(context));
@@ -98,7 +98,7 @@
 
 // Appends a change made of the object or key just read.
 template <typename ChangeType>
-struct Push {
+struct AppendChange {
   template <typename Context>
   void operator()(Context& context) const {
     using Attribute = std::decay_t<decltype(x3::_attr(context))>;
@@ -113,7 +113,7 @@
 
 // Appends the removal of the object whose name was just read.
 template <typename Spec>
-struct PushRemoval {
+struct AppendRemoval {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context).changes.emplace_back(
@@ -121,7 +121,7 @@
   }
 };
 
-struct PushCancelReplacement {
+struct AppendCancelReplacement {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context).changes.emplace_back(
@@ -130,7 +130,7 @@
 };
 
 template <CompareScope Scope>
-struct Expect {
+struct SetExpectation {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context).expected =
@@ -149,8 +149,8 @@
 
 const auto kSelector =
     x3::rule<struct SelectorTag, TargetSelector>{"selector"} =
-        (Word("target") >> kName[Become<TargetId>()]) |
-        (Word("domain") >> kName[Become<FailureDomain>()]) |
+        (Word("target") >> kName[AssignAlternative<TargetId>()]) |
+        (Word("domain") >> kName[AssignAlternative<FailureDomain>()]) |
         Word("any")[([](auto& context) { x3::_val(context) = AnyTarget(); })];
 
 const auto kExpert = x3::rule<struct ExpertTag, ExpertKey>{"expert"} =
@@ -233,7 +233,7 @@
 
 // The key of a placement or a kept-away expert is read as the whole object.
 template <typename Spec>
-struct PushRemovalOf {
+struct AppendRemovalByKey {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context).changes.emplace_back(
@@ -243,38 +243,38 @@
 
 const auto kDeclaration =
     x3::rule<struct DeclarationTag, ChangeStatement>{"declaration"} =
-        (Word("service") >> kService[Push<DeclareService>()]) |
-        (Word("workspace") >> kWorkspace[Push<DeclareWorkspace>()]) |
-        (Word("priority") >> kPriority[Push<DeclarePriority>()]) |
-        (Word("group") >> kGroup[Push<DeclareGroup>()]) |
-        (Word("target") >> kTarget[Push<DeclareTarget>()]);
+        (Word("service") >> kService[AppendChange<DeclareService>()]) |
+        (Word("workspace") >> kWorkspace[AppendChange<DeclareWorkspace>()]) |
+        (Word("priority") >> kPriority[AppendChange<DeclarePriority>()]) |
+        (Word("group") >> kGroup[AppendChange<DeclareGroup>()]) |
+        (Word("target") >> kTarget[AppendChange<DeclareTarget>()]);
 
 const auto kRemoval = x3::rule<struct RemovalTag, ChangeStatement>{"removal"} =
-    (Word("service") >> kName[PushRemoval<ServiceSpec>()]) |
-    (Word("workspace") >> kName[PushRemoval<WorkspaceSpec>()]) |
-    (Word("priority") >> kName[PushRemoval<PrioritySpec>()]) |
-    (Word("group") >> kName[PushRemoval<GroupSpec>()]) |
-    (Word("target") >> kName[PushRemoval<TargetSpec>()]);
-
-const auto kOrder = x3::rule<struct OrderTag, ChangeStatement>{"order"} =
-    (Word("allow") >> kPlacement[Push<Allow>()]) |
-    (Word("deny") >> kPlacement[PushRemovalOf<PlacementSpec>()]) |
-    (Word("drain") >> kSelector[Push<Drain>()]) |
-    (Word("undrain") >> kSelector[Push<Undrain>()]) |
-    (Word("pin") >> kPin[Push<Pin>()]) |
-    (Word("unpin") >> kExpert[Push<Unpin>()]) |
-    (Word("forbid") >> kForbid[Push<Forbid>()]) |
-    (Word("permit") >> kForbid[PushRemovalOf<ForbidSpec>()]) |
-    (Word("move") >> kMove[Push<Move>()]) |
-    (Word("cancel") >> Word("move") >> kExpert[Push<CancelMove>()]) |
+    (Word("service") >> kName[AppendRemoval<ServiceSpec>()]) |
+    (Word("workspace") >> kName[AppendRemoval<WorkspaceSpec>()]) |
+    (Word("priority") >> kName[AppendRemoval<PrioritySpec>()]) |
+    (Word("group") >> kName[AppendRemoval<GroupSpec>()]) |
+    (Word("target") >> kName[AppendRemoval<TargetSpec>()]);
+
+const auto kAction = x3::rule<struct ActionTag, ChangeStatement>{"order"} =
+    (Word("allow") >> kPlacement[AppendChange<Allow>()]) |
+    (Word("deny") >> kPlacement[AppendRemovalByKey<PlacementSpec>()]) |
+    (Word("drain") >> kSelector[AppendChange<Drain>()]) |
+    (Word("undrain") >> kSelector[AppendChange<Undrain>()]) |
+    (Word("pin") >> kPin[AppendChange<Pin>()]) |
+    (Word("unpin") >> kExpert[AppendChange<Unpin>()]) |
+    (Word("forbid") >> kForbid[AppendChange<Forbid>()]) |
+    (Word("permit") >> kForbid[AppendRemovalByKey<ForbidSpec>()]) |
+    (Word("move") >> kMove[AppendChange<Move>()]) |
+    (Word("cancel") >> Word("move") >> kExpert[AppendChange<CancelMove>()]) |
     (Word("cancel") >> Word("replacement") >> Word("of") >> Word("member") >>
-     kName[PushCancelReplacement()]) |
-    (Word("set") >> kSetting[Push<SetSetting>()]) |
-    (Word("unset") >> kName[PushRemoval<SettingSpec>()]) |
-    (Word("replace") >> kReplacement[Push<ReplaceControlMember>()]);
+     kName[AppendCancelReplacement()]) |
+    (Word("set") >> kSetting[AppendChange<SetSetting>()]) |
+    (Word("unset") >> kName[AppendRemoval<SettingSpec>()]) |
+    (Word("replace") >> kReplacement[AppendChange<ReplaceControlMember>()]);
 
 // Adds the changes of a part to the statement.
-struct Join {
+struct AppendChanges {
   template <typename Context>
   void operator()(Context& context) const {
     for (Change& change : x3::_attr(context).changes) {
@@ -284,13 +284,14 @@
 };
 
 const auto kChanges = x3::rule<struct ChangesTag, ChangeStatement>{"changes"} =
-    (((Word("declare") >> kDeclaration[Join()]) |
-      (Word("remove") >> kRemoval[Join()]) | kOrder[Join()]) %
+    (((Word("declare") >> kDeclaration[AppendChanges()]) |
+      (Word("remove") >> kRemoval[AppendChanges()]) |
+      kAction[AppendChanges()]) %
      Sign(";")) >>
     -((Word("at") >> Word("version") >>
-       kBigNumber[Expect<CompareScope::kConfiguration>()]) |
+       kBigNumber[SetExpectation<CompareScope::kConfiguration>()]) |
       (Word("since") >> Word("version") >>
-       kBigNumber[Expect<CompareScope::kObjects>()])) >>
+       kBigNumber[SetExpectation<CompareScope::kObjects>()])) >>
     -(Word("as") >> kText[Set<&ChangeStatement::id>()]);
 
 const auto kWait = x3::rule<struct WaitTag, WaitStatement>{"wait"} =
@@ -308,15 +309,16 @@
       (kFilter[Append<&ShowStatement::where>()] % Word("and")));
 
 const auto kWhy = x3::rule<struct WhyTag, WhySubject>{"why"} =
-    Word("why") >> ((Word("target") >> kName[Become<TargetId>()]) |
-                    (Word("service") >> kName[Become<ServiceId>()]) |
-                    (Word("group") >> kName[Become<GroupId>()]) |
-                    (Word("workspace") >> kName[Become<Workspace>()]) |
-                    (Word("request") >> kText[Become<RequestId>()]));
+    Word("why") >>
+    ((Word("target") >> kName[AssignAlternative<TargetId>()]) |
+     (Word("service") >> kName[AssignAlternative<ServiceId>()]) |
+     (Word("group") >> kName[AssignAlternative<GroupId>()]) |
+     (Word("workspace") >> kName[AssignAlternative<Workspace>()]) |
+     (Word("request") >> kText[AssignAlternative<RequestId>()]));
 
 // Makes a statement of the part just read.
 template <typename StatementType>
-struct State {
+struct MakeStatement {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context) = StatementType{std::move(x3::_attr(context))};
@@ -324,21 +326,21 @@
 };
 
 template <typename StatementType>
-struct StateRead {
+struct AssignStatement {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context) = std::move(x3::_attr(context));
   }
 };
 
-struct StateRequest {
+struct MakeShowRequest {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context) = ShowRequestStatement{RequestId(x3::_attr(context))};
   }
 };
 
-struct StateHelp {
+struct MakeHelp {
   template <typename Context>
   void operator()(Context& context) const {
     x3::_val(context) = HelpStatement();
@@ -346,18 +348,18 @@
 };
 
 const auto kStatement = x3::rule<struct StatementTag, Statement>{"statement"} =
-    (kChanges[StateRead<ChangeStatement>()] |
-     (Word("plan") >> kChanges[State<PlanStatement>()]) |
-     kWait[StateRead<WaitStatement>()] |
-     (Word("show") >> Word("request") >> kText[StateRequest()]) |
-     kShow[StateRead<ShowStatement>()] | kWhy[State<WhyStatement>()] |
-     Word("help")[StateHelp()]) >>
+    (kChanges[AssignStatement<ChangeStatement>()] |
+     (Word("plan") >> kChanges[MakeStatement<PlanStatement>()]) |
+     kWait[AssignStatement<WaitStatement>()] |
+     (Word("show") >> Word("request") >> kText[MakeShowRequest()]) |
+     kShow[AssignStatement<ShowStatement>()] |
+     kWhy[MakeStatement<WhyStatement>()] | Word("help")[MakeHelp()]) >>
     End();
 
 }  // namespace
 
-std::optional<Statement> ParseWhole(std::string_view text,
-                                    Expectations& expectations) {
+std::optional<Statement> ParseCompleteStatement(std::string_view text,
+                                                Expectations& expectations) {
   const ParseState state{text, expectations};
   const char* first = text.data();
   const char* last = first + text.size();
--- a/src/libs/language/grammar.h
+++ b/src/libs/language/grammar.h
@@ -11,8 +11,8 @@
 
 // The statement that `text` is as a whole, or none; `expectations` then says
 // what was missing.
-std::optional<Statement> ParseWhole(std::string_view text,
-                                    Expectations& expectations);
+std::optional<Statement> ParseCompleteStatement(std::string_view text,
+                                                Expectations& expectations);
 
 // Letters, digits and "._-/:".
 bool IsNameCharacter(char character);
--- a/src/libs/language/grammar_tokens.cc
+++ b/src/libs/language/grammar_tokens.cc
@@ -6,8 +6,8 @@
 namespace bilberryspool::language::internal {
 namespace {
 
-constexpr std::uint32_t kMinutesOfHour = 60;
-constexpr std::uint32_t kHoursOfDay = 24;
+constexpr std::uint32_t kMinutesPerHour = 60;
+constexpr std::uint32_t kHoursPerDay = 24;
 
 struct DurationUnit {
   std::string_view name;
@@ -21,7 +21,7 @@
                                            {"h", Seconds(3600)}};
 
 // True where a word or number that ends at `end` goes no further.
-bool EndsThere(const char* end, const char* last) {
+bool IsTokenEnd(const char* end, const char* last) {
   return end == last || !IsNameCharacter(*end);
 }
 
@@ -38,7 +38,7 @@
 template <typename Number>
 bool ReadWholeNumber(const char*& first, const char* last, Number& value) {
   const char* end = first;
-  if (!ReadDigits(end, last, value) || !EndsThere(end, last)) {
+  if (!ReadDigits(end, last, value) || !IsTokenEnd(end, last)) {
     return false;
   }
   first = end;
@@ -52,8 +52,8 @@
       !ReadDigits(first, last, minutes)) {
     return false;
   }
-  value = hours * kMinutesOfHour + minutes;
-  return hours < kHoursOfDay && minutes < kMinutesOfHour;
+  value = hours * kMinutesPerHour + minutes;
+  return hours < kHoursPerDay && minutes < kMinutesPerHour;
 }
 
 }  // namespace
@@ -126,7 +126,7 @@
                 config::QuietWindow& value) {
   const char* end = first;
   if (!ReadTimeOfDay(end, last, value.start) || !ReadSign(end, last, "-") ||
-      !ReadTimeOfDay(end, last, value.end) || !EndsThere(end, last)) {
+      !ReadTimeOfDay(end, last, value.end) || !IsTokenEnd(end, last)) {
     return false;
   }
   first = end;
@@ -145,7 +145,7 @@
 
 bool ReadWord(const char*& first, const char* last, std::string_view word) {
   const char* end = first;
-  if (!ReadSign(end, last, word) || !EndsThere(end, last)) {
+  if (!ReadSign(end, last, word) || !IsTokenEnd(end, last)) {
     return false;
   }
   first = end;
--- a/src/libs/language/grammar_tokens.h
+++ b/src/libs/language/grammar_tokens.h
@@ -27,7 +27,7 @@
   std::string_view text;
   Expectations& expectations;
 
-  std::size_t PlaceOf(const char* position) const {
+  std::size_t OffsetOf(const char* position) const {
     return static_cast<std::size_t>(position - text.data());
   }
 };
@@ -75,7 +75,7 @@
       return true;
     }
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddDescription(state.PlaceOf(position), description);
+    state.expectations.AddDescription(state.OffsetOf(position), description);
     return false;
   }
 
@@ -109,7 +109,7 @@
       return true;
     }
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddWord(state.PlaceOf(position), text);
+    state.expectations.AddWord(state.OffsetOf(position), text);
     return false;
   }
 
@@ -162,7 +162,7 @@
              Attribute& /*attribute*/) const {
     x3::skip_over(first, last, context);
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddDescription(state.PlaceOf(first), "the end");
+    state.expectations.AddDescription(state.OffsetOf(first), "the end");
     return first == last;
   }
 };
--- a/src/libs/language/parser.cc
+++ b/src/libs/language/parser.cc
@@ -8,16 +8,16 @@
 constexpr std::size_t kMaxFoundLength = 32;
 
 // The word that begins at `place`.
-std::string WordAt(std::string_view text, std::size_t place) {
-  std::size_t end = place;
+std::string WordAt(std::string_view text, std::size_t offset) {
+  std::size_t end = offset;
   while (end < text.size() && internal::IsNameCharacter(text[end])) {
     ++end;
   }
-  if (end == place && end < text.size()) {
+  if (end == offset && end < text.size()) {
     ++end;
   }
   return std::string(
-      text.substr(place, std::min(end - place, kMaxFoundLength)));
+      text.substr(offset, std::min(end - offset, kMaxFoundLength)));
 }
 
 }  // namespace
@@ -38,11 +38,11 @@
     return ParseError{kMaxStatementLength + 1, {"the end"}, ""};
   }
   internal::Expectations expectations;
-  if (auto statement = internal::ParseWhole(text, expectations)) {
+  if (auto statement = internal::ParseCompleteStatement(text, expectations)) {
     return std::move(*statement);
   }
   ParseError error{
-      expectations.place() + 1, {}, WordAt(text, expectations.place())};
+      expectations.offset() + 1, {}, WordAt(text, expectations.offset())};
   for (const std::string& word : expectations.words()) {
     error.expected.push_back("\"" + word + "\"");
   }
@@ -63,9 +63,9 @@
   const std::string_view unfinished = prefix.substr(start);
   const std::string_view head = prefix.substr(0, start);
   internal::Expectations expectations;
-  internal::ParseWhole(head, expectations);
+  internal::ParseCompleteStatement(head, expectations);
   std::vector<std::string> words;
-  if (expectations.place() != head.size()) {
+  if (expectations.offset() != head.size()) {
     return words;
   }
   for (const std::string& word : expectations.words()) {
--- a/src/libs/language/printer.cc
+++ b/src/libs/language/printer.cc
@@ -10,7 +10,7 @@
 namespace bilberryspool::language {
 namespace {
 
-constexpr std::uint32_t kMinutesOfHour = 60;
+constexpr std::uint32_t kMinutesPerHour = 60;
 
 std::string Quote(const std::string& text) {
   return "\"" + text + "\"";
@@ -40,8 +40,8 @@
   const auto two_digits = [](std::uint32_t number) {
     return (number < 10 ? "0" : "") + std::to_string(number);
   };
-  return two_digits(minutes / kMinutesOfHour) + ":" +
-         two_digits(minutes % kMinutesOfHour);
+  return two_digits(minutes / kMinutesPerHour) + ":" +
+         two_digits(minutes % kMinutesPerHour);
 }
 
 std::string PrintExpert(const config::ExpertKey& key) {
--- a/src/libs/language/rendering.cc
+++ b/src/libs/language/rendering.cc
@@ -35,7 +35,7 @@
 }
 
 // Columns of the terminal that UTF-8 text takes, near enough for names.
-std::size_t Width(const std::string& text) {
+std::size_t DisplayWidth(const std::string& text) {
   return static_cast<std::size_t>(
       std::count_if(text.begin(), text.end(), [](char byte) {
         return (static_cast<unsigned char>(byte) & 0xc0U) != 0x80U;
@@ -45,23 +45,24 @@
 std::vector<std::size_t> ColumnWidths(const AnswerTable& table) {
   std::vector<std::size_t> widths;
   for (const std::string& column : table.columns) {
-    widths.push_back(Width(column));
+    widths.push_back(DisplayWidth(column));
   }
   for (const auto& row : table.rows) {
     for (std::size_t i = 0; i < row.size() && i < widths.size(); ++i) {
-      widths[i] = std::max(widths[i], Width(CellText(row[i])));
+      widths[i] = std::max(widths[i], DisplayWidth(CellText(row[i])));
     }
   }
   return widths;
 }
 
 // One line without blanks at its end.
-std::string Line(const std::vector<std::string>& cells,
-                 const std::vector<std::size_t>& widths) {
+std::string FormatLine(const std::vector<std::string>& cells,
+                       const std::vector<std::size_t>& widths) {
   std::string line;
   for (std::size_t i = 0; i < cells.size() && i < widths.size(); ++i) {
     line += cells[i];
-    line.append(widths[i] + 2 - std::min(Width(cells[i]), widths[i]), ' ');
+    line.append(widths[i] + 2 - std::min(DisplayWidth(cells[i]), widths[i]),
+                ' ');
   }
   line.erase(line.find_last_not_of(' ') + 1);
   return line + "\n";
@@ -69,19 +70,19 @@
 
 std::string TableText(const AnswerTable& table) {
   const std::vector<std::size_t> widths = ColumnWidths(table);
-  std::string text = Line(table.columns, widths);
+  std::string text = FormatLine(table.columns, widths);
   for (const auto& row : table.rows) {
     std::vector<std::string> cells;
     cells.reserve(row.size());
     for (const Cell& cell : row) {
       cells.push_back(CellText(cell));
     }
-    text += Line(cells, widths);
+    text += FormatLine(cells, widths);
   }
   return text;
 }
 
-boost::json::array Strings(const std::vector<std::string>& texts) {
+boost::json::array StringsToJson(const std::vector<std::string>& texts) {
   boost::json::array array;
   array.reserve(texts.size());
   for (const std::string& text : texts) {
@@ -90,7 +91,7 @@
   return array;
 }
 
-boost::json::array RowsJson(const AnswerTable& table) {
+boost::json::array RowsToJson(const AnswerTable& table) {
   boost::json::array rows;
   for (const auto& row : table.rows) {
     boost::json::object object;
@@ -185,10 +186,10 @@
     }
   }
   if (answer.table.has_value()) {
-    object["columns"] = Strings(answer.table->columns);
-    object["rows"] = RowsJson(*answer.table);
+    object["columns"] = StringsToJson(answer.table->columns);
+    object["rows"] = RowsToJson(*answer.table);
   }
-  object["notes"] = Strings(answer.notes);
+  object["notes"] = StringsToJson(answer.notes);
   return boost::json::serialize(object);
 }
 
--- a/src/libs/language/statement.cc
+++ b/src/libs/language/statement.cc
@@ -3,10 +3,10 @@
 namespace bilberryspool::language {
 
 config::Command ToCommand(const ChangeStatement& statement,
-                          const CommandId& fallback,
+                          const CommandId& default_id,
                           const config::OperatorId& operator_id,
                           std::optional<LogIndex> issued_after) {
-  return {statement.id.value_or(fallback), operator_id, statement.expected,
+  return {statement.id.value_or(default_id), operator_id, statement.expected,
           statement.changes, issued_after};
 }
 
--- a/src/libs/language/statement.h
+++ b/src/libs/language/statement.h
@@ -139,7 +139,7 @@
 // The command that a statement stands for. `fallback` is the id where the
 // statement names none; `issued_after` as in config::Command.
 config::Command ToCommand(const ChangeStatement& statement,
-                          const CommandId& fallback,
+                          const CommandId& default_id,
                           const config::OperatorId& operator_id,
                           std::optional<LogIndex> issued_after);
 
--- a/tests/auto/language/answers_test.cc
+++ b/tests/auto/language/answers_test.cc
@@ -6,7 +6,7 @@
 namespace bilberryspool::language {
 namespace {
 
-config::Command CommandFor(const std::string& text, const char* id) {
+config::Command ParseCommand(const std::string& text, const char* id) {
   const auto parsed = ParseStatement(text);
   REQUIRE(std::holds_alternative<Statement>(parsed));
   const auto& statement =
@@ -16,20 +16,20 @@
 }
 
 // A machine after the given statements, one command each.
-config::StateMachine After(const std::vector<std::string>& texts) {
+config::StateMachine MachineAfter(const std::vector<std::string>& texts) {
   config::StateMachine machine;
   LogIndex index;
   for (const std::string& text : texts) {
     index = index.Next();
     const std::string id = "c" + std::to_string(index.value());
-    const auto outcome = machine.Apply(CommandFor(text, id.c_str()), index);
+    const auto outcome = machine.Apply(ParseCommand(text, id.c_str()), index);
     CAPTURE(text);
     REQUIRE(std::holds_alternative<config::Accepted>(outcome));
   }
   return machine;
 }
 
-std::string Shown(const char* text, const config::StateMachine& machine) {
+std::string RenderShow(const char* text, const config::StateMachine& machine) {
   const auto parsed = ParseStatement(text);
   const auto answer =
       AnswerShow(std::get<ShowStatement>(std::get<Statement>(parsed)),
@@ -45,8 +45,8 @@
     "priority urgent; declare workspace dairy weight 3"};
 
 TEST_CASE("answers are tables of what is asked for") {
-  const config::StateMachine machine = After(kStatements);
-  CHECK(Shown("show workspaces", machine) ==
+  const config::StateMachine machine = MachineAfter(kStatements);
+  CHECK(RenderShow("show workspaces", machine) ==
         "workspace  requests  concurrent  tokens  weight  priority  credential"
         "  version  by\n"
         "dairy      -         -           -       3       -         no        "
@@ -54,25 +54,25 @@
         "kiln       200       -           -       1       urgent    no        "
         "  2        amal\n"
         "as of version 2\n");
-  CHECK(Shown("show priorities where level > 9 and by = amal", machine) ==
+  CHECK(RenderShow("show priorities where level > 9 and by = amal", machine) ==
         "priority  level  version  by\n"
         "urgent    10     2        amal\n"
         "as of version 2\n");
-  CHECK(Shown("show priorities where level > 10", machine) ==
+  CHECK(RenderShow("show priorities where level > 10", machine) ==
         "priority  level  version  by\nas of version 2\n");
-  CHECK(Shown("show priorities where colour = red", machine) ==
+  CHECK(RenderShow("show priorities where colour = red", machine) ==
         "there is no column colour; there are priority level version by\n");
 }
 
 TEST_CASE("a shown configuration declares itself anew") {
-  const config::StateMachine machine = After(kStatements);
+  const config::StateMachine machine = MachineAfter(kStatements);
   const auto answer =
       AnswerShow({Subject::kConfig, {}}, machine.configuration());
   std::string text;
   for (const auto& row : answer->table->rows) {
     text += (text.empty() ? "" : "; ") + std::get<std::string>(row[0]);
   }
-  const config::StateMachine again = After({text});
+  const config::StateMachine again = MachineAfter({text});
   CHECK(AnswerShow({Subject::kConfig, {}}, again.configuration())->table ==
         answer->table);
 }
@@ -102,8 +102,8 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.text);
-    config::StateMachine machine = After(kStatements);
-    const config::Command command = CommandFor(row.text, "c");
+    config::StateMachine machine = MachineAfter(kStatements);
+    const config::Command command = ParseCommand(row.text, "c");
     CHECK(RenderText(AnswerPlan(machine.Plan(command))) == row.planned);
     CHECK(RenderText(AnswerOutcome(machine.Apply(command, LogIndex(9)))) ==
           row.applied);
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE("why names the placements and who made them") {
-  config::StateMachine machine = After(kStatements);
+  config::StateMachine machine = MachineAfter(kStatements);
   CHECK(
       ExplainFromConfiguration(ServiceId("drafter"), machine.configuration()) ==
       std::vector<std::string>{
