--- a/src/libs/language/answer.h
+++ b/src/libs/language/answer.h
@@ -11,7 +11,7 @@
 
 using Cell = std::variant<std::string, std::uint64_t, double, bool>;
 
-// Rows of as many cells as there are columns.
+// A table; each row has one cell per column.
 struct AnswerTable {
   std::vector<std::string> columns;
   std::vector<std::vector<Cell>> rows;
@@ -21,19 +21,20 @@
 
 enum class AnswerStatus {
   kDone,
-  // Understood, but without effect.
+  // The statement is valid but was refused and had no effect.
   kRefused,
-  // Not a statement, or one that can't be answered here.
+  // The text is no valid statement, or can't be answered by this process.
   kInvalid,
-  // May or may not have taken effect: send it again under the same id.
+  // The outcome is unknown: the statement may or may not have taken effect and
+  // should be sent again under the same id.
   kUnknown,
 };
 
-// What an operator is answered.
+// The answer to an operator's statement.
 struct Answer {
   AnswerStatus status = AnswerStatus::kDone;
   std::optional<AnswerTable> table;
-  // Sentences below the table.
+  // Sentences that are shown below the table.
   std::vector<std::string> notes;
 
   bool operator==(const Answer&) const = default;
--- a/src/libs/language/config_answers.cc
+++ b/src/libs/language/config_answers.cc
@@ -26,8 +26,8 @@
   return number;
 }
 
-// One line per kind of object: its columns, and a row's cells. Who changed the
-// object last, and when, is added to each.
+// Columns and cells of the tables, one pair of functions per kind of object.
+// TableOf() adds the version and the operator of the last change to each row.
 
 std::vector<std::string> ColumnsOf(const config::ServiceSpec*) {
   return {"service", "kind", "path", "idempotent", "deadline_s"};
@@ -146,7 +146,7 @@
   return table;
 }
 
-// All known settings, those that keep their default too.
+// All known settings, including those with their default value.
 AnswerTable SettingsTable(const Configuration& configuration) {
   AnswerTable table{{"setting", "value", "default"}, {}};
   for (const config::KnownSetting& known : config::kKnownSettings) {
@@ -164,7 +164,7 @@
             std::to_string(configuration.digest().value())}}};
 }
 
-// Everything, as the statements that would declare it anew.
+// The whole configuration as statements that declare the same objects.
 AnswerTable ConfigTable(const Configuration& configuration) {
   AnswerTable table{{"statement"}, {}};
   configuration.ForEachTable([&](const auto& objects) {
@@ -215,7 +215,8 @@
   return std::nullopt;
 }
 
-// "service drafter: declared at version 3 by op".
+// Adds a note such as "service drafter: last changed at version 3 by op" if the
+// object exists.
 template <typename Spec>
 void ExplainObject(const typename Spec::Key& key,
                    const Configuration& configuration,
--- a/src/libs/language/config_answers.h
+++ b/src/libs/language/config_answers.h
@@ -1,5 +1,5 @@
-// Answers that the accepted configuration alone gives. What runs now is known
-// to the parts that run it; they build their tables themselves.
+// Answers that depend only on the accepted configuration. Tables of the runtime
+// state are built by the components that own that state.
 
 #ifndef LIBS_LANGUAGE_CONFIG_ANSWERS_H_
 #define LIBS_LANGUAGE_CONFIG_ANSWERS_H_
@@ -18,13 +18,14 @@
 
 namespace bilberryspool::language {
 
-// The table that was asked for, filtered; none where the subject isn't part of
-// the configuration (targets, domains).
+// The requested table with the statement's filters applied; none if the subject
+// isn't part of the configuration (targets, domains).
 std::optional<Answer> AnswerShow(const ShowStatement& statement,
                                  const config::Configuration& configuration);
 
-// What the configuration says of the subject, a sentence each: who may serve
-// it, what is drained, who changed it last. Empty where nothing is declared.
+// Describes the subject's configuration in one sentence per fact: who may serve
+// it, what is drained, who changed it last. Empty if nothing is declared for
+// it.
 std::vector<std::string> ExplainFromConfiguration(
     const WhySubject& about,
     const config::Configuration& configuration);
@@ -33,10 +34,12 @@
 Answer AnswerPlan(const config::PlanResult& plan);
 Answer AnswerParseError(const ParseError& error);
 
-// How far a version has spread.
+// The number of nodes that have a version in force, and the nodes that don't.
 struct InForce {
   ConfigVersion version;
+  // Number of all nodes.
   std::size_t nodes = 0;
+  // Nodes that don't have the version in force yet.
   std::vector<NodeId> lacking;
 };
 Answer AnswerInForce(const InForce& in_force);
--- a/src/libs/language/expectations.h
+++ b/src/libs/language/expectations.h
@@ -7,8 +7,9 @@
 
 namespace bilberryspool::language::internal {
 
-// What was expected at the furthest place that a parse came to. An alternative
-// that failed earlier says nothing about what the operator meant.
+// Collects the tokens that were expected at the furthest offset that a parse
+// reached. Alternatives that failed earlier are ignored, as they don't help to
+// explain the error.
 class Expectations {
  public:
   void AddWord(std::size_t offset, const std::string& word);
@@ -19,7 +20,8 @@
   const std::set<std::string>& descriptions() const { return descriptions_; }
 
  private:
-  // False where `place` lies before the furthest one.
+  // Discards the collected tokens if `offset` lies beyond the furthest offset.
+  // Returns false if it lies before it.
   bool AdvanceTo(std::size_t offset);
 
   std::size_t furthest_offset_ = 0;
--- a/src/libs/language/filter.h
+++ b/src/libs/language/filter.h
@@ -8,9 +8,10 @@
 
 namespace bilberryspool::language {
 
-// Keeps the rows of the answer's table for which all filters hold. Numbers
-// compare as numbers, yes and no as the words, all else as text. A column that
-// the table doesn't have makes the answer invalid and names those there are.
+// Keeps the rows of the answer's table that match all filters. Numbers are
+// compared as numbers, flags as the words "yes" and "no", everything else as
+// text. An unknown column makes the answer invalid; its note lists the existing
+// columns.
 void ApplyFilters(const std::vector<Filter>& filters, Answer& answer);
 
 }  // namespace bilberryspool::language
--- a/src/libs/language/grammar.cc
+++ b/src/libs/language/grammar.cc
@@ -43,8 +43,8 @@
 using config::Unpin;
 using config::WorkspaceSpec;
 
-// Semantic actions. X3 passes the context; the attribute of the part just read
-// goes into the value of the rule that it stands in.
+// Semantic actions. X3 passes the context; the attribute of the parser just
+// matched is stored in the value of the enclosing rule.
 
 template <typename Target, typename Value>
 void AssignConverted(Target& target, Value&& value) {
@@ -69,7 +69,7 @@
   }
 };
 
-// Sets the member of a member, as of an expert's key.
+// Sets a member of a member, such as one of an expert's key.
 template <auto Outer, auto Inner>
 struct SetIn {
   template <typename Context>
@@ -87,7 +87,7 @@
   }
 };
 
-// Makes the whole value, as one alternative of a variant.
+// Sets the whole value, a variant, to one of its alternatives.
 template <typename Alternative>
 struct AssignAlternative {
   template <typename Context>
@@ -96,7 +96,7 @@
   }
 };
 
-// Appends a change made of the object or key just read.
+// Appends a change that consists of the parsed object or key.
 template <typename ChangeType>
 struct AppendChange {
   template <typename Context>
@@ -111,7 +111,7 @@
   }
 };
 
-// Appends the removal of the object whose name was just read.
+// Appends the removal of the object whose name was parsed.
 template <typename Spec>
 struct AppendRemoval {
   template <typename Context>
@@ -231,7 +231,8 @@
         Word("in") >>
         Word("domain") >> kName[Set<&ReplaceControlMember::domain>()];
 
-// The key of a placement or a kept-away expert is read as the whole object.
+// Appends the removal of a placement or a forbidden expert, whose key is parsed
+// as the whole object.
 template <typename Spec>
 struct AppendRemovalByKey {
   template <typename Context>
@@ -273,7 +274,7 @@
     (Word("unset") >> kName[AppendRemoval<SettingSpec>()]) |
     (Word("replace") >> kReplacement[AppendChange<ReplaceControlMember>()]);
 
-// Adds the changes of a part to the statement.
+// Appends the changes of a nested rule to the statement.
 struct AppendChanges {
   template <typename Context>
   void operator()(Context& context) const {
@@ -316,7 +317,7 @@
      (Word("workspace") >> kName[AssignAlternative<Workspace>()]) |
      (Word("request") >> kText[AssignAlternative<RequestId>()]));
 
-// Makes a statement of the part just read.
+// Wraps the parsed part in a statement of the given type.
 template <typename StatementType>
 struct MakeStatement {
   template <typename Context>
--- a/src/libs/language/grammar.h
+++ b/src/libs/language/grammar.h
@@ -9,12 +9,12 @@
 
 namespace bilberryspool::language::internal {
 
-// The statement that `text` is as a whole, or none; `expectations` then says
-// what was missing.
+// Parses `text` as one complete statement. On failure it returns none and
+// `expectations` contains the expected tokens.
 std::optional<Statement> ParseCompleteStatement(std::string_view text,
                                                 Expectations& expectations);
 
-// Letters, digits and "._-/:".
+// True for letters, digits and "._-/:".
 bool IsNameCharacter(char character);
 
 }  // namespace bilberryspool::language::internal
--- a/src/libs/language/grammar_tokens.cc
+++ b/src/libs/language/grammar_tokens.cc
@@ -20,7 +20,8 @@
                                            {"m", Seconds(60)},
                                            {"h", Seconds(3600)}};
 
-// True where a word or number that ends at `end` goes no further.
+// Whether a word or number that was read up to `end` is complete, i.e. isn't
+// followed by further name characters.
 bool IsTokenEnd(const char* end, const char* last) {
   return end == last || !IsNameCharacter(*end);
 }
--- a/src/libs/language/grammar_tokens.h
+++ b/src/libs/language/grammar_tokens.h
@@ -1,5 +1,5 @@
-// The smallest parts of the grammar: words, names, numbers. Each notes what it
-// expected where it doesn't match.
+// The tokens of the grammar: words, names, numbers. A token that doesn't match
+// records what it expected in the Expectations.
 
 #ifndef LIBS_LANGUAGE_GRAMMAR_TOKENS_H_
 #define LIBS_LANGUAGE_GRAMMAR_TOKENS_H_
@@ -22,7 +22,7 @@
 
 namespace x3 = boost::spirit::x3;
 
-// What a parse carries along.
+// State of one parse; passed to the tokens in the X3 context.
 struct ParseState {
   std::string_view text;
   Expectations& expectations;
@@ -33,7 +33,8 @@
 };
 struct ParseStateTag;
 
-// Reads one value at `first`; false leaves `first` as it is.
+// Each function reads one value at `first` and moves `first` behind it. If it
+// returns false, `first` is unchanged.
 bool ReadName(const char*& first, const char* last, std::string& value);
 bool ReadQuoted(const char*& first, const char* last, std::string& value);
 bool ReadNumber(const char*& first, const char* last, std::uint32_t& value);
@@ -48,7 +49,8 @@
 bool ReadWord(const char*& first, const char* last, std::string_view word);
 bool ReadSign(const char*& first, const char* last, std::string_view sign);
 
-// A token with a value, described for the case that it is missing.
+// A token with a value. The description is recorded as expected if the token
+// doesn't match.
 template <typename Value>
 struct Token : x3::parser<Token<Value>> {
   using attribute_type = Value;
--- a/src/libs/language/parser.cc
+++ b/src/libs/language/parser.cc
@@ -7,7 +7,8 @@
 
 constexpr std::size_t kMaxFoundLength = 32;
 
-// The word that begins at `place`.
+// The word, or else the single character, that starts at `offset`; at most
+// kMaxFoundLength bytes.
 std::string WordAt(std::string_view text, std::size_t offset) {
   std::size_t end = offset;
   while (end < text.size() && internal::IsNameCharacter(text[end])) {
--- a/src/libs/language/parser.h
+++ b/src/libs/language/parser.h
@@ -1,8 +1,9 @@
-// The operators' language: one statement of text into its type.
+// Parser of the operators' language: converts the text of one statement to its
+// type.
 //
-// docs/LANGUAGE.md is its page of reference. A statement that doesn't parse is
-// answered with the column and everything that could have stood there, so that
-// nobody has to guess; the same knowledge completes words at the prompt.
+// docs/LANGUAGE.md is the language reference. A parse error contains the column
+// and everything that is valid there. The same information is used to complete
+// words at the prompt.
 
 #ifndef LIBS_LANGUAGE_PARSER_H_
 #define LIBS_LANGUAGE_PARSER_H_
@@ -18,24 +19,26 @@
 namespace bilberryspool::language {
 
 struct ParseError {
-  // From 1, in bytes.
+  // Starts at 1; counted in bytes.
   std::size_t column = 1;
-  // What could have stood there: words in quotes, or descriptions.
+  // The tokens that are valid at this column: words in quotes, or descriptions.
   std::vector<std::string> expected;
-  // What stands there; empty at the end.
+  // The text found at this column; empty at the end of the statement.
   std::string found;
 
   bool operator==(const ParseError&) const = default;
 };
 
-// "column 9: expected "engine" or "plain", found "fast"".
+// Formats an error, such as:
+// column 9: expected "engine" or "plain", found "fast"
 std::string ToString(const ParseError& error);
 
+// In bytes.
 inline constexpr std::size_t kMaxStatementLength = 65536;
 
 std::variant<Statement, ParseError> ParseStatement(std::string_view text);
 
-// The words that could stand in place of the last, unfinished one.
+// The words that can replace the last, incomplete word of `prefix`.
 std::vector<std::string> Complete(std::string_view prefix);
 
 }  // namespace bilberryspool::language
--- a/src/libs/language/printer.cc
+++ b/src/libs/language/printer.cc
@@ -16,7 +16,7 @@
   return "\"" + text + "\"";
 }
 
-// The shortest text that reads back as the same number.
+// The shortest text that parses to the same number.
 std::string PrintDecimal(double number) {
   std::array<char, 32> buffer{};
   const auto result =
@@ -24,7 +24,7 @@
   return {buffer.data(), result.ptr};
 }
 
-// In the largest unit that is exact.
+// Prints a duration in the largest unit (s, ms, us) that is exact.
 std::string PrintDuration(Duration duration) {
   const std::int64_t count = duration.count();
   if (count % Seconds(1).count() == 0) {
@@ -52,7 +52,7 @@
   return "rank " + std::to_string(rank.value());
 }
 
-// " word value", or nothing where there is no value.
+// Returns " word value", or an empty string if there is no value.
 std::string PrintOptional(const char* word,
                           const std::optional<std::uint32_t>& value) {
   return value.has_value()
@@ -142,7 +142,7 @@
   return "set " + setting.name.value() + " " + std::to_string(setting.value);
 }
 
-// How the removal of an object begins; its key follows.
+// The words of a removal that precede the object's key.
 template <typename Spec>
 std::string RemovalWords() {
   return std::string("remove ") + Spec::kKind + " ";
--- a/src/libs/language/printer.h
+++ b/src/libs/language/printer.h
@@ -7,14 +7,14 @@
 
 namespace bilberryspool::language {
 
-// The text that parses to this statement; a change of the system's own, which
-// has no text, stands as a remark in parentheses.
+// Text that parses to this statement. Changes that only the system itself
+// issues have no syntax and are printed as a remark in parentheses.
 std::string Print(const Statement& statement);
 
-// One change, as in a statement.
+// Prints one change in the syntax of a statement.
 std::string Print(const config::Change& change);
 
-// The words that declare an object as it is.
+// Prints the change that declares the object.
 template <typename Spec>
 std::string PrintDeclaration(const Spec& spec) {
   return Print(config::Change(config::Declare<Spec>{spec}));
--- a/src/libs/language/rendering.cc
+++ b/src/libs/language/rendering.cc
@@ -34,7 +34,8 @@
       cell);
 }
 
-// Columns of the terminal that UTF-8 text takes, near enough for names.
+// Approximate number of terminal columns of UTF-8 text: counts code points,
+// which is sufficient for names.
 std::size_t DisplayWidth(const std::string& text) {
   return static_cast<std::size_t>(
       std::count_if(text.begin(), text.end(), [](char byte) {
@@ -55,7 +56,7 @@
   return widths;
 }
 
-// One line without blanks at its end.
+// Formats one line of a table, without trailing blanks.
 std::string FormatLine(const std::vector<std::string>& cells,
                        const std::vector<std::size_t>& widths) {
   std::string line;
--- a/src/libs/language/rendering.h
+++ b/src/libs/language/rendering.h
@@ -9,13 +9,15 @@
 
 namespace bilberryspool::language {
 
-// For people: aligned columns, then the notes, each line ended.
+// Renders an answer as plain text for people: a table with aligned columns,
+// then the notes, each line terminated by a newline.
 std::string RenderText(const Answer& answer);
 
-// For programs: {"status", "columns", "rows": [{column: cell}], "notes"}.
+// Renders an answer as JSON for programs:
+// {"status", "columns", "rows": [{column: cell}], "notes"}.
 std::string RenderJson(const Answer& answer);
 
-// Reads what RenderJson wrote; none where it isn't that.
+// Parses the output of RenderJson(); none if `text` isn't a valid answer.
 std::optional<Answer> AnswerFromJson(std::string_view text);
 
 }  // namespace bilberryspool::language
--- a/src/libs/language/statement.h
+++ b/src/libs/language/statement.h
@@ -1,4 +1,4 @@
-// The operators' statements, as types.
+// Types of the operators' statements.
 
 #ifndef LIBS_LANGUAGE_STATEMENT_H_
 #define LIBS_LANGUAGE_STATEMENT_H_
@@ -15,7 +15,7 @@
 
 namespace bilberryspool::language {
 
-// Changes that take effect together or not at all.
+// Changes of which either all or none take effect.
 struct ChangeStatement {
   std::vector<config::Change> changes;
   std::optional<config::Expectation> expected;
@@ -24,14 +24,14 @@
   bool operator==(const ChangeStatement&) const = default;
 };
 
-// Asks what changes would do.
+// Requests the effects that changes would have.
 struct PlanStatement {
   ChangeStatement change;
 
   bool operator==(const PlanStatement&) const = default;
 };
 
-// Waits until a version is in force everywhere.
+// Waits until a version is in force on all nodes.
 struct WaitStatement {
   static constexpr Duration kDefaultTimeout = Seconds(10);
 
@@ -41,7 +41,7 @@
   bool operator==(const WaitStatement&) const = default;
 };
 
-// What `show` lists.
+// The kinds of tables that `show` can list.
 enum class Subject {
   kConfig,
   kDomains,
@@ -90,7 +90,8 @@
     {">", Comparison::kGreater},
     {"~", Comparison::kContains}};
 
-// Keeps the rows whose `column` compares so with `value`.
+// Selects the rows whose cell in `column` compares to `value` as specified by
+// `comparison`.
 struct Filter {
   std::string column;
   Comparison comparison = Comparison::kEqual;
@@ -101,13 +102,13 @@
 
 struct ShowStatement {
   Subject subject = Subject::kConfig;
-  // A row is shown where all of them hold.
+  // A row is shown if it matches all filters.
   std::vector<Filter> where;
 
   bool operator==(const ShowStatement&) const = default;
 };
 
-// Asks for the state of one request.
+// Requests the state of one request.
 struct ShowRequestStatement {
   RequestId id;
 
@@ -117,7 +118,7 @@
 using WhySubject =
     std::variant<TargetId, ServiceId, GroupId, Workspace, RequestId>;
 
-// Asks for the last decision about something, with its inputs.
+// Requests the last decision about the subject, with its inputs.
 struct WhyStatement {
   WhySubject about;
 
@@ -136,8 +137,8 @@
                                WhyStatement,
                                HelpStatement>;
 
-// The command that a statement stands for. `fallback` is the id where the
-// statement names none; `issued_after` as in config::Command.
+// Converts a statement to a command. `default_id` is used if the statement
+// specifies no id; `issued_after` is described in config::Command.
 config::Command ToCommand(const ChangeStatement& statement,
                           const CommandId& default_id,
                           const config::OperatorId& operator_id,
--- a/tests/auto/language/answers_test.cc
+++ b/tests/auto/language/answers_test.cc
@@ -15,7 +15,7 @@
                    std::nullopt);
 }
 
-// A machine after the given statements, one command each.
+// A state machine to which the statements were applied, each as one command.
 config::StateMachine MachineAfter(const std::vector<std::string>& texts) {
   config::StateMachine machine;
   LogIndex index;
@@ -44,7 +44,7 @@
     "declare priority urgent level 10; declare workspace kiln requests 200 "
     "priority urgent; declare workspace dairy weight 3"};
 
-TEST_CASE("answers are tables of what is asked for") {
+TEST_CASE("show answers with the requested and filtered table") {
   const config::StateMachine machine = MachineAfter(kStatements);
   CHECK(RenderShow("show workspaces", machine) ==
         "workspace  requests  concurrent  tokens  weight  priority  credential"
@@ -64,7 +64,7 @@
         "there is no column colour; there are priority level version by\n");
 }
 
-TEST_CASE("a shown configuration declares itself anew") {
+TEST_CASE("the statements of a shown configuration restore it") {
   const config::StateMachine machine = MachineAfter(kStatements);
   const auto answer =
       AnswerShow({Subject::kConfig, {}}, machine.configuration());
@@ -77,7 +77,7 @@
         answer->table);
 }
 
-TEST_CASE("outcomes and plans are sentences") {
+TEST_CASE("outcomes and plans are rendered as text") {
   struct Row {
     const char* text;
     const char* planned;
@@ -112,7 +112,7 @@
         "lacking\ne2\nversion 4 is in force on 2 of 3 nodes\n");
 }
 
-TEST_CASE("why names the placements and who made them") {
+TEST_CASE("why lists the placements and the operators who made them") {
   config::StateMachine machine = MachineAfter(kStatements);
   CHECK(
       ExplainFromConfiguration(ServiceId("drafter"), machine.configuration()) ==
@@ -123,7 +123,7 @@
         std::vector<std::string>{"no target may serve service other"});
 }
 
-TEST_CASE("what isn't an answer isn't read as one") {
+TEST_CASE("JSON that isn't a valid answer is rejected") {
   for (const char* text :
        {"", "[]", "{}", R"({"status":"fine","notes":[]})",
         R"({"status":"done","notes":[1]})",
--- a/tests/auto/language/page_test.cc
+++ b/tests/auto/language/page_test.cc
@@ -10,9 +10,9 @@
 namespace bilberryspool::language {
 namespace {
 
-// Every example of the page must be what the program accepts; printed, it must
-// read back as the same statement.
-TEST_CASE("the examples of the page parse, and print as themselves") {
+// Guards against a language reference that doesn't match the program: its
+// examples must parse, and their printed form must parse to the same statement.
+TEST_CASE("the examples of the language reference parse and round-trip") {
   std::ifstream page(LANGUAGE_PAGE);
   const std::string indent = "    ";
   std::string text;
--- a/tests/auto/language/parser_test.cc
+++ b/tests/auto/language/parser_test.cc
@@ -14,7 +14,7 @@
 using config::AnyTarget;
 using config::SeedCount;
 
-TEST_CASE("a statement becomes its type") {
+TEST_CASE("statements are parsed to their types") {
   struct Row {
     const char* text;
     Statement statement;
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_CASE("an error names the column and all that could stand there") {
+TEST_CASE("a parse error lists the column and all valid tokens there") {
   struct Row {
     const char* text;
     const char* error;
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("words complete by what the grammar expects") {
+TEST_CASE("words are completed according to the grammar") {
   struct Row {
     const char* prefix;
     std::vector<std::string> words;
@@ -123,9 +123,10 @@
   }
 }
 
-// Text made of the language's own words gets deep into the grammar, random
-// bytes test its edges; neither may do more than be refused.
-TEST_CASE("no text stops the parser, and what parses prints as itself") {
+// Random sequences of the language's words reach deep into the grammar, random
+// bytes test invalid characters. The parser must reject them without crashing,
+// and statements that parse must round-trip.
+TEST_CASE("no text crashes the parser, and parsed statements round-trip") {
   const char* words[] = {"declare", "service", "plain",   "path",   "\"/x\"",
                          "group",   "ranks",   "layers",  "target", "t1",
                          ";",       "at",      "version", "7",      "drain",
@@ -159,7 +160,7 @@
   CHECK(parsed_count > 0);
 }
 
-TEST_CASE("any change prints as text that parses back") {
+TEST_CASE("the printed text of any change parses to the same change") {
   for (std::uint64_t seed = 1; seed <= SeedCount(1000); ++seed) {
     CAPTURE(seed);
     Random random(seed);
@@ -182,7 +183,7 @@
   }
 }
 
-TEST_CASE("a statement becomes a command under its id or the fallback") {
+TEST_CASE("a command has the id of its statement or the default id") {
   const auto parsed = ParseStatement("drain target t1 at version 3 as \"a\"");
   auto statement = std::get<ChangeStatement>(std::get<Statement>(parsed));
   const auto command_of = [&] {
