--- a/src/libs/config/applied_configuration.h
+++ b/src/libs/config/applied_configuration.h
@@ -42,8 +42,8 @@
 
   ApplyResult Apply(const Delta& delta);
 
-  // Replaces the configuration by a full state, regardless of how many versions
-  // were missed.
+  // Replaces the configuration with a full state, regardless of how many
+  // versions were missed.
   ApplyResult Replace(const Configuration& full);
 
   const Configuration& configuration() const { return configuration_; }
--- a/src/libs/config/change_history.h
+++ b/src/libs/config/change_history.h
@@ -41,6 +41,7 @@
   void Add(ChangeRecord record);
 
   // Whether every version after `version`, up to `latest`, is still recorded.
+  // False if `version` is newer than `latest`.
   bool Covers(ConfigVersion version, ConfigVersion latest) const;
 
   // The delta from version `from` to `latest`; none if `from` is newer than
--- a/src/libs/config/command.h
+++ b/src/libs/config/command.h
@@ -16,8 +16,9 @@
 // Which part of the configuration must be unchanged since the version that the
 // operator read.
 enum class CompareScope {
-  // The whole configuration: of two operators that read the same version only
-  // one is accepted, whatever they change.
+  // The whole configuration, except for changes that the system itself issued:
+  // of two operators that read the same version only one is accepted, whatever
+  // they change.
   kConfiguration,
   // The objects that the command changes: operators who change different
   // objects don't conflict.
--- a/src/libs/config/command_execution.cc
+++ b/src/libs/config/command_execution.cc
@@ -47,6 +47,7 @@
   }
 
  private:
+  // Only the first failure is reported.
   void Fail(RefusalReason reason, std::string detail) {
     if (!refusal_.has_value()) {
       refusal_ = Refused{reason, std::move(detail), {}};
@@ -59,6 +60,7 @@
     }
   }
 
+  // Creates or replaces an object; does nothing if it already equals `spec`.
   template <typename Spec>
   void PutObject(const Spec& spec) {
     const Spec* present = configuration_.Find<Spec>(spec.key());
--- a/src/libs/config/state_machine.h
+++ b/src/libs/config/state_machine.h
@@ -86,9 +86,10 @@
   // names, one that was applied before, a reused id, or a command too old to
   // tell whether it was applied.
   std::optional<Outcome> ResolveWithoutExecution(const Command& command) const;
+  // Refuses a command with no or too many changes, or whose expectation fails.
   std::optional<Refused> CheckPreconditions(const Command& command) const;
-  // Refuses a command whose expected version is unknown or too old, or after
-  // which conflicting changes were accepted.
+  // Refuses a command if its expected version is unknown or too old, or if
+  // conflicting changes were accepted since that version.
   std::optional<Refused> CheckExpectation(const Command& command) const;
   // Executes the command, and records its token and its changes.
   Outcome ExecuteCommand(const Command& command);
--- a/src/libs/config/validation.cc
+++ b/src/libs/config/validation.cc
@@ -74,6 +74,7 @@
   }
 
  private:
+  // Only the first error is reported.
   void Fail(RefusalReason reason, std::string detail) {
     if (!refusal_.has_value()) {
       refusal_ = Refused{reason, std::move(detail), {}};
