--- a/src/libs/config/configuration.cc
+++ b/src/libs/config/configuration.cc
@@ -19,8 +19,8 @@
     return spec->value;
   }
   const KnownSetting* known = FindKnownSetting(key);
-  BILBERRYSPOOL_INVARIANT(known != nullptr, "a setting that is read is known");
-  return known->fallback;
+  BILBERRYSPOOL_INVARIANT(known != nullptr, "only known settings may be read");
+  return known->default_value;
 }
 
 ObjectUpdate Configuration::Apply(const ObjectUpdate& update) {
--- a/src/libs/language/expectations.h
+++ b/src/libs/language/expectations.h
@@ -7,22 +7,24 @@
 
 namespace bilberryspool::language::internal {
 
-// What was expected at the furthest place that a parse came to. An alternative
-// that failed earlier says nothing about what the operator meant.
+// Collects the tokens that were expected at the furthest offset that a parse
+// reached. Alternatives that failed earlier are ignored, as they don't help to
+// explain the error.
 class Expectations {
  public:
-  void AddWord(std::size_t place, const std::string& word);
-  void AddDescription(std::size_t place, const std::string& description);
+  void AddWord(std::size_t offset, const std::string& word);
+  void AddDescription(std::size_t offset, const std::string& description);
 
-  std::size_t place() const { return place_; }
+  std::size_t offset() const { return furthest_offset_; }
   const std::set<std::string>& words() const { return words_; }
   const std::set<std::string>& descriptions() const { return descriptions_; }
 
  private:
-  // False where `place` lies before the furthest one.
-  bool Reach(std::size_t place);
+  // Discards the collected tokens if `offset` lies beyond the furthest offset.
+  // Returns false if it lies before it.
+  bool AdvanceTo(std::size_t offset);
 
-  std::size_t place_ = 0;
+  std::size_t furthest_offset_ = 0;
   std::set<std::string> words_;
   std::set<std::string> descriptions_;
 };
--- a/src/libs/language/grammar_tokens.h
+++ b/src/libs/language/grammar_tokens.h
@@ -1,5 +1,5 @@
-// The smallest parts of the grammar: words, names, numbers. Each notes what it
-// expected where it doesn't match.
+// The tokens of the grammar: words, names, numbers. A token that doesn't match
+// records what it expected in the Expectations.
 
 #ifndef LIBS_LANGUAGE_GRAMMAR_TOKENS_H_
 #define LIBS_LANGUAGE_GRAMMAR_TOKENS_H_
@@ -22,18 +22,19 @@
 
 namespace x3 = boost::spirit::x3;
 
-// What a parse carries along.
+// State of one parse; passed to the tokens in the X3 context.
 struct ParseState {
   std::string_view text;
   Expectations& expectations;
 
-  std::size_t PlaceOf(const char* position) const {
+  std::size_t OffsetOf(const char* position) const {
     return static_cast<std::size_t>(position - text.data());
   }
 };
 struct ParseStateTag;
 
-// Reads one value at `first`; false leaves `first` as it is.
+// Each function reads one value at `first` and moves `first` behind it. If it
+// returns false, `first` is unchanged.
 bool ReadName(const char*& first, const char* last, std::string& value);
 bool ReadQuoted(const char*& first, const char* last, std::string& value);
 bool ReadNumber(const char*& first, const char* last, std::uint32_t& value);
@@ -48,7 +49,8 @@
 bool ReadWord(const char*& first, const char* last, std::string_view word);
 bool ReadSign(const char*& first, const char* last, std::string_view sign);
 
-// A token with a value, described for the case that it is missing.
+// A token with a value. The description is recorded as expected if the token
+// doesn't match.
 template <typename Value>
 struct Token : x3::parser<Token<Value>> {
   using attribute_type = Value;
@@ -75,7 +77,7 @@
       return true;
     }
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddDescription(state.PlaceOf(position), description);
+    state.expectations.AddDescription(state.OffsetOf(position), description);
     return false;
   }
 
@@ -109,7 +111,7 @@
       return true;
     }
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddWord(state.PlaceOf(position), text);
+    state.expectations.AddWord(state.OffsetOf(position), text);
     return false;
   }
 
@@ -162,7 +164,7 @@
              Attribute& /*attribute*/) const {
     x3::skip_over(first, last, context);
     const ParseState& state = x3::get<ParseStateTag>(context);
-    state.expectations.AddDescription(state.PlaceOf(first), "the end");
+    state.expectations.AddDescription(state.OffsetOf(first), "the end");
     return first == last;
   }
 };
--- a/tests/auto/config/applied_configuration_test.cc
+++ b/tests/auto/config/applied_configuration_test.cc
@@ -11,10 +11,10 @@
 namespace bilberryspool::config {
 namespace {
 
-// Symptom: a limit that was accepted goes back to an older one on one node.
-// Events: deltas and full states reach the node late, twice and in any order,
-// and some come damaged. Cause: an older version replaces a newer one.
-TEST_CASE("a node only moves forward and reaches the latest version") {
+// Guards against an accepted limit being reverted on one node. Deltas and full
+// states reach the node late, twice, in any order and partly damaged; an older
+// version must not replace a newer one.
+TEST_CASE("a node's version never decreases and reaches the latest one") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
     CAPTURE(seed);
@@ -23,7 +23,7 @@
     std::vector<Delta> sent;
     std::vector<Configuration> full;
     std::map<ConfigVersion, Configuration> accepted;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i <= 60; ++i) {
       const ConfigVersion before = machine.configuration().version();
       machine.Apply(RandomCommand(random, CommandId(std::to_string(i)), before),
@@ -61,13 +61,13 @@
   }
 }
 
-TEST_CASE("steps are joined where each continues the one before") {
+TEST_CASE("only consecutive deltas can be combined") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(50); ++seed) {
     CAPTURE(seed);
     Random random(seed);
     StateMachine machine;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     std::vector<Delta> steps{*machine.DeltaFrom(ConfigVersion())};
     for (std::uint64_t i = 2; i <= 40; ++i) {
       const ConfigVersion before = machine.configuration().version();
@@ -80,18 +80,19 @@
     AppliedConfiguration node;
     const std::size_t split = random.Below(steps.size()) + 1;
     const auto middle = steps.begin() + static_cast<std::ptrdiff_t>(split);
-    CHECK(node.Apply(*Join({steps.begin(), middle})) == ApplyResult::kApplied);
-    if (const auto rest = Join({middle, steps.end()})) {
+    CHECK(node.Apply(*CombineDeltas({steps.begin(), middle})) ==
+          ApplyResult::kApplied);
+    if (const auto rest = CombineDeltas({middle, steps.end()})) {
       CHECK(node.Apply(*rest) == ApplyResult::kApplied);
     }
     CHECK(node.configuration() == machine.configuration());
     std::reverse(steps.begin(), steps.end());
-    CHECK(Join(steps).has_value() == (steps.size() == 1));
+    CHECK(CombineDeltas(steps).has_value() == (steps.size() == 1));
   }
-  CHECK_FALSE(Join({}).has_value());
+  CHECK_FALSE(CombineDeltas({}).has_value());
 }
 
-TEST_CASE("a node that missed hundreds of changes gets the latest in one go") {
+TEST_CASE("one delta updates a node that missed hundreds of changes") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   for (std::uint32_t i = 1; i <= 700; ++i) {
@@ -107,17 +108,17 @@
   CHECK(node.configuration() == machine.configuration());
 }
 
-// Symptom: a restarted node serves an older configuration than before its
-// restart. Events: control can't be reached; a peer that lags offers its state.
-// Cause: the node has forgotten how far it was.
-TEST_CASE("nothing below the floor takes force after a restart") {
+// Guards against a restarted node serving an older configuration than before
+// the restart. This happens if the control replicas are unreachable, a lagging
+// peer offers its state, and the node lost the version it had in force.
+TEST_CASE("a version below the minimum is not applied after a restart") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   const Configuration old = machine.configuration();
   machine.Apply(CommandOf("c", {DeclareTarget{{TargetId("t")}}}), LogIndex(2));
   AppliedConfiguration node;
-  node.RaiseFloor(ConfigVersion(2));
-  CHECK(node.Replace(old) == ApplyResult::kBelowFloor);
+  node.RaiseMinVersion(ConfigVersion(2));
+  CHECK(node.Replace(old) == ApplyResult::kBelowMinVersion);
   CHECK(node.version() == ConfigVersion());
   CHECK(node.Replace(machine.configuration()) == ApplyResult::kApplied);
   CHECK(node.Replace(old) == ApplyResult::kStale);
--- a/tests/auto/config/codec_test.cc
+++ b/tests/auto/config/codec_test.cc
@@ -13,35 +13,35 @@
 namespace bilberryspool::config {
 namespace {
 
-boost::json::value Reparsed(const boost::json::value& json) {
+boost::json::value RoundTrip(const boost::json::value& json) {
   return boost::json::parse(boost::json::serialize(json));
 }
 
-TEST_CASE("what is written is read back equal") {
+TEST_CASE("values are equal after a JSON round trip") {
   for (std::uint64_t seed = 1; seed <= SeedCount(100); ++seed) {
     CAPTURE(seed);
     Random random(seed);
     StateMachine machine;
-    machine.Apply(WorldCommand(), LogIndex(1));
+    machine.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i < 30; ++i) {
       const ConfigVersion version = machine.configuration().version();
       const Command command =
           RandomCommand(random, CommandId(std::to_string(i)), version);
-      CHECK(CommandFromJson(Reparsed(ToJson(command))) == command);
+      CHECK(CommandFromJson(RoundTrip(ToJson(command))) == command);
       const Outcome outcome = machine.Apply(command, LogIndex(i));
-      CHECK(OutcomeFromJson(Reparsed(ToJson(outcome))) == outcome);
+      CHECK(OutcomeFromJson(RoundTrip(ToJson(outcome))) == outcome);
       const auto delta =
           machine.DeltaFrom(ConfigVersion(random.Below(version.value() + 1)));
       REQUIRE(delta.has_value());
-      CHECK(DeltaFromJson(Reparsed(ToJson(*delta))) == *delta);
+      CHECK(DeltaFromJson(RoundTrip(ToJson(*delta))) == *delta);
     }
     const Configuration& configuration = machine.configuration();
-    CHECK(ConfigurationFromJson(Reparsed(ToJson(configuration))) ==
+    CHECK(ConfigurationFromJson(RoundTrip(ToJson(configuration))) ==
           configuration);
   }
 }
 
-TEST_CASE("damaged bytes are refused or read, but stop nothing") {
+TEST_CASE("damaged bytes never crash the decoders or the state machine") {
   StateMachine machine;
   machine.Apply(BaseCommand(), LogIndex(1));
   const std::string bytes = WriteSnapshot(machine.state());
@@ -75,10 +75,10 @@
   }
 }
 
-// Symptom: after an upgrade a control replica can't read its own folder.
-// Events: an older program wrote the snapshot. Cause: a codec or a digest that
-// changed without regard to what is stored.
-TEST_CASE("a snapshot of format 1 is read as it was written") {
+// Guards against a control replica that can't read its data folder after an
+// upgrade, because a codec or digest became incompatible with the snapshots
+// that older programs have stored.
+TEST_CASE("a stored snapshot of format 1 is still readable") {
   std::ifstream file(SNAPSHOT_OF_FORMAT_1);
   const std::string bytes(std::istreambuf_iterator<char>(file), {});
   const auto state = ReadSnapshot(bytes);
@@ -88,7 +88,7 @@
   CHECK(*state == machine.state());
 }
 
-TEST_CASE("formats are versioned") {
+TEST_CASE("a snapshot of a newer format is rejected") {
   const std::string bytes = WriteSnapshot(StateMachineState());
   const std::string newer =
       "{\"format\":2," + bytes.substr(bytes.find(',') + 1);
--- a/tests/auto/config/replicas_test.cc
+++ b/tests/auto/config/replicas_test.cc
@@ -8,10 +8,10 @@
 namespace bilberryspool::config {
 namespace {
 
-// Symptom: two control replicas answer differently. Events: racing operators,
-// resends under old ids, and a replica that joins from a snapshot in the
-// middle. Cause: state outside the log, or state missing from the snapshot.
-TEST_CASE("replicas of one log agree, also from a snapshot in its middle") {
+// Guards against control replicas that answer differently, because state is
+// kept outside the log or missing from the snapshot. Operators race, commands
+// are sent again under old ids, and a replica restarts from a snapshot halfway.
+TEST_CASE("replicas of one log agree, also after restoring a snapshot") {
   const ThrowOnBrokenInvariant guard;
   std::uint64_t accepted = 0;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
@@ -19,21 +19,21 @@
     Random random(seed);
     StateMachine leader;
     StateMachine follower;
-    std::map<CommandId, Outcome> first;
-    std::vector<Command> given;
+    std::map<CommandId, Outcome> first_outcomes;
+    std::vector<Command> sent_commands;
     const std::uint64_t restart = 2 + random.Below(78);
-    leader.Apply(WorldCommand(), LogIndex(1));
-    follower.Apply(WorldCommand(), LogIndex(1));
+    leader.Apply(ReferencedObjectsCommand(), LogIndex(1));
+    follower.Apply(ReferencedObjectsCommand(), LogIndex(1));
     for (std::uint64_t i = 2; i <= 80; ++i) {
       const ConfigVersion version = leader.configuration().version();
       Command command =
-          !given.empty() && random.Chance(0.2)
-              ? given[random.Below(given.size())]
+          !sent_commands.empty() && random.Chance(0.2)
+              ? sent_commands[random.Below(sent_commands.size())]
               : RandomCommand(random, CommandId(std::to_string(i)), version);
-      given.push_back(command);
+      sent_commands.push_back(command);
       const Outcome outcome = leader.Apply(command, LogIndex(i));
-      const bool is_new = first.emplace(command.id, outcome).second;
-      CHECK(first.at(command.id) == outcome);
+      const bool is_new = first_outcomes.emplace(command.id, outcome).second;
+      CHECK(first_outcomes.at(command.id) == outcome);
       if (!is_new) {
         CHECK(leader.configuration().version() == version);
       }
@@ -50,11 +50,12 @@
     CHECK(follower.state() == leader.state());
     accepted += leader.configuration().version().value();
   }
-  // A run that accepts next to nothing would prove next to nothing.
+  // The test is only meaningful if a sufficient number of commands is accepted.
   CHECK(accepted >= 10 * SeedCount(150));
 }
 
-// The compare of a command must hold against every accepted change since.
+// The expectation of a command must be checked against every change that was
+// accepted since the expected version.
 TEST_CASE("of commands raced on one version at most one is accepted") {
   const ThrowOnBrokenInvariant guard;
   for (std::uint64_t seed = 1; seed <= SeedCount(150); ++seed) {
@@ -65,7 +66,7 @@
     std::uint64_t index = 1;
     for (int round = 0; round < 20; ++round) {
       const ConfigVersion version = machine.configuration().version();
-      for (int rival = 0; rival < 4; ++rival) {
+      for (int competitor = 0; competitor < 4; ++competitor) {
         ++index;
         Command command = CommandOf(
             std::to_string(index).c_str(),
--- a/tests/auto/language/answers_test.cc
+++ b/tests/auto/language/answers_test.cc
@@ -6,7 +6,7 @@
 namespace bilberryspool::language {
 namespace {
 
-config::Command CommandFor(const std::string& text, const char* id) {
+config::Command ParseCommand(const std::string& text, const char* id) {
   const auto parsed = ParseStatement(text);
   REQUIRE(std::holds_alternative<Statement>(parsed));
   const auto& statement =
@@ -15,21 +15,21 @@
                    std::nullopt);
 }
 
-// A machine after the given statements, one command each.
-config::StateMachine After(const std::vector<std::string>& texts) {
+// A state machine to which the statements were applied, each as one command.
+config::StateMachine MachineAfter(const std::vector<std::string>& texts) {
   config::StateMachine machine;
   LogIndex index;
   for (const std::string& text : texts) {
     index = index.Next();
     const std::string id = "c" + std::to_string(index.value());
-    const auto outcome = machine.Apply(CommandFor(text, id.c_str()), index);
+    const auto outcome = machine.Apply(ParseCommand(text, id.c_str()), index);
     CAPTURE(text);
     REQUIRE(std::holds_alternative<config::Accepted>(outcome));
   }
   return machine;
 }
 
-std::string Shown(const char* text, const config::StateMachine& machine) {
+std::string RenderShow(const char* text, const config::StateMachine& machine) {
   const auto parsed = ParseStatement(text);
   const auto answer =
       AnswerShow(std::get<ShowStatement>(std::get<Statement>(parsed)),
@@ -44,9 +44,9 @@
     "declare priority urgent level 10; declare workspace kiln requests 200 "
     "priority urgent; declare workspace dairy weight 3"};
 
-TEST_CASE("answers are tables of what is asked for") {
-  const config::StateMachine machine = After(kStatements);
-  CHECK(Shown("show workspaces", machine) ==
+TEST_CASE("show answers with the requested and filtered table") {
+  const config::StateMachine machine = MachineAfter(kStatements);
+  CHECK(RenderShow("show workspaces", machine) ==
         "workspace  requests  concurrent  tokens  weight  priority  credential"
         "  version  by\n"
         "dairy      -         -           -       3       -         no        "
@@ -54,30 +54,30 @@
         "kiln       200       -           -       1       urgent    no        "
         "  2        amal\n"
         "as of version 2\n");
-  CHECK(Shown("show priorities where level > 9 and by = amal", machine) ==
+  CHECK(RenderShow("show priorities where level > 9 and by = amal", machine) ==
         "priority  level  version  by\n"
         "urgent    10     2        amal\n"
         "as of version 2\n");
-  CHECK(Shown("show priorities where level > 10", machine) ==
+  CHECK(RenderShow("show priorities where level > 10", machine) ==
         "priority  level  version  by\nas of version 2\n");
-  CHECK(Shown("show priorities where colour = red", machine) ==
+  CHECK(RenderShow("show priorities where colour = red", machine) ==
         "there is no column colour; there are priority level version by\n");
 }
 
-TEST_CASE("a shown configuration declares itself anew") {
-  const config::StateMachine machine = After(kStatements);
+TEST_CASE("the statements of a shown configuration restore it") {
+  const config::StateMachine machine = MachineAfter(kStatements);
   const auto answer =
       AnswerShow({Subject::kConfig, {}}, machine.configuration());
   std::string text;
   for (const auto& row : answer->table->rows) {
     text += (text.empty() ? "" : "; ") + std::get<std::string>(row[0]);
   }
-  const config::StateMachine again = After({text});
+  const config::StateMachine again = MachineAfter({text});
   CHECK(AnswerShow({Subject::kConfig, {}}, again.configuration())->table ==
         answer->table);
 }
 
-TEST_CASE("outcomes and plans are sentences") {
+TEST_CASE("outcomes and plans are rendered as text") {
   struct Row {
     const char* text;
     const char* planned;
@@ -102,8 +102,8 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.text);
-    config::StateMachine machine = After(kStatements);
-    const config::Command command = CommandFor(row.text, "c");
+    config::StateMachine machine = MachineAfter(kStatements);
+    const config::Command command = ParseCommand(row.text, "c");
     CHECK(RenderText(AnswerPlan(machine.Plan(command))) == row.planned);
     CHECK(RenderText(AnswerOutcome(machine.Apply(command, LogIndex(9)))) ==
           row.applied);
@@ -112,8 +112,8 @@
         "lacking\ne2\nversion 4 is in force on 2 of 3 nodes\n");
 }
 
-TEST_CASE("why names the placements and who made them") {
-  config::StateMachine machine = After(kStatements);
+TEST_CASE("why lists the placements and the operators who made them") {
+  config::StateMachine machine = MachineAfter(kStatements);
   CHECK(
       ExplainFromConfiguration(ServiceId("drafter"), machine.configuration()) ==
       std::vector<std::string>{
@@ -123,7 +123,7 @@
         std::vector<std::string>{"no target may serve service other"});
 }
 
-TEST_CASE("what isn't an answer isn't read as one") {
+TEST_CASE("JSON that isn't a valid answer is rejected") {
   for (const char* text :
        {"", "[]", "{}", R"({"status":"fine","notes":[]})",
         R"({"status":"done","notes":[1]})",
