--- a/src/libs/scenario/agent_node.cc
+++ b/src/libs/scenario/agent_node.cc
@@ -8,9 +8,9 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kLongestPause = Milliseconds(200);
-constexpr Duration kShortestWork = Milliseconds(20);
-constexpr Duration kLongestWork = Milliseconds(100);
+constexpr Duration kMaxPause = Milliseconds(200);
+constexpr Duration kMinWorkDuration = Milliseconds(20);
+constexpr Duration kMaxWorkDuration = Milliseconds(100);
 constexpr std::uint32_t kSlots = 16;
 constexpr std::size_t kChunkBytes = 7;
 constexpr int kOk = 200;
@@ -44,11 +44,11 @@
 AgentNode::AgentNode(FakeNetwork& network,
                      Verdict& verdict,
                      ConfigChecks& checks,
-                     RequestBook& book,
+                     RequestRegistry& request_registry,
                      Settings settings)
     : network_(network),
       verdict_(verdict),
-      book_(book),
+      request_registry_(request_registry),
       settings_(std::move(settings)),
       target_(settings_.node.value()),
       announcer_(MakeOptions(settings_, network.incarnation(settings_.node)),
@@ -63,7 +63,7 @@
   spread_.Start();
 }
 
-void AgentNode::Leave() {
+void AgentNode::BeginPlannedStop() {
   gate_.StartDraining(network_.now());
   HandleAnnouncer(membership::StateChanged{membership::TargetState::kLeaving});
 }
@@ -71,10 +71,9 @@
 void AgentNode::RunAnnouncer() {
   HandleAnnouncer(membership::AnnouncerTick{});
   const TimePoint now = network_.now();
-  const TimePoint due =
-      announcer_.next_deadline().value_or(now + kLongestPause);
+  const TimePoint due = announcer_.next_deadline().value_or(now + kMaxPause);
   const Duration pause =
-      std::clamp<Duration>(due - now, Milliseconds(1), kLongestPause);
+      std::clamp<Duration>(due - now, Milliseconds(1), kMaxPause);
   network_.After(settings_.node, pause, [this] { RunAnnouncer(); });
 }
 
@@ -140,9 +139,10 @@
     return;
   }
   verdict_.Note(settings_.node, "runs " + call.start.key.request.value());
-  book_.Ran(call.send, target_, network_.now());
+  request_registry_.OnRun(call.send, target_, network_.now());
   jobs_[id] = {call.start, call.send, from, call.start.offset, false};
-  const Duration work = network_.random().Between(kShortestWork, kLongestWork);
+  const Duration work =
+      network_.random().Between(kMinWorkDuration, kMaxWorkDuration);
   network_.After(settings_.node, work, [this, id] { Finish(id); });
 }
 
@@ -177,12 +177,13 @@
 void AgentNode::Finish(const AttemptId& attempt) {
   Job& job = jobs_.at(attempt);
   job.finished = true;
-  gate_.Finish(attempt, {kOk, RequestBook::AnswerTo(job.start.key.request)});
+  gate_.Finish(attempt,
+               {kOk, RequestRegistry::AnswerTo(job.start.key.request)});
   Stream(job);
 }
 
 void AgentNode::Stream(const Job& job) {
-  const std::string whole = RequestBook::AnswerTo(job.start.key.request);
+  const std::string whole = RequestRegistry::AnswerTo(job.start.key.request);
   const AttemptId& id = job.start.attempt.attempt;
   std::vector<attempts::RequestEvent> stream{attempts::AttemptHead{id, kOk}};
   for (std::size_t at = job.offset; at < whole.size(); at += kChunkBytes) {
--- a/src/libs/scenario/agent_node.h
+++ b/src/libs/scenario/agent_node.h
@@ -27,13 +27,13 @@
   AgentNode(FakeNetwork& network,
             Verdict& verdict,
             ConfigChecks& checks,
-            RequestBook& book,
+            RequestRegistry& request_registry,
             Settings settings);
 
   void Start();
   void Receive(const NodeId& from, const Frame& frame);
   // A planned stop begins.
-  void Leave();
+  void BeginPlannedStop();
 
   const config::Configuration& configuration() const {
     return spread_.configuration();
@@ -74,7 +74,7 @@
 
   FakeNetwork& network_;
   Verdict& verdict_;
-  RequestBook& book_;
+  RequestRegistry& request_registry_;
   Settings settings_;
   TargetId target_;
   membership::Announcer announcer_;
--- a/src/libs/scenario/conditions.cc
+++ b/src/libs/scenario/conditions.cc
@@ -8,8 +8,9 @@
 namespace {
 
 ConfigVersion VersionOf(const InForce& expected, const World& world) {
-  return expected.version.has_value() ? ConfigVersion(*expected.version)
-                                      : world.checks().latest_told();
+  return expected.version.has_value()
+             ? ConfigVersion(*expected.version)
+             : world.checks().latest_reported_version();
 }
 
 bool IsMet(const InForce& expected,
@@ -41,7 +42,8 @@
 bool IsMet(const HasOutcome& expected,
            const World& world,
            const ResolveName& /*resolve*/) {
-  const CallerSend* send = world.book().LatestOf(RequestId(expected.id));
+  const CallerSend* send =
+      world.request_registry().LatestOf(RequestId(expected.id));
   if (send == nullptr || !send->final.has_value()) {
     return expected.outcome == RequestOutcome::kNone;
   }
@@ -59,7 +61,8 @@
 bool IsMet(const Ran& expected,
            const World& world,
            const ResolveName& /*resolve*/) {
-  const std::size_t runs = world.book().RunsOf(RequestId(expected.id));
+  const std::size_t runs =
+      world.request_registry().RunsOf(RequestId(expected.id));
   switch (expected.runs) {
     case Runs::kOnce:
       return runs == 1;
@@ -123,7 +126,7 @@
          world.IsVoter(resolve(expected.node)) == expected.votes;
 }
 
-std::string Lacking(const InForce& expected, const World& world) {
+std::string DescribeMissing(const InForce& expected, const World& world) {
   const ConfigVersion version = VersionOf(expected, world);
   std::string text = "version " + std::to_string(version.value()) + " is not";
   text += " in force on";
@@ -148,7 +151,8 @@
 std::string Describe(const Condition& condition, const World& world) {
   return std::visit(
       Overloaded{[&](const InForce& expected) {
-                   return "expected otherwise: " + Lacking(expected, world);
+                   return "expected otherwise: " +
+                          DescribeMissing(expected, world);
                  },
                  [&](const HasLeader&) {
                    std::string text = "expected otherwise: leaders are";
@@ -159,7 +163,7 @@
                  },
                  [&](const Ran& expected) {
                    const auto runs =
-                       world.book().RunsOf(RequestId(expected.id));
+                       world.request_registry().RunsOf(RequestId(expected.id));
                    return "expected otherwise: " + expected.id + " ran " +
                           std::to_string(runs) + " times";
                  },
--- a/src/libs/scenario/config_checks.cc
+++ b/src/libs/scenario/config_checks.cc
@@ -4,8 +4,8 @@
 
 namespace bilberryspool::scenario {
 
-void ConfigChecks::Committed(const NodeId& node,
-                             const consensus::LogEntry& entry) {
+void ConfigChecks::OnCommitted(const NodeId& node,
+                               const consensus::LogEntry& entry) {
   const auto [known, is_new] = committed_.emplace(entry.index, entry);
   verdict_.Check(known->second == entry,
                  "the log of " + node.value() + " has another entry at " +
@@ -13,32 +13,33 @@
                      " than one that was committed");
 }
 
-void ConfigChecks::BecameLeader(const NodeId& node, LogIndex last_index) {
+void ConfigChecks::OnBecameLeader(const NodeId& node, LogIndex last_index) {
   const bool has_all =
       committed_.empty() || committed_.rbegin()->first <= last_index;
   verdict_.Check(has_all,
                  node.value() + " leads without an entry that was committed");
 }
 
-void ConfigChecks::Leading(std::size_t leaders) {
+void ConfigChecks::OnLeaderCount(std::size_t leaders) {
   verdict_.Check(leaders <= 1, "two replicas lead at once");
 }
 
-void ConfigChecks::Told(const config::Command& command,
-                        const config::Outcome& outcome) {
-  for (const auto& [known, first] : told_) {
+void ConfigChecks::OnOrderAnswered(const config::Command& command,
+                                   const config::Outcome& outcome) {
+  for (const auto& [known, first] : reported_outcomes_) {
     verdict_.Check(known != command || first == outcome,
                    "command " + command.id.value() + " has two outcomes");
   }
-  told_.emplace_back(command, outcome);
+  reported_outcomes_.emplace_back(command, outcome);
   if (const auto* accepted = std::get_if<config::Accepted>(&outcome)) {
-    latest_told_ = std::max(latest_told_, accepted->version);
+    latest_reported_version_ =
+        std::max(latest_reported_version_, accepted->version);
   }
 }
 
-void ConfigChecks::InForce(const NodeId& node,
-                           Incarnation incarnation,
-                           const config::Configuration& configuration) {
+void ConfigChecks::OnInForce(const NodeId& node,
+                             Incarnation incarnation,
+                             const config::Configuration& configuration) {
   const ConfigVersion version = configuration.version();
   const auto [content, is_new] =
       contents_.emplace(version, configuration.digest());
--- a/src/libs/scenario/config_checks.h
+++ b/src/libs/scenario/config_checks.h
@@ -28,26 +28,29 @@
  public:
   explicit ConfigChecks(Verdict& verdict) : verdict_(verdict) {}
 
-  void Committed(const NodeId& node, const consensus::LogEntry& entry);
-  void BecameLeader(const NodeId& node, LogIndex last_index);
+  void OnCommitted(const NodeId& node, const consensus::LogEntry& entry);
+  void OnBecameLeader(const NodeId& node, LogIndex last_index);
   // `leaders` act at the same moment.
-  void Leading(std::size_t leaders);
+  void OnLeaderCount(std::size_t leaders);
   // An operator was told this of its order.
-  void Told(const config::Command& command, const config::Outcome& outcome);
-  void InForce(const NodeId& node,
-               Incarnation incarnation,
-               const config::Configuration& configuration);
+  void OnOrderAnswered(const config::Command& command,
+                       const config::Outcome& outcome);
+  void OnInForce(const NodeId& node,
+                 Incarnation incarnation,
+                 const config::Configuration& configuration);
 
   // The highest version that an operator was told of; 0 before the first.
-  ConfigVersion latest_told() const { return latest_told_; }
+  ConfigVersion latest_reported_version() const {
+    return latest_reported_version_;
+  }
 
  private:
   Verdict& verdict_;
   std::map<LogIndex, consensus::LogEntry> committed_;
-  std::vector<std::pair<config::Command, config::Outcome>> told_;
+  std::vector<std::pair<config::Command, config::Outcome>> reported_outcomes_;
   std::map<ConfigVersion, config::Digest> contents_;
   std::map<std::pair<NodeId, Incarnation>, ConfigVersion> in_force_;
-  ConfigVersion latest_told_;
+  ConfigVersion latest_reported_version_;
 };
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/entry_node.cc
+++ b/src/libs/scenario/entry_node.cc
@@ -10,7 +10,7 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kMaxPause = Milliseconds(100);
 // Small, so that scenarios of a few hundred changes come by a snapshot.
 constexpr std::size_t kRetainedEntries = 20;
 // A target of last resort is still offered, at a small weight.
@@ -18,7 +18,7 @@
 
 // Whether a frame is of the callers' requests.
 template <typename T>
-constexpr bool kIsOfRequests =
+constexpr bool kIsRequestFrame =
     std::is_same_v<T, ClaimCall> || std::is_same_v<T, ReleaseCall> ||
     std::is_same_v<T, attempts::FinishClaim> || std::is_same_v<T, TokenReply> ||
     std::is_same_v<T, RequestReply>;
@@ -71,7 +71,7 @@
 EntryNode::EntryNode(FakeNetwork& network,
                      Verdict& verdict,
                      ConfigChecks& checks,
-                     RequestBook& book,
+                     RequestRegistry& request_registry,
                      const EntrySettings& settings,
                      NodeId self,
                      FailureDomain domain,
@@ -97,7 +97,7 @@
               [this] { return Topology(); }),
       requests_(network,
                 verdict,
-                book,
+                request_registry,
                 self_,
                 domain_,
                 {[this] { return Targets(); },
@@ -120,10 +120,10 @@
   const auto& founders = settings_.initial_members;
   const bool is_founder =
       std::find(founders.begin(), founders.end(), self_) != founders.end();
-  const bool is_blank =
+  const bool is_folder_empty =
       disk_->synced.hard_state.cluster == consensus::ClusterId(0);
-  if (!is_founder && is_blank && control_members().empty()) {
-    network_.After(self_, kLongestPause, [this] { StartReplica(); });
+  if (!is_founder && is_folder_empty && control_members().empty()) {
+    network_.After(self_, kMaxPause, [this] { StartReplica(); });
     return;
   }
   consensus::ReplicaOptions options;
@@ -140,18 +140,19 @@
 
 ReplicaHost::Hooks EntryNode::MakeReplicaHooks() {
   ReplicaHost::Hooks hooks;
-  hooks.take_step = [this](const config::Delta& delta, config::Digest from) {
-    spread_.TakeStep(delta, from);
+  hooks.step_committed = [this](const config::Delta& delta,
+                                config::Digest from) {
+    spread_.OnStepCommitted(delta, from);
   };
-  hooks.take_state = [this](const config::Configuration& state) {
-    spread_.TakeState(state);
+  hooks.state_adopted = [this](const config::Configuration& state) {
+    spread_.OnStateAdopted(state);
   };
   hooks.role_changed = [this](const consensus::RoleChanged& change) {
     leader_hint_ = change.leader;
     const bool leads = change.role == consensus::Role::kLeader;
     spread_.Handle(spread::LeadershipChanged{leads});
   };
-  hooks.founded = [this] { requests_.ForgetNothing(); };
+  hooks.log_founded = [this] { requests_.MarkFirstStart(); };
   hooks.domain_of = [this](const NodeId& node) { return DomainOf(node); };
   return hooks;
 }
@@ -192,7 +193,7 @@
 
 template <typename Other>
 void EntryNode::On(const NodeId& from, const Other& frame) {
-  if constexpr (kIsOfRequests<Other>) {
+  if constexpr (kIsRequestFrame<Other>) {
     requests_.Receive(from, frame);
   }
 }
@@ -200,10 +201,9 @@
 void EntryNode::RunDirectory() {
   HandleDirectory(membership::DirectoryTick{});
   const TimePoint now = network_.now();
-  const TimePoint due =
-      directory_.next_deadline().value_or(now + kLongestPause);
+  const TimePoint due = directory_.next_deadline().value_or(now + kMaxPause);
   const Duration pause =
-      std::clamp<Duration>(due - now, Milliseconds(1), kLongestPause);
+      std::clamp<Duration>(due - now, Milliseconds(1), kMaxPause);
   network_.After(self_, pause, [this] { RunDirectory(); });
 }
 
--- a/src/libs/scenario/entry_node.h
+++ b/src/libs/scenario/entry_node.h
@@ -33,7 +33,7 @@
   EntryNode(FakeNetwork& network,
             Verdict& verdict,
             ConfigChecks& checks,
-            RequestBook& book,
+            RequestRegistry& request_registry,
             const EntrySettings& settings,
             NodeId self,
             FailureDomain domain,
@@ -57,7 +57,7 @@
 
  private:
   // An order on its way to whoever leads.
-  struct OpenOrder {
+  struct PendingOrder {
     config::Command command;
     TimePoint deadline;
     std::vector<NodeId> candidates;
@@ -87,7 +87,7 @@
   std::vector<NodeId> control_members() const;
   FailureDomain DomainOf(const NodeId& node) const;
 
-  void TryOrder(OrderId order);
+  void SendOrder(OrderId order);
   void EndOrder(OrderId order, const std::optional<config::Outcome>& outcome);
 
   FakeNetwork& network_;
@@ -103,7 +103,7 @@
   RequestHost requests_;
   std::optional<ReplicaHost> replica_;
   std::optional<NodeId> leader_hint_;
-  std::map<OrderId, OpenOrder> orders_;
+  std::map<OrderId, PendingOrder> orders_;
 };
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/entry_node_orders.cc
+++ b/src/libs/scenario/entry_node_orders.cc
@@ -9,21 +9,21 @@
 namespace {
 
 // As in the program.
-constexpr Duration kRetryPause = Milliseconds(100);
-constexpr Duration kCallPatience = Seconds(2);
-constexpr Duration kOrderPatience = Seconds(10);
+constexpr Duration kRetryDelay = Milliseconds(100);
+constexpr Duration kCallTimeout = Seconds(2);
+constexpr Duration kOrderTimeout = Seconds(10);
 
 }  // namespace
 
 void EntryNode::Order(OrderId order, const config::Command& command) {
-  orders_[order] = {command, network_.now() + kOrderPatience, {}, 0};
-  TryOrder(order);
+  orders_[order] = {command, network_.now() + kOrderTimeout, {}, 0};
+  SendOrder(order);
 }
 
 // Tries the hinted leader, then each control replica, until one leads. Asking
 // twice is harmless: the command id makes the second the first one's outcome.
-void EntryNode::TryOrder(OrderId id) {
-  OpenOrder& order = orders_.at(id);
+void EntryNode::SendOrder(OrderId id) {
+  PendingOrder& order = orders_.at(id);
   if (network_.now() >= order.deadline) {
     EndOrder(id, std::nullopt);
     return;
@@ -32,14 +32,14 @@
   const auto retry = [this, id, call] {
     const auto open = orders_.find(id);
     if (open != orders_.end() && open->second.calls == call) {
-      TryOrder(id);
+      SendOrder(id);
     }
   };
   if (leads()) {
     replica_->Propose(order.command, [this, id, call](const auto& answer) {
       On(self_, ProposeReply{id, call, answer});
     });
-    network_.After(self_, kCallPatience, retry);
+    network_.After(self_, kCallTimeout, retry);
     return;
   }
   if (order.candidates.empty()) {
@@ -47,13 +47,13 @@
     if (leader_hint_.has_value()) {
       order.candidates.push_back(*leader_hint_);
     }
-    network_.After(self_, kRetryPause, retry);
+    network_.After(self_, kRetryDelay, retry);
     return;
   }
   const NodeId candidate = order.candidates.back();
   order.candidates.pop_back();
   network_.Send(self_, candidate, ProposeCall{id, call, order.command});
-  network_.After(self_, kCallPatience, retry);
+  network_.After(self_, kCallTimeout, retry);
 }
 
 void EntryNode::On(const NodeId& from, const ProposeCall& call) {
@@ -83,7 +83,7 @@
   }
   if (const auto* other = std::get_if<NotLeading>(&reply.result)) {
     leader_hint_ = other->hint.has_value() ? other->hint : leader_hint_;
-    TryOrder(reply.order);
+    SendOrder(reply.order);
     return;
   }
   // Unknown: the operator is told so, and resends the same command.
--- a/src/libs/scenario/fake_network.cc
+++ b/src/libs/scenario/fake_network.cc
@@ -18,27 +18,27 @@
   const int copies = random_.Chance(conditions_.duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     const Duration delay =
-        random_.Between(conditions_.shortest_delay, conditions_.longest_delay);
+        random_.Between(conditions_.min_delay, conditions_.max_delay);
     At(delay, [this, from, to, frame] {
       // A cut also stops what is on its way.
       if (!cuts_.contains({from, to})) {
-        Arrive(to, [this, from, to, frame] { deliver_(from, to, frame); });
+        RunOrDefer(to, [this, from, to, frame] { deliver_(from, to, frame); });
       }
     });
   }
 }
 
-void FakeNetwork::After(const NodeId& node, Duration delay, Act act) {
-  const std::uint64_t life = nodes_[node].life;
-  At(delay, [this, node, life, act = std::move(act)] {
-    if (nodes_[node].life == life) {
-      Arrive(node, act);
+void FakeNetwork::After(const NodeId& node, Duration delay, Task task) {
+  const std::uint64_t process_generation = nodes_[node].process_generation;
+  At(delay, [this, node, process_generation, task = std::move(task)] {
+    if (nodes_[node].process_generation == process_generation) {
+      RunOrDefer(node, task);
     }
   });
 }
 
-void FakeNetwork::At(Duration delay, Act act) {
-  queue_.emplace(std::pair(now_ + delay, ++sequence_), std::move(act));
+void FakeNetwork::At(Duration delay, Task task) {
+  queue_.emplace(std::pair(now_ + delay, ++sequence_), std::move(task));
 }
 
 bool FakeNetwork::Step(TimePoint end) {
@@ -55,16 +55,16 @@
 void FakeNetwork::Start(const NodeId& node) {
   NodeState& state = nodes_[node];
   state.alive = true;
-  ++state.life;
+  ++state.process_generation;
 }
 
 void FakeNetwork::Kill(const NodeId& node) {
   NodeState& state = nodes_[node];
   state.alive = false;
   state.frozen = false;
-  state.waiting.clear();
+  state.deferred_tasks.clear();
   // Its timers belong to no process any more.
-  ++state.life;
+  ++state.process_generation;
 }
 
 void FakeNetwork::Freeze(const NodeId& node) {
@@ -74,22 +74,23 @@
 void FakeNetwork::Thaw(const NodeId& node) {
   NodeState& state = nodes_[node];
   state.frozen = false;
-  const std::vector<Act> waiting = std::exchange(state.waiting, {});
-  for (const Act& act : waiting) {
-    Arrive(node, act);
+  const std::vector<Task> deferred_tasks =
+      std::exchange(state.deferred_tasks, {});
+  for (const Task& task : deferred_tasks) {
+    RunOrDefer(node, task);
   }
 }
 
-void FakeNetwork::Arrive(const NodeId& node, const Act& act) {
+void FakeNetwork::RunOrDefer(const NodeId& node, const Task& task) {
   NodeState& state = nodes_[node];
   if (!state.alive) {
     return;
   }
   if (state.frozen) {
-    state.waiting.push_back(act);
+    state.deferred_tasks.push_back(task);
     return;
   }
-  act();
+  task();
 }
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/fake_network.h
+++ b/src/libs/scenario/fake_network.h
@@ -19,8 +19,8 @@
 namespace bilberryspool::scenario {
 
 struct LinkConditions {
-  Duration shortest_delay = Microseconds(200);
-  Duration longest_delay = Milliseconds(3);
+  Duration min_delay = Microseconds(200);
+  Duration max_delay = Milliseconds(3);
   double loss = 0;
   double duplication = 0;
 };
@@ -29,7 +29,7 @@
  public:
   using Deliver = std::function<
       void(const NodeId& from, const NodeId& to, const Frame& frame)>;
-  using Act = std::function<void()>;
+  using Task = std::function<void()>;
 
   FakeNetwork(std::uint64_t seed, Deliver deliver)
       : random_(seed), deliver_(std::move(deliver)) {}
@@ -40,9 +40,9 @@
 
   void Send(const NodeId& from, const NodeId& to, const Frame& frame);
   // A timer of a node; it dies with the process and waits while it is frozen.
-  void After(const NodeId& node, Duration delay, Act act);
+  void After(const NodeId& node, Duration delay, Task task);
   // Something outside of all nodes.
-  void At(Duration delay, Act act);
+  void At(Duration delay, Task task);
   // Runs the next thing that is due by `end`. False where there is none; then
   // it is `end`.
   bool Step(TimePoint end);
@@ -60,26 +60,26 @@
   bool frozen(const NodeId& node) const { return State(node).frozen; }
   // Counts the starts of the node's process.
   Incarnation incarnation(const NodeId& node) const {
-    return Incarnation(State(node).life);
+    return Incarnation(State(node).process_generation);
   }
 
  private:
   struct NodeState {
     bool alive = false;
     bool frozen = false;
-    std::uint64_t life = 0;
-    std::vector<Act> waiting;
+    std::uint64_t process_generation = 0;
+    std::vector<Task> deferred_tasks;
   };
 
   NodeState State(const NodeId& node) const;
-  void Arrive(const NodeId& node, const Act& act);
+  void RunOrDefer(const NodeId& node, const Task& task);
 
   Random random_;
   Deliver deliver_;
   LinkConditions conditions_;
   TimePoint now_;
   std::uint64_t sequence_ = 0;
-  std::map<std::pair<TimePoint, std::uint64_t>, Act> queue_;
+  std::map<std::pair<TimePoint, std::uint64_t>, Task> queue_;
   std::map<NodeId, NodeState> nodes_;
   std::set<std::pair<NodeId, NodeId>> cuts_;
 };
--- a/src/libs/scenario/grammar.cc
+++ b/src/libs/scenario/grammar.cc
@@ -139,7 +139,7 @@
       Word("disk")[SetTo<&FaultNode::fault, NodeFault::kLoseDisk>()]) |
      Word("freeze")[SetTo<&FaultNode::fault, NodeFault::kFreeze>()] |
      Word("thaw")[SetTo<&FaultNode::fault, NodeFault::kThaw>()] |
-     Word("stop")[SetTo<&FaultNode::fault, NodeFault::kLeave>()]) >>
+     Word("stop")[SetTo<&FaultNode::fault, NodeFault::kPlannedStop>()]) >>
     kName[Set<&FaultNode::node>()];
 
 const auto kCut = x3::rule<struct CutTag, Cut>{"cut"} =
@@ -151,7 +151,7 @@
     Word("heal")[([](auto& context) { x3::_val(context) = Heal{}; })];
 
 const auto kDelay = x3::rule<struct DelayTag, SetDelay>{"delay"} =
-    Word("delay") >> kDuration[Set<&SetDelay::longest>()];
+    Word("delay") >> kDuration[Set<&SetDelay::max_delay>()];
 const auto kDuplication =
     x3::rule<struct DuplicationTag, SetDuplication>{"duplication"} =
         Word("duplicate") >> kPercent[Set<&SetDuplication::percent>()];
--- a/src/libs/scenario/random_faults.cc
+++ b/src/libs/scenario/random_faults.cc
@@ -28,16 +28,16 @@
   }
 }
 
-void DisturbLinks(World& world, Random& random) {
+void DegradeLinks(World& world, Random& random) {
   LinkConditions& links = world.network().conditions();
   links.loss = random.Chance(0.5) ? random.Fraction() * 0.2 : 0;
   links.duplication = random.Chance(0.5) ? random.Fraction() * 0.2 : 0;
-  links.longest_delay =
+  links.max_delay =
       random.Between(Milliseconds(1),
                      random.Chance(0.5) ? Milliseconds(5) : Milliseconds(300));
 }
 
-void DisturbOnce(World& world, Random& random) {
+void InjectFault(World& world, Random& random) {
   enum Fault { kKill, kRestart, kFreeze, kThaw, kCut, kHeal, kLinks, kCount };
   const NodeId node = Pick(world.nodes(), random);
   switch (random.Below(kCount)) {
@@ -60,27 +60,27 @@
     case kHeal:
       return world.network().Heal();
     default:
-      return DisturbLinks(world, random);
+      return DegradeLinks(world, random);
   }
 }
 
-void OrderOnce(World& world, Random& random, std::size_t count) {
+void SubmitRandomOrder(World& world, Random& random, std::size_t count) {
   const std::string name = "w" + std::to_string(random.Below(kWorkspaces));
   std::string text = "declare workspace " + name + " requests " +
                      std::to_string(1 + random.Below(100));
   if (random.Chance(0.3)) {
-    text +=
-        " at version " + std::to_string(world.checks().latest_told().value());
+    text += " at version " +
+            std::to_string(world.checks().latest_reported_version().value());
   }
   // Some orders are sent twice, as after a lost answer.
   text += " as \"order-" + std::to_string(count) + "\"";
   const std::size_t sends = random.Chance(0.3) ? 2 : 1;
   for (std::size_t i = 0; i < sends; ++i) {
-    world.GiveOrder("operator", Pick(world.entries(), random), text);
+    world.SubmitOrder("operator", Pick(world.entries(), random), text);
   }
 }
 
-void SendOnce(World& world, Random& random, bool idempotent) {
+void SendRandomRequest(World& world, Random& random, bool idempotent) {
   const std::string id = (idempotent ? "question-" : "order-") +
                          std::to_string(random.Below(kRequestIds));
   world.Send({RequestId(id), ServiceId("drafter"), idempotent},
@@ -96,12 +96,12 @@
   std::size_t orders = 0;
   while (network.now() < end && !world.verdict().failed()) {
     if (random.Chance(0.15)) {
-      DisturbOnce(world, random);
+      InjectFault(world, random);
     }
     if (random.Chance(0.1)) {
-      OrderOnce(world, random, ++orders);
+      SubmitRandomOrder(world, random, ++orders);
     }
-    SendOnce(world, random, random.Chance(0.3));
+    SendRandomRequest(world, random, random.Chance(0.3));
     const Duration pause = random.Between(Milliseconds(10), Milliseconds(300));
     world.RunUntil(network.now() + pause, [] { return false; });
   }
--- a/src/libs/scenario/replica_host.cc
+++ b/src/libs/scenario/replica_host.cc
@@ -11,8 +11,8 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kLongestPause = Milliseconds(50);
-constexpr Duration kLongestSync = Milliseconds(10);
+constexpr Duration kMaxPause = Milliseconds(50);
+constexpr Duration kMaxSyncDuration = Milliseconds(10);
 // Small, so that scenarios of a few hundred changes come by one.
 constexpr std::uint64_t kEntriesPerSnapshot = 100;
 constexpr std::size_t kKeptOutcomes = 1024;
@@ -70,19 +70,20 @@
       disk_(disk),
       hooks_(std::move(hooks)),
       replica_(disk.synced, std::move(options), network.random().engine()()),
-      was_blank_(disk.synced.hard_state.cluster == consensus::ClusterId(0)) {}
+      was_folder_empty_(disk.synced.hard_state.cluster ==
+                        consensus::ClusterId(0)) {}
 
 void ReplicaHost::Start() {
   Run();
-  KeepMembership();
+  MaintainMembership();
 }
 
 void ReplicaHost::Run() {
   Handle(consensus::Tick{});
   const TimePoint now = network_.now();
-  const TimePoint due = replica_.next_deadline().value_or(now + kLongestPause);
+  const TimePoint due = replica_.next_deadline().value_or(now + kMaxPause);
   const Duration pause =
-      std::clamp<Duration>(due - now, Milliseconds(1), kLongestPause);
+      std::clamp<Duration>(due - now, Milliseconds(1), kMaxPause);
   network_.After(self(), pause, [this] { Run(); });
 }
 
@@ -98,19 +99,19 @@
 
 void ReplicaHost::Handle(const consensus::Event& event) {
   for (const auto& action : replica_.Handle(event, network_.now())) {
-    std::visit([this](const auto& typed) { Do(typed); }, action);
+    std::visit([this](const auto& typed) { Execute(typed); }, action);
   }
 }
 
-void ReplicaHost::Do(const consensus::Send& send) {
+void ReplicaHost::Execute(const consensus::Send& send) {
   network_.Send(self(), send.message.to.node, send.message);
 }
 
-void ReplicaHost::Do(const consensus::Persist& persist) {
+void ReplicaHost::Execute(const consensus::Persist& persist) {
   Write(persist.ticket, persist);
 }
 
-void ReplicaHost::Do(const consensus::PersistSnapshot& persist) {
+void ReplicaHost::Execute(const consensus::PersistSnapshot& persist) {
   Write(persist.ticket, persist);
 }
 
@@ -119,14 +120,14 @@
   disk_.unsynced.push_back(job);
   const TimePoint start = std::max(disk_free_at_, network_.now());
   disk_free_at_ =
-      start + network_.random().Between(Microseconds(100), kLongestSync);
+      start + network_.random().Between(Microseconds(100), kMaxSyncDuration);
   network_.After(self(), disk_free_at_ - network_.now(), [this, ticket] {
     disk_.Sync(ticket);
     Handle(consensus::Persisted{ticket});
   });
 }
 
-void ReplicaHost::Do(const consensus::CompactLog& compact) {
+void ReplicaHost::Execute(const consensus::CompactLog& compact) {
   const auto& snapshot = disk_.synced.snapshot;
   verdict_.Check(snapshot != nullptr && snapshot->index >= compact.through,
                  "the log of " + self().value() +
@@ -136,12 +137,12 @@
   });
 }
 
-void ReplicaHost::Do(const consensus::Apply& apply) {
+void ReplicaHost::Execute(const consensus::Apply& apply) {
   for (const consensus::LogEntry& entry : apply.entries) {
-    checks_.Committed(self(), entry);
+    checks_.OnCommitted(self(), entry);
     ApplyEntry(entry);
   }
-  AnswerWaiters();
+  AnswerAppliedProposals();
   const LogIndex applied = apply.entries.back().index;
   if (applied.value() < last_snapshot_.value() + kEntriesPerSnapshot) {
     return;
@@ -159,9 +160,9 @@
   // A restarted replica applies the first entry again, but it has voted on
   // claims before: taken for a founder it would grant what it granted then.
   const bool is_founding =
-      was_blank_ && membership != nullptr && entry.index == LogIndex(1);
+      was_folder_empty_ && membership != nullptr && entry.index == LogIndex(1);
   if (is_founding && membership->IsVoter(replica_.self())) {
-    hooks_.founded();
+    hooks_.log_founded();
   }
   const auto* bytes = std::get_if<consensus::Command>(&entry.payload);
   if (bytes == nullptr) {
@@ -180,22 +181,22 @@
     return;
   }
   if (const auto delta = state_machine_.DeltaFrom(before)) {
-    hooks_.take_step(*delta, digest);
+    hooks_.step_committed(*delta, digest);
   } else {
-    hooks_.take_state(state_machine_.configuration());
+    hooks_.state_adopted(state_machine_.configuration());
   }
 }
 
-void ReplicaHost::Do(const consensus::RestoreSnapshot& restore) {
+void ReplicaHost::Execute(const consensus::RestoreSnapshot& restore) {
   last_snapshot_ = restore.snapshot->index;
   auto state = config::ReadSnapshot(restore.snapshot->data);
   BILBERRYSPOOL_INVARIANT(state.has_value(),
                           "a snapshot of the log can be read");
   state_machine_ = config::StateMachine(std::move(*state));
-  hooks_.take_state(state_machine_.configuration());
+  hooks_.state_adopted(state_machine_.configuration());
 }
 
-void ReplicaHost::Do(const consensus::ProposalOutcome& outcome) {
+void ReplicaHost::Execute(const consensus::ProposalOutcome& outcome) {
   const auto found = proposed_.find(outcome.ticket);
   if (found == proposed_.end()) {
     return;
@@ -205,7 +206,7 @@
   const auto* accepted = std::get_if<consensus::Accepted>(&outcome.result);
   if (accepted != nullptr) {
     accepted_.emplace(accepted->index, std::move(done));
-    AnswerWaiters();
+    AnswerAppliedProposals();
     return;
   }
   const auto* other = std::get_if<consensus::NotLeader>(&outcome.result);
@@ -216,7 +217,7 @@
   }
 }
 
-void ReplicaHost::AnswerWaiters() {
+void ReplicaHost::AnswerAppliedProposals() {
   while (!accepted_.empty() &&
          accepted_.begin()->first <= state_machine_.applied_index()) {
     auto first = accepted_.extract(accepted_.begin());
@@ -227,16 +228,16 @@
   }
 }
 
-void ReplicaHost::Do(const consensus::RoleChanged& change) {
+void ReplicaHost::Execute(const consensus::RoleChanged& change) {
   if (change.role == consensus::Role::kLeader) {
-    checks_.BecameLeader(self(), replica_.log().last_index());
+    checks_.OnBecameLeader(self(), replica_.log().last_index());
     verdict_.Note(self(),
                   "leads in term " + std::to_string(change.term.value()));
   }
   hooks_.role_changed(change);
 }
 
-void ReplicaHost::Do(const consensus::Halted& halted) {
+void ReplicaHost::Execute(const consensus::Halted& halted) {
   const bool is_superseded =
       halted.reason == consensus::HaltReason::kSuperseded;
   verdict_.Note(self(), is_superseded ? "halted: superseded"
--- a/src/libs/scenario/replica_host.h
+++ b/src/libs/scenario/replica_host.h
@@ -31,11 +31,12 @@
 class ReplicaHost {
  public:
   struct Hooks {
-    std::function<void(const config::Delta&, config::Digest from)> take_step;
-    std::function<void(const config::Configuration&)> take_state;
+    std::function<void(const config::Delta&, config::Digest from)>
+        step_committed;
+    std::function<void(const config::Configuration&)> state_adopted;
     std::function<void(const consensus::RoleChanged&)> role_changed;
     // This replica has founded the log since its start.
-    std::function<void()> founded;
+    std::function<void()> log_founded;
     // Where the members' failure domains come from.
     std::function<FailureDomain(const NodeId&)> domain_of;
   };
@@ -61,22 +62,22 @@
   const NodeId& self() const { return replica_.self().node; }
   void Run();
   void Handle(const consensus::Event& event);
-  void Do(const consensus::Send& send);
-  void Do(const consensus::Persist& persist);
-  void Do(const consensus::PersistSnapshot& persist);
-  void Do(const consensus::CompactLog& compact);
-  void Do(const consensus::Apply& apply);
-  void Do(const consensus::RestoreSnapshot& restore);
-  void Do(const consensus::ProposalOutcome& outcome);
-  void Do(const consensus::ReadOutcome&) {}
-  void Do(const consensus::RoleChanged& change);
-  void Do(const consensus::Halted& halted);
+  void Execute(const consensus::Send& send);
+  void Execute(const consensus::Persist& persist);
+  void Execute(const consensus::PersistSnapshot& persist);
+  void Execute(const consensus::CompactLog& compact);
+  void Execute(const consensus::Apply& apply);
+  void Execute(const consensus::RestoreSnapshot& restore);
+  void Execute(const consensus::ProposalOutcome& outcome);
+  void Execute(const consensus::ReadOutcome&) {}
+  void Execute(const consensus::RoleChanged& change);
+  void Execute(const consensus::Halted& halted);
   void Write(consensus::PersistTicket ticket, const consensus::Action& job);
   void ApplyEntry(const consensus::LogEntry& entry);
-  void AnswerWaiters();
+  void AnswerAppliedProposals();
 
   // replica_host_membership.cc
-  void KeepMembership();
+  void MaintainMembership();
   void DriveReplacement();
   void ObserveMembers();
   std::vector<config::ControlMemberSpec> ObservedMembers() const;
@@ -89,7 +90,7 @@
   consensus::Replica replica_;
   config::StateMachine state_machine_;
   // The folder was new at this start.
-  bool was_blank_;
+  bool was_folder_empty_;
   TimePoint disk_free_at_;
   LogIndex last_snapshot_;
   consensus::RequestTicket last_ticket_;
@@ -99,7 +100,7 @@
   std::map<LogIndex, config::Outcome> outcomes_;
   // Committed, maybe not yet applied.
   std::multimap<LogIndex, Done> accepted_;
-  std::uint64_t own_commands_ = 0;
+  std::uint64_t issued_commands_ = 0;
 };
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/replica_host_membership.cc
+++ b/src/libs/scenario/replica_host_membership.cc
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-void ReplicaHost::KeepMembership() {
+void ReplicaHost::MaintainMembership() {
   if (leads()) {
     DriveReplacement();
     ObserveMembers();
   }
-  network_.After(self(), kInterval, [this] { KeepMembership(); });
+  network_.After(self(), kInterval, [this] { MaintainMembership(); });
 }
 
 void ReplicaHost::DriveReplacement() {
@@ -120,7 +120,7 @@
       CommandId("members-" + std::to_string(replica_.term().value()) + "-" +
                 self().value() + "-" +
                 std::to_string(network_.now().time_since_epoch().count()) +
-                "-" + std::to_string(++own_commands_));
+                "-" + std::to_string(++issued_commands_));
   command.operator_id = config::OperatorId("system");
   command.expected =
       config::Expectation{known.version(), config::CompareScope::kObjects};
--- a/src/libs/scenario/request_book.cc
+++ b/src/libs/scenario/request_book.cc
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-SendId RequestBook::Open(CallerRequest request,
-                         const NodeId& entry,
-                         TimePoint now) {
+SendId RequestRegistry::Open(CallerRequest request,
+                             const NodeId& entry,
+                             TimePoint now) {
   CallerSend send;
   send.request = std::move(request);
   send.entry = entry;
@@ -21,7 +21,7 @@
   return SendId(sends_.size() - 1);
 }
 
-std::optional<CallerRequest> RequestBook::Find(const RequestId& id) const {
+std::optional<CallerRequest> RequestRegistry::Find(const RequestId& id) const {
   for (const CallerSend& send : sends_) {
     if (send.request.id == id) {
       return send.request;
@@ -30,7 +30,7 @@
   return std::nullopt;
 }
 
-const CallerSend* RequestBook::LatestOf(const RequestId& id) const {
+const CallerSend* RequestRegistry::LatestOf(const RequestId& id) const {
   const CallerSend* latest = nullptr;
   for (const CallerSend& send : sends_) {
     latest = send.request.id == id ? &send : latest;
@@ -38,23 +38,23 @@
   return latest;
 }
 
-std::size_t RequestBook::RunsOf(const RequestId& id) const {
+std::size_t RequestRegistry::RunsOf(const RequestId& id) const {
   const auto found = runs_.find(id);
   return found == runs_.end() ? 0 : found->second.size();
 }
 
-void RequestBook::Disturb(const NodeId& entry) {
+void RequestRegistry::MarkDisturbed(const NodeId& entry) {
   for (CallerSend& send : sends_) {
     const bool is_open = send.entry == entry && !send.final.has_value();
     send.disturbed = send.disturbed || is_open;
   }
 }
 
-void RequestBook::Stopped(const TargetId& target, TimePoint now) {
-  stopped_.emplace(target, now);
+void RequestRegistry::OnTargetStopping(const TargetId& target, TimePoint now) {
+  stopping_targets_.emplace(target, now);
 }
 
-void RequestBook::Ran(SendId id, const TargetId& target, TimePoint now) {
+void RequestRegistry::OnRun(SendId id, const TargetId& target, TimePoint now) {
   const CallerSend& sent = send(id);
   std::vector<Run>& runs = runs_[sent.request.id];
   runs.push_back({id, now});
@@ -62,14 +62,15 @@
         "a non-idempotent request runs twice");
   Check(sent.final != attempts::FinalKind::kNotRun, id,
         "it runs after it was answered as not run");
-  const auto stopped = stopped_.find(target);
-  Check(stopped == stopped_.end() || now <= stopped->second + kLeavingGrace, id,
-        "target " + target.value() + ", which is leaving, gets new work");
+  const auto stopped = stopping_targets_.find(target);
+  Check(stopped == stopping_targets_.end() ||
+            now <= stopped->second + kDrainGracePeriod,
+        id, "target " + target.value() + ", which is leaving, gets new work");
 }
 
-void RequestBook::Answered(SendId id,
-                           const attempts::AnswerCaller& answer,
-                           TimePoint now) {
+void RequestRegistry::OnAnswered(SendId id,
+                                 const attempts::AnswerCaller& answer,
+                                 TimePoint now) {
   CallerSend& sent = send(id);
   Check(!sent.final.has_value(), id, "a second final answer");
   sent.final = answer.kind;
@@ -81,9 +82,9 @@
     Check(text == whole, id, "the answer isn't whole");
   }
   // Another send of an idempotent request may have run.
-  const bool speaks_for_all =
+  const bool covers_all_sends =
       answer.kind == attempts::FinalKind::kNotRun && !sent.request.idempotent;
-  Check(!speaks_for_all || RunsOf(sent.request.id) == 0, id,
+  Check(!covers_all_sends || RunsOf(sent.request.id) == 0, id,
         "answered as not run, yet it ran");
   for (const Run& run : runs_[sent.request.id]) {
     Check(answer.kind != attempts::FinalKind::kNotRun || run.send != id, id,
@@ -92,7 +93,7 @@
   CheckDeadlines(now);
 }
 
-void RequestBook::CheckDeadlines(TimePoint now) {
+void RequestRegistry::CheckDeadlines(TimePoint now) {
   for (std::size_t i = 0; i < sends_.size(); ++i) {
     const CallerSend& sent = sends_[i];
     const bool is_open = !sent.final.has_value() && !sent.disturbed;
@@ -101,7 +102,7 @@
   }
 }
 
-void RequestBook::Check(bool holds, SendId id, const std::string& what) {
+void RequestRegistry::Check(bool holds, SendId id, const std::string& what) {
   if (!holds) {
     const CallerSend& sent = send(id);
     verdict_.Check(false, "request " + sent.request.id.value() + " through " +
--- a/src/libs/scenario/request_book.h
+++ b/src/libs/scenario/request_book.h
@@ -41,12 +41,12 @@
 // - an answer is whole, of the request's own, and comes once;
 // - it comes by the deadline, unless the entry itself died or stood still;
 // - a target that was stopped gets no new work after its grace.
-class RequestBook {
+class RequestRegistry {
  public:
   // How long a stopped target may still get work.
-  static constexpr Duration kLeavingGrace = Seconds(4);
+  static constexpr Duration kDrainGracePeriod = Seconds(4);
 
-  explicit RequestBook(Verdict& verdict) : verdict_(verdict) {}
+  explicit RequestRegistry(Verdict& verdict) : verdict_(verdict) {}
 
   SendId Open(CallerRequest request, const NodeId& entry, TimePoint now);
   CallerSend& send(SendId id) { return sends_.at(id.value()); }
@@ -57,12 +57,12 @@
   std::size_t RunsOf(const RequestId& id) const;
 
   // The entry died or froze: answers that it owes may be late or missing.
-  void Disturb(const NodeId& entry);
-  void Stopped(const TargetId& target, TimePoint now);
-  void Ran(SendId send, const TargetId& target, TimePoint now);
-  void Answered(SendId send,
-                const attempts::AnswerCaller& answer,
-                TimePoint now);
+  void MarkDisturbed(const NodeId& entry);
+  void OnTargetStopping(const TargetId& target, TimePoint now);
+  void OnRun(SendId send, const TargetId& target, TimePoint now);
+  void OnAnswered(SendId send,
+                  const attempts::AnswerCaller& answer,
+                  TimePoint now);
   void CheckDeadlines(TimePoint now);
 
   static std::string AnswerTo(const RequestId& id) {
@@ -80,7 +80,7 @@
   Verdict& verdict_;
   std::vector<CallerSend> sends_;
   std::map<RequestId, std::vector<Run>> runs_;
-  std::map<TargetId, TimePoint> stopped_;
+  std::map<TargetId, TimePoint> stopping_targets_;
 };
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/request_host.cc
+++ b/src/libs/scenario/request_host.cc
@@ -12,10 +12,10 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kFeedInterval = Milliseconds(100);
+constexpr Duration kUpdateInterval = Milliseconds(100);
 // As long as the holders' ledgers remember a key.
 constexpr Duration kClaimWindow = Seconds(600);
-constexpr Duration kDeadlineOfUnknown = Seconds(5);
+constexpr Duration kDefaultDeadline = Seconds(5);
 
 bool Selects(const config::TargetSelector& selector,
              const routing::TargetView& view) {
@@ -31,13 +31,13 @@
 
 RequestHost::RequestHost(FakeNetwork& network,
                          Verdict& verdict,
-                         RequestBook& book,
+                         RequestRegistry& request_registry,
                          NodeId self,
                          FailureDomain domain,
                          Hooks hooks)
     : network_(network),
       verdict_(verdict),
-      book_(book),
+      request_registry_(request_registry),
       self_(std::move(self)),
       domain_(std::move(domain)),
       hooks_(std::move(hooks)),
@@ -51,23 +51,23 @@
                                first_start, network_.now());
 }
 
-void RequestHost::ForgetNothing() {
+void RequestHost::MarkFirstStart() {
   holder_ = MakeHolder(true);
 }
 
 void RequestHost::Start() {
-  KeepFeeding();
+  UpdatePeriodically();
 }
 
-void RequestHost::KeepFeeding() {
+void RequestHost::UpdatePeriodically() {
   Beat();
-  FeedTargets();
-  FeedPlacements();
-  FeedRoster();
-  network_.After(self_, kFeedInterval, [this] { KeepFeeding(); });
+  UpdateTargets();
+  UpdatePlacements();
+  UpdateRoster();
+  network_.After(self_, kUpdateInterval, [this] { UpdatePeriodically(); });
 }
 
-void RequestHost::FeedTargets() {
+void RequestHost::UpdateTargets() {
   const auto& drains = hooks_.configuration().table<config::DrainSpec>();
   std::map<TargetId, routing::TargetView> views;
   for (routing::TargetView& view : hooks_.targets()) {
@@ -88,7 +88,7 @@
   views_ = std::move(views);
 }
 
-void RequestHost::FeedPlacements() {
+void RequestHost::UpdatePlacements() {
   std::map<ServiceId, routing::Placement> placements;
   const auto& declared = hooks_.configuration().table<config::PlacementSpec>();
   for (const auto& [key, row] : declared) {
@@ -108,7 +108,7 @@
 }
 
 // The holders of claims are the control replicas that vote.
-void RequestHost::FeedRoster() {
+void RequestHost::UpdateRoster() {
   attempts::Roster roster;
   const auto& members =
       hooks_.configuration().table<config::ControlMemberSpec>();
@@ -133,7 +133,7 @@
 }
 
 attempts::RequestSpec RequestHost::MakeSpec(SendId send) {
-  const CallerRequest& request = book_.send(send).request;
+  const CallerRequest& request = request_registry_.send(send).request;
   const auto* service =
       hooks_.configuration().Find<config::ServiceSpec>(request.service);
   const TimePoint now = network_.now();
@@ -145,7 +145,7 @@
                    attempts::ClaimNumber(send.value() + 1)};
   spec.idempotent = request.idempotent;
   spec.deadline =
-      now + (service != nullptr ? service->deadline : kDeadlineOfUnknown);
+      now + (service != nullptr ? service->deadline : kDefaultDeadline);
   spec.suspect = stall_.suspects(now);
   if (!request.idempotent) {
     spec.holders = rosters_.HoldersOf(spec.key, now);
@@ -156,38 +156,39 @@
 void RequestHost::Open(SendId send) {
   Beat();
   attempts::RequestSpec spec = MakeSpec(send);
-  book_.send(send).deadline = spec.deadline;
+  request_registry_.send(send).deadline = spec.deadline;
   machines_.emplace(send, attempts::RequestMachine({}, std::move(spec)));
-  Feed(send, attempts::RequestStarted{});
+  HandleEvent(send, attempts::RequestStarted{});
 }
 
 void RequestHost::Beat() {
   if (stall_.Beat(network_.now())) {
-    NoteStall();
+    OnStallDetected();
   }
 }
 
-void RequestHost::NoteStall() {
+void RequestHost::OnStallDetected() {
   verdict_.Note(self_, "notices that it stood still");
   std::vector<SendId> open;
   for (const auto& [send, machine] : machines_) {
     open.push_back(send);
   }
   for (const SendId send : open) {
-    Feed(send, attempts::EntryStalled{});
+    HandleEvent(send, attempts::EntryStalled{});
   }
 }
 
-void RequestHost::Feed(SendId send, const attempts::RequestEvent& event) {
+void RequestHost::HandleEvent(SendId send,
+                              const attempts::RequestEvent& event) {
   const auto found = machines_.find(send);
   if (found == machines_.end() || found->second.done()) {
     return;
   }
-  NoteRouting(event);
+  UpdateRouter(event);
   for (const auto& action : found->second.Handle(event, network_.now())) {
     // An entry that freezes now carries out what it decided once it wakes up.
     network_.After(self_, Microseconds(10), [this, send, action] {
-      std::visit([&](const auto& typed) { Do(send, typed); }, action);
+      std::visit([&](const auto& typed) { Execute(send, typed); }, action);
     });
   }
   ScheduleTick(send);
@@ -202,18 +203,18 @@
       std::max<Duration>(*next - network_.now(), Microseconds(1));
   network_.After(self_, wait, [this, send] {
     Beat();
-    Feed(send, attempts::RequestTick{});
+    HandleEvent(send, attempts::RequestTick{});
   });
 }
 
-void RequestHost::NoteRouting(const attempts::RequestEvent& event) {
+void RequestHost::UpdateRouter(const attempts::RequestEvent& event) {
   std::visit(Overloaded{[this](const attempts::AttemptRefused& refused) {
-                          EndOfAttempt(refused.attempt,
-                                       routing::AttemptOutcome::kRefusedBusy);
+                          FinishAttempt(refused.attempt,
+                                        routing::AttemptOutcome::kRefusedBusy);
                         },
                         [this](const attempts::AttemptFinished& finished) {
-                          EndOfAttempt(finished.attempt,
-                                       routing::AttemptOutcome::kSucceeded);
+                          FinishAttempt(finished.attempt,
+                                        routing::AttemptOutcome::kSucceeded);
                         },
                         [this](const attempts::AttemptHead& head) {
                           router_.Handle(routing::FirstToken{head.attempt},
@@ -223,8 +224,8 @@
              event);
 }
 
-void RequestHost::EndOfAttempt(const AttemptId& attempt,
-                               routing::AttemptOutcome outcome) {
+void RequestHost::FinishAttempt(const AttemptId& attempt,
+                                routing::AttemptOutcome outcome) {
   router_.Handle(routing::AttemptFinished{attempt, outcome, std::nullopt},
                  network_.now());
 }
--- a/src/libs/scenario/request_host.h
+++ b/src/libs/scenario/request_host.h
@@ -29,14 +29,14 @@
 
   RequestHost(FakeNetwork& network,
               Verdict& verdict,
-              RequestBook& book,
+              RequestRegistry& request_registry,
               NodeId self,
               FailureDomain domain,
               Hooks hooks);
 
   void Start();
   // The deployment has never run, so there is no vote to have forgotten.
-  void ForgetNothing();
+  void MarkFirstStart();
   void Open(SendId send);
   // Whether new work may go to the target.
   bool offers(const TargetId& target) const;
@@ -59,36 +59,38 @@
     std::size_t tries = 0;
   };
 
-  void KeepFeeding();
-  void FeedTargets();
-  void FeedPlacements();
-  void FeedRoster();
+  void UpdatePeriodically();
+  void UpdateTargets();
+  void UpdatePlacements();
+  void UpdateRoster();
   attempts::ClaimHolder MakeHolder(bool first_start) const;
   attempts::RequestSpec MakeSpec(SendId send);
   void Beat();
-  void NoteStall();
-  void Feed(SendId send, const attempts::RequestEvent& event);
+  void OnStallDetected();
+  void HandleEvent(SendId send, const attempts::RequestEvent& event);
   void ScheduleTick(SendId send);
   void Choose(SendId send, PendingChoice choice);
-  void ChooseAnother(SendId send, const TargetId& silent, std::size_t tries);
-  void EndOfAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
-  void NoteRouting(const attempts::RequestEvent& event);
+  void OnTokenTimeout(SendId send,
+                      const TargetId& unresponsive,
+                      std::size_t tries);
+  void FinishAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
+  void UpdateRouter(const attempts::RequestEvent& event);
 
-  void Do(SendId send, const attempts::SendClaim& action);
-  void Do(SendId send, const attempts::Route& action);
-  void Do(SendId send, const attempts::SendAttempt& action);
-  void Do(SendId, const attempts::RelayHead&) {}
-  void Do(SendId send, const attempts::RelayChunk& action);
-  void Do(SendId send, const attempts::SendSettle& action);
-  void Do(SendId send, const attempts::ResumeAttempt& action);
-  void Do(SendId, const attempts::CancelAttempt&) {}
-  void Do(SendId send, const attempts::AnswerCaller& action);
-  void Do(SendId send, const attempts::SendRelease& action);
-  void Do(SendId send, const attempts::SendFinish& action);
+  void Execute(SendId send, const attempts::SendClaim& action);
+  void Execute(SendId send, const attempts::Route& action);
+  void Execute(SendId send, const attempts::SendAttempt& action);
+  void Execute(SendId, const attempts::RelayHead&) {}
+  void Execute(SendId send, const attempts::RelayChunk& action);
+  void Execute(SendId send, const attempts::SendSettle& action);
+  void Execute(SendId send, const attempts::ResumeAttempt& action);
+  void Execute(SendId, const attempts::CancelAttempt&) {}
+  void Execute(SendId send, const attempts::AnswerCaller& action);
+  void Execute(SendId send, const attempts::SendRelease& action);
+  void Execute(SendId send, const attempts::SendFinish& action);
 
   FakeNetwork& network_;
   Verdict& verdict_;
-  RequestBook& book_;
+  RequestRegistry& request_registry_;
   NodeId self_;
   FailureDomain domain_;
   Hooks hooks_;
--- a/src/libs/scenario/request_host_actions.cc
+++ b/src/libs/scenario/request_host_actions.cc
@@ -8,8 +8,8 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kTokenUse = Seconds(8);
-constexpr Duration kTokenPatience = Milliseconds(700);
+constexpr Duration kMaxTokenAge = Seconds(8);
+constexpr Duration kTokenTimeout = Milliseconds(700);
 constexpr std::size_t kMaxTokenTries = 3;
 
 NodeId NodeOf(const TargetId& target) {
@@ -49,7 +49,7 @@
 void RequestHost::Receive(const NodeId&, const RequestReply& reply) {
   Beat();
   for (const attempts::RequestEvent& event : reply.events) {
-    Feed(reply.send, event);
+    HandleEvent(reply.send, event);
   }
 }
 
@@ -60,36 +60,37 @@
     known = {reply.token, now};
   }
   if (stall_.Observe(reply.target, reply.token, now)) {
-    NoteStall();
+    OnStallDetected();
   }
   const auto pending = choices_.find(reply.send);
   const bool is_awaited =
       pending != choices_.end() && pending->second.target == reply.target;
   if (is_awaited) {
     choices_.erase(pending);
-    Feed(reply.send, attempts::TargetChosen{reply.target, known.token, false});
+    HandleEvent(reply.send,
+                attempts::TargetChosen{reply.target, known.token, false});
   }
 }
 
-void RequestHost::Do(SendId send, const attempts::SendClaim& action) {
+void RequestHost::Execute(SendId send, const attempts::SendClaim& action) {
   network_.Send(self_, action.holder, ClaimCall{send, action.request});
 }
 
-void RequestHost::Do(SendId send, const attempts::SendRelease& action) {
+void RequestHost::Execute(SendId send, const attempts::SendRelease& action) {
   network_.Send(self_, action.holder, ReleaseCall{send, action.release});
 }
 
-void RequestHost::Do(SendId, const attempts::SendFinish& action) {
+void RequestHost::Execute(SendId, const attempts::SendFinish& action) {
   network_.Send(self_, action.holder, action.finish);
 }
 
-void RequestHost::Do(SendId send, const attempts::Route& action) {
-  const CallerRequest& request = book_.send(send).request;
+void RequestHost::Execute(SendId send, const attempts::Route& action) {
+  const CallerRequest& request = request_registry_.send(send).request;
   PendingChoice choice;
   choice.request.service = request.service;
   choice.request.workspace = Workspace("plants");
   choice.request.excluded = action.excluded;
-  choice.request.deadline = *book_.send(send).deadline;
+  choice.request.deadline = *request_registry_.send(send).deadline;
   choice.request.own_domain = domain_;
   choice.request.idempotent = request.idempotent;
   Choose(send, std::move(choice));
@@ -98,7 +99,7 @@
 void RequestHost::Choose(SendId send, PendingChoice choice) {
   const routing::Choice chosen = router_.Choose(choice.request, network_.now());
   if (const auto* none = std::get_if<routing::NoTarget>(&chosen)) {
-    Feed(send, attempts::NoTarget{none->retry_after});
+    HandleEvent(send, attempts::NoTarget{none->retry_after});
     return;
   }
   choice.target = std::get<routing::Selected>(chosen).target;
@@ -106,11 +107,12 @@
                                             choice.target.value() +
                                             ", which gets no new work");
   const auto token = tokens_.find(choice.target);
-  const bool is_fresh = token != tokens_.end() &&
-                        network_.now() - token->second.learned_at < kTokenUse;
+  const bool is_fresh =
+      token != tokens_.end() &&
+      network_.now() - token->second.learned_at < kMaxTokenAge;
   if (is_fresh) {
-    Feed(send,
-         attempts::TargetChosen{choice.target, token->second.token, false});
+    HandleEvent(send, attempts::TargetChosen{choice.target, token->second.token,
+                                             false});
     return;
   }
   ++choice.tries;
@@ -118,18 +120,18 @@
   const std::size_t tries = choice.tries;
   choices_[send] = std::move(choice);
   network_.Send(self_, NodeOf(target), TokenCall{send, target});
-  network_.After(self_, kTokenPatience, [this, send, target, tries] {
-    ChooseAnother(send, target, tries);
+  network_.After(self_, kTokenTimeout, [this, send, target, tries] {
+    OnTokenTimeout(send, target, tries);
   });
 }
 
 // The agent doesn't answer: nothing was sent, so another may be tried.
-void RequestHost::ChooseAnother(SendId send,
-                                const TargetId& silent,
-                                std::size_t tries) {
+void RequestHost::OnTokenTimeout(SendId send,
+                                 const TargetId& unresponsive,
+                                 std::size_t tries) {
   const auto pending = choices_.find(send);
   const bool is_waiting = pending != choices_.end() &&
-                          pending->second.target == silent &&
+                          pending->second.target == unresponsive &&
                           pending->second.tries == tries;
   if (!is_waiting) {
     return;
@@ -137,46 +139,48 @@
   PendingChoice choice = std::move(pending->second);
   choices_.erase(pending);
   if (choice.tries >= kMaxTokenTries) {
-    Feed(send, attempts::NoTarget{});
+    HandleEvent(send, attempts::NoTarget{});
     return;
   }
-  choice.request.excluded.push_back(silent);
+  choice.request.excluded.push_back(unresponsive);
   Choose(send, std::move(choice));
 }
 
-void RequestHost::Do(SendId send, const attempts::SendAttempt& action) {
+void RequestHost::Execute(SendId send, const attempts::SendAttempt& action) {
   const attempts::AttemptRef& attempt = action.start.attempt;
-  router_.Handle(routing::AttemptStarted{attempt.attempt,
-                                         attempt.target,
-                                         book_.send(send).request.service,
-                                         {}},
-                 network_.now());
+  router_.Handle(
+      routing::AttemptStarted{attempt.attempt,
+                              attempt.target,
+                              request_registry_.send(send).request.service,
+                              {}},
+      network_.now());
   attempts_[send].push_back(attempt.attempt);
   network_.Send(self_, NodeOf(attempt.target), AttemptCall{send, action.start});
 }
 
-void RequestHost::Do(SendId send, const attempts::RelayChunk& action) {
-  book_.send(send).text += action.data;
+void RequestHost::Execute(SendId send, const attempts::RelayChunk& action) {
+  request_registry_.send(send).text += action.data;
 }
 
-void RequestHost::Do(SendId send, const attempts::SendSettle& action) {
+void RequestHost::Execute(SendId send, const attempts::SendSettle& action) {
   const attempts::AttemptRef& attempt = action.request.attempt;
-  EndOfAttempt(attempt.attempt, routing::AttemptOutcome::kDisconnected);
+  FinishAttempt(attempt.attempt, routing::AttemptOutcome::kDisconnected);
   network_.Send(self_, NodeOf(attempt.target),
                 SettleCall{send, action.request});
 }
 
-void RequestHost::Do(SendId send, const attempts::ResumeAttempt& action) {
+void RequestHost::Execute(SendId send, const attempts::ResumeAttempt& action) {
   network_.Send(self_, NodeOf(action.attempt.target),
                 ResumeCall{send, action.attempt, action.offset});
 }
 
-void RequestHost::Do(SendId send, const attempts::AnswerCaller& action) {
-  verdict_.Note(self_, "request " + book_.send(send).request.id.value() + ": " +
-                           NameOf(action.kind));
-  book_.Answered(send, action, network_.now());
+void RequestHost::Execute(SendId send, const attempts::AnswerCaller& action) {
+  verdict_.Note(self_, "request " +
+                           request_registry_.send(send).request.id.value() +
+                           ": " + NameOf(action.kind));
+  request_registry_.OnAnswered(send, action, network_.now());
   for (const AttemptId& attempt : attempts_[send]) {
-    EndOfAttempt(attempt, routing::AttemptOutcome::kCancelled);
+    FinishAttempt(attempt, routing::AttemptOutcome::kCancelled);
   }
   attempts_.erase(send);
   choices_.erase(send);
--- a/src/libs/scenario/runner.cc
+++ b/src/libs/scenario/runner.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // How often an expectation with a bound is looked at.
-constexpr Duration kPoll = Milliseconds(1);
+constexpr Duration kPollInterval = Milliseconds(1);
 
 // An invariant inside of a machine, caught so that the run can be told.
 struct BrokenInvariant : std::runtime_error {
@@ -31,21 +31,21 @@
  public:
   explicit Execution(World& world) : world_(world) {}
 
-  void Do(const Deployment&) {}
-  void Do(const Order& order);
-  void Do(const NameLeader& statement);
-  void Do(const FaultNode& statement);
-  void Do(const Cut& cut);
-  void Do(const Heal&) { world_.network().Heal(); }
-  void Do(const SetDelay& delay);
-  void Do(const SetDuplication& duplication);
-  void Do(const SetLoss& loss);
-  void Do(const SendRequest& send);
-  void Do(const ResendRequest& resend);
-  void Do(const Load& load);
-  void Do(const Wait& wait) { Advance(wait.duration); }
-  void Do(const RandomFaults& faults) { RunRandomFaults(world_, faults); }
-  void Do(const Expect& expect);
+  void Execute(const Deployment&) {}
+  void Execute(const Order& order);
+  void Execute(const NameLeader& statement);
+  void Execute(const FaultNode& statement);
+  void Execute(const Cut& cut);
+  void Execute(const Heal&) { world_.network().Heal(); }
+  void Execute(const SetDelay& delay);
+  void Execute(const SetDuplication& duplication);
+  void Execute(const SetLoss& loss);
+  void Execute(const SendRequest& send);
+  void Execute(const ResendRequest& resend);
+  void Execute(const Load& load);
+  void Execute(const Wait& wait) { Advance(wait.duration); }
+  void Execute(const RandomFaults& faults) { RunRandomFaults(world_, faults); }
+  void Execute(const Expect& expect);
 
  private:
   static constexpr double kPercent = 100;
@@ -54,7 +54,7 @@
     world_.RunUntil(world_.network().now() + duration, [] { return false; });
   }
   std::vector<NodeId> Resolve(const std::string& name);
-  NodeId One(const std::string& name);
+  NodeId ResolveOne(const std::string& name);
 
   World& world_;
   Names names_;
@@ -73,22 +73,22 @@
                                : world_.Resolve(name);
 }
 
-NodeId Execution::One(const std::string& name) {
+NodeId Execution::ResolveOne(const std::string& name) {
   const std::vector<NodeId> nodes = Resolve(name);
   world_.verdict().Check(nodes.size() == 1, "\"" + name + "\" names one node");
   return nodes.empty() ? world_.entries().front() : nodes.front();
 }
 
-void Execution::Do(const Order& order) {
-  world_.GiveOrder(order.operator_name, One(order.entry), order.text);
+void Execution::Execute(const Order& order) {
+  world_.SubmitOrder(order.operator_name, ResolveOne(order.entry), order.text);
 }
 
-void Execution::Do(const NameLeader& statement) {
-  names_[statement.name] = One("leader");
+void Execution::Execute(const NameLeader& statement) {
+  names_[statement.name] = ResolveOne("leader");
 }
 
-void Execution::Do(const FaultNode& statement) {
-  const NodeId node = One(statement.node);
+void Execution::Execute(const FaultNode& statement) {
+  const NodeId node = ResolveOne(statement.node);
   switch (statement.fault) {
     case NodeFault::kKill:
       return world_.Kill(node);
@@ -100,12 +100,12 @@
       return world_.Freeze(node);
     case NodeFault::kThaw:
       return world_.network().Thaw(node);
-    case NodeFault::kLeave:
-      return world_.Leave(node);
+    case NodeFault::kPlannedStop:
+      return world_.BeginPlannedStop(node);
   }
 }
 
-void Execution::Do(const Cut& cut) {
+void Execution::Execute(const Cut& cut) {
   std::set<NodeId> from;
   for (const std::string& name : cut.from) {
     for (const NodeId& node : Resolve(name)) {
@@ -128,34 +128,34 @@
   }
 }
 
-void Execution::Do(const SetDelay& delay) {
+void Execution::Execute(const SetDelay& delay) {
   LinkConditions& links = world_.network().conditions();
-  links.longest_delay = std::max(delay.longest, links.shortest_delay);
+  links.max_delay = std::max(delay.max_delay, links.min_delay);
 }
 
-void Execution::Do(const SetDuplication& duplication) {
+void Execution::Execute(const SetDuplication& duplication) {
   world_.network().conditions().duplication = duplication.percent / kPercent;
 }
 
-void Execution::Do(const SetLoss& loss) {
+void Execution::Execute(const SetLoss& loss) {
   world_.network().conditions().loss = loss.percent / kPercent;
 }
 
-void Execution::Do(const SendRequest& send) {
+void Execution::Execute(const SendRequest& send) {
   world_.Send({RequestId(send.id), ServiceId(send.service), send.idempotent},
-              One(send.entry));
+              ResolveOne(send.entry));
 }
 
-void Execution::Do(const ResendRequest& resend) {
-  const auto request = world_.book().Find(RequestId(resend.id));
+void Execution::Execute(const ResendRequest& resend) {
+  const auto request = world_.request_registry().Find(RequestId(resend.id));
   world_.verdict().Check(request.has_value(),
                          "request " + resend.id + " was sent before");
   if (request.has_value()) {
-    world_.Send(*request, One(resend.entry));
+    world_.Send(*request, ResolveOne(resend.entry));
   }
 }
 
-void Execution::Do(const Load& load) {
+void Execution::Execute(const Load& load) {
   const std::vector<NodeId> entries = world_.entries();
   const Duration pause = Seconds(1) / std::max(1U, load.per_second);
   const std::string prefix = "load-" + std::to_string(++loads_) + "-";
@@ -169,14 +169,16 @@
   }
 }
 
-void Execution::Do(const Expect& expect) {
-  const auto resolve = [this](const std::string& name) { return One(name); };
-  TimePoint next_look = world_.network().now();
+void Execution::Execute(const Expect& expect) {
+  const auto resolve = [this](const std::string& name) {
+    return ResolveOne(name);
+  };
+  TimePoint next_check = world_.network().now();
   const auto holds = [&] {
-    if (world_.network().now() < next_look) {
+    if (world_.network().now() < next_check) {
       return false;
     }
-    next_look = world_.network().now() + kPoll;
+    next_check = world_.network().now() + kPollInterval;
     return Holds(expect.condition, world_, resolve);
   };
   const TimePoint end = world_.network().now() + expect.within;
@@ -204,7 +206,7 @@
       result.line_text = line.text;
       world.verdict().Note(NodeId("line " + std::to_string(line.number)),
                            line.text);
-      std::visit([&](const auto& typed) { execution.Do(typed); },
+      std::visit([&](const auto& typed) { execution.Execute(typed); },
                  line.statement);
       if (world.verdict().failed()) {
         break;
--- a/src/libs/scenario/script.cc
+++ b/src/libs/scenario/script.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // Quotes hold a # that begins no remark.
-std::string_view WithoutRemark(std::string_view line) {
+std::string_view StripComment(std::string_view line) {
   bool is_quoted = false;
   for (std::size_t i = 0; i < line.size(); ++i) {
     is_quoted = is_quoted != (line[i] == '"');
@@ -42,7 +42,7 @@
   std::size_t number = 0;
   while (!text.empty()) {
     const std::size_t end = text.find('\n');
-    const std::string_view line = TrimEnd(WithoutRemark(text.substr(0, end)));
+    const std::string_view line = TrimEnd(StripComment(text.substr(0, end)));
     text = end == std::string_view::npos ? "" : text.substr(end + 1);
     ++number;
     if (line.empty()) {
--- a/src/libs/scenario/spread_host.cc
+++ b/src/libs/scenario/spread_host.cc
@@ -9,7 +9,7 @@
 namespace bilberryspool::scenario {
 namespace {
 
-constexpr Duration kLongestPause = Milliseconds(100);
+constexpr Duration kMaxPause = Milliseconds(100);
 constexpr Duration kTopologyInterval = Milliseconds(500);
 
 bool IsInForce(config::ApplyResult result) {
@@ -38,19 +38,19 @@
     Handle(topology_());
   }
   Handle(spread::SpreaderTick{});
-  const TimePoint due = spreader_.next_deadline().value_or(now + kLongestPause);
+  const TimePoint due = spreader_.next_deadline().value_or(now + kMaxPause);
   const Duration pause =
-      std::clamp<Duration>(due - now, Milliseconds(1), kLongestPause);
+      std::clamp<Duration>(due - now, Milliseconds(1), kMaxPause);
   network_.After(self_, pause, [this] { Run(); });
 }
 
 void SpreadHost::Handle(const spread::SpreaderEvent& event) {
   for (const auto& action : spreader_.Handle(event, network_.now())) {
-    Carry(action);
+    Execute(action);
   }
 }
 
-void SpreadHost::Carry(const spread::SpreaderAction& action) {
+void SpreadHost::Execute(const spread::SpreaderAction& action) {
   std::visit(
       Overloaded{[this](const spread::SendDelta& send) {
                    network_.Send(self_, send.to, send.message);
@@ -105,7 +105,8 @@
   }
 }
 
-void SpreadHost::TakeStep(const config::Delta& delta, config::Digest from) {
+void SpreadHost::OnStepCommitted(const config::Delta& delta,
+                                 config::Digest from) {
   applied_.Apply(delta);
   NoteInForce();
   spread::DeltaStep step;
@@ -115,18 +116,18 @@
   Handle(spread::StepAccepted{std::move(step)});
 }
 
-void SpreadHost::TakeState(const config::Configuration& state) {
+void SpreadHost::OnStateAdopted(const config::Configuration& state) {
   applied_.Replace(state);
   NoteInForce();
   Handle(spread::StateAdopted{point()});
 }
 
 void SpreadHost::NoteInForce() {
-  checks_.InForce(self_, network_.incarnation(self_), configuration());
-  if (configuration().version() != noted_) {
-    noted_ = configuration().version();
-    verdict_.Note(self_,
-                  "version " + std::to_string(noted_.value()) + " in force");
+  checks_.OnInForce(self_, network_.incarnation(self_), configuration());
+  if (configuration().version() != noted_version_) {
+    noted_version_ = configuration().version();
+    verdict_.Note(self_, "version " + std::to_string(noted_version_.value()) +
+                             " in force");
   }
 }
 
--- a/src/libs/scenario/spread_host.h
+++ b/src/libs/scenario/spread_host.h
@@ -25,8 +25,8 @@
   void Start() { Run(); }
   void Handle(const spread::SpreaderEvent& event);
   // The log of this node has committed these states.
-  void TakeStep(const config::Delta& delta, config::Digest from);
-  void TakeState(const config::Configuration& state);
+  void OnStepCommitted(const config::Delta& delta, config::Digest from);
+  void OnStateAdopted(const config::Configuration& state);
 
   const config::Configuration& configuration() const {
     return applied_.configuration();
@@ -34,7 +34,7 @@
 
  private:
   void Run();
-  void Carry(const spread::SpreaderAction& action);
+  void Execute(const spread::SpreaderAction& action);
   void ApplySteps(const spread::ApplySteps& apply);
   void ApplyFull(const spread::ApplyFull& apply);
   void Report(config::ApplyResult result);
@@ -48,7 +48,7 @@
   Topology topology_;
   spread::Spreader spreader_;
   config::AppliedConfiguration applied_;
-  ConfigVersion noted_;
+  ConfigVersion noted_version_;
   TimePoint topology_due_;
 };
 
--- a/src/libs/scenario/statement.h
+++ b/src/libs/scenario/statement.h
@@ -48,7 +48,7 @@
   kFreeze,
   kThaw,
   // A target's planned stop.
-  kLeave,
+  kPlannedStop,
 };
 struct FaultNode {
   NodeFault fault = NodeFault::kKill;
@@ -65,7 +65,7 @@
 
 // Of all links from now on.
 struct SetDelay {
-  Duration longest{};
+  Duration max_delay{};
 };
 struct SetDuplication {
   std::uint32_t percent = 0;
--- a/src/libs/scenario/world.cc
+++ b/src/libs/scenario/world.cc
@@ -8,10 +8,10 @@
 namespace bilberryspool::scenario {
 namespace {
 
-template <typename Places>
-auto* NodeIn(const Places& places, const NodeId& node) {
-  const auto found = places.find(node);
-  return found == places.end() ? nullptr : found->second.node.get();
+template <typename Slots>
+auto* NodeIn(const Slots& slots, const NodeId& node) {
+  const auto found = slots.find(node);
+  return found == slots.end() ? nullptr : found->second.node.get();
 }
 
 std::string Describe(const std::optional<config::Outcome>& outcome) {
@@ -37,7 +37,7 @@
           }),
       verdict_([this] { return network_.now(); }, std::move(listener)),
       checks_(verdict_),
-      book_(verdict_) {
+      request_registry_(verdict_) {
   MakeEntries(deployment);
   MakeAgents(deployment);
   for (const NodeId& node : nodes()) {
@@ -49,15 +49,15 @@
   for (std::uint32_t i = 0; i < deployment.entries; ++i) {
     const NodeId node("entry-" + std::to_string(i + 1));
     settings_.entries.push_back(node.value());
-    EntryPlace& place = entries_[node];
-    place.domain =
+    EntrySlot& slot = entries_[node];
+    slot.domain =
         FailureDomain(deployment.domains[i % deployment.domains.size()]);
     if (i < deployment.control) {
       settings_.initial_members.push_back(node);
     }
     if (i < deployment.control + deployment.spares) {
-      place.disk = std::make_unique<Disk>();
-      EmptyDisk(node, *place.disk);
+      slot.disk = std::make_unique<Disk>();
+      EmptyDisk(node, *slot.disk);
     }
   }
 }
@@ -71,8 +71,8 @@
     for (const std::string& service : deployment.services) {
       settings.services.emplace_back(service);
     }
-    for (const auto& [entry, place] : entries_) {
-      if (place.domain == settings.domain) {
+    for (const auto& [entry, slot] : entries_) {
+      if (slot.domain == settings.domain) {
         settings.entries.push_back(entry.value());
       }
     }
@@ -92,7 +92,7 @@
     if (!network_.Step(end)) {
       return done();
     }
-    checks_.Leading(leaders().size());
+    checks_.OnLeaderCount(leaders().size());
   }
   return !verdict_.failed();
 }
@@ -108,7 +108,7 @@
 
 std::vector<NodeId> World::entries() const {
   std::vector<NodeId> nodes;
-  for (const auto& [node, place] : entries_) {
+  for (const auto& [node, slot] : entries_) {
     nodes.push_back(node);
   }
   return nodes;
@@ -116,7 +116,7 @@
 
 std::vector<NodeId> World::nodes() const {
   std::vector<NodeId> nodes = entries();
-  for (const auto& [node, place] : agents_) {
+  for (const auto& [node, slot] : agents_) {
     nodes.push_back(node);
   }
   return nodes;
@@ -124,13 +124,13 @@
 
 std::vector<NodeId> World::Resolve(const std::string& name) const {
   std::vector<NodeId> found;
-  for (const auto& [node, place] : entries_) {
-    if (node.value() == name || place.domain.value() == name) {
+  for (const auto& [node, slot] : entries_) {
+    if (node.value() == name || slot.domain.value() == name) {
       found.push_back(node);
     }
   }
-  for (const auto& [node, place] : agents_) {
-    if (node.value() == name || place.settings.domain.value() == name) {
+  for (const auto& [node, slot] : agents_) {
+    if (node.value() == name || slot.settings.domain.value() == name) {
       found.push_back(node);
     }
   }
@@ -142,7 +142,7 @@
     return;
   }
   verdict_.Note(node, "is killed");
-  book_.Disturb(node);
+  request_registry_.MarkDisturbed(node);
   network_.Kill(node);
   const auto entry = entries_.find(node);
   if (entry == entries_.end()) {
@@ -163,19 +163,20 @@
   network_.Start(node);
   const auto entry = entries_.find(node);
   if (entry != entries_.end()) {
-    EntryPlace& place = entry->second;
-    place.node = std::make_unique<EntryNode>(
-        network_, verdict_, checks_, book_, settings_, node, place.domain,
-        place.disk.get(), [this](OrderId order, const auto& outcome) {
+    EntrySlot& slot = entry->second;
+    slot.node = std::make_unique<EntryNode>(
+        network_, verdict_, checks_, request_registry_, settings_, node,
+        slot.domain, slot.disk.get(),
+        [this](OrderId order, const auto& outcome) {
           OrderDone(order, outcome);
         });
-    place.node->Start();
+    slot.node->Start();
     return;
   }
-  AgentPlace& place = agents_.at(node);
-  place.node = std::make_unique<AgentNode>(network_, verdict_, checks_, book_,
-                                           place.settings);
-  place.node->Start();
+  AgentSlot& slot = agents_.at(node);
+  slot.node = std::make_unique<AgentNode>(network_, verdict_, checks_,
+                                          request_registry_, slot.settings);
+  slot.node->Start();
 }
 
 void World::LoseDisk(const NodeId& node) {
@@ -189,21 +190,21 @@
 
 void World::Freeze(const NodeId& node) {
   verdict_.Note(node, "freezes");
-  book_.Disturb(node);
+  request_registry_.MarkDisturbed(node);
   network_.Freeze(node);
 }
 
-void World::Leave(const NodeId& node) {
+void World::BeginPlannedStop(const NodeId& node) {
   if (auto* agent = NodeIn(agents_, node)) {
     verdict_.Note(node, "begins its planned stop");
-    book_.Stopped(TargetId(node.value()), network_.now());
-    agent->Leave();
+    request_registry_.OnTargetStopping(TargetId(node.value()), network_.now());
+    agent->BeginPlannedStop();
   }
 }
 
-void World::GiveOrder(const std::string& operator_name,
-                      const NodeId& entry,
-                      const std::string& text) {
+void World::SubmitOrder(const std::string& operator_name,
+                        const NodeId& entry,
+                        const std::string& text) {
   const OrderId order(orders_.size());
   orders_.push_back({operator_name, false, std::nullopt});
   const auto statement = language::ParseStatement(text);
@@ -231,7 +232,7 @@
   state.outcome = outcome;
   verdict_.Note(NodeId(state.operator_name), Describe(outcome));
   if (outcome.has_value()) {
-    checks_.Told(commands_.at(order.value()), *outcome);
+    checks_.OnOrderAnswered(commands_.at(order.value()), *outcome);
   }
 }
 
@@ -241,16 +242,17 @@
     return;
   }
   const bool is_frozen = network_.frozen(entry);
-  const SendId send = book_.Open(std::move(request), entry, network_.now());
-  book_.send(send).disturbed = is_frozen;
+  const SendId send =
+      request_registry_.Open(std::move(request), entry, network_.now());
+  request_registry_.send(send).disturbed = is_frozen;
   network_.After(entry, Duration{},
                  [this, entry, send] { entries_.at(entry).node->Open(send); });
 }
 
 std::vector<NodeId> World::leaders() const {
   std::vector<NodeId> leaders;
-  for (const auto& [node, place] : entries_) {
-    if (place.node != nullptr && place.node->leads()) {
+  for (const auto& [node, slot] : entries_) {
+    if (slot.node != nullptr && slot.node->leads()) {
       leaders.push_back(node);
     }
   }
--- a/src/libs/scenario/world.h
+++ b/src/libs/scenario/world.h
@@ -38,7 +38,7 @@
   FakeNetwork& network() { return network_; }
   Verdict& verdict() { return verdict_; }
   const ConfigChecks& checks() const { return checks_; }
-  const RequestBook& book() const { return book_; }
+  const RequestRegistry& request_registry() const { return request_registry_; }
   const std::vector<OrderState>& orders() const { return orders_; }
 
   // Runs until `end`, or until something that must hold doesn't, or `done`.
@@ -56,17 +56,17 @@
   void Restart(const NodeId& node);
   void LoseDisk(const NodeId& node);
   void Freeze(const NodeId& node);
-  void Leave(const NodeId& node);
+  void BeginPlannedStop(const NodeId& node);
 
   // The first unused number becomes part of the command's id where the
   // operator named none.
-  void GiveOrder(const std::string& operator_name,
-                 const NodeId& entry,
-                 const std::string& text);
+  void SubmitOrder(const std::string& operator_name,
+                   const NodeId& entry,
+                   const std::string& text);
   void Send(CallerRequest request, const NodeId& entry);
 
   // What is only judged once the script is over.
-  void CheckAtEnd() { book_.CheckDeadlines(network_.now()); }
+  void CheckAtEnd() { request_registry_.CheckDeadlines(network_.now()); }
 
   // The replicas that may act as the leader now.
   std::vector<NodeId> leaders() const;
@@ -77,12 +77,12 @@
   bool IsVoter(const NodeId& node) const;
 
  private:
-  struct EntryPlace {
+  struct EntrySlot {
     FailureDomain domain;
     std::unique_ptr<Disk> disk;
     std::unique_ptr<EntryNode> node;
   };
-  struct AgentPlace {
+  struct AgentSlot {
     AgentNode::Settings settings;
     std::unique_ptr<AgentNode> node;
   };
@@ -96,10 +96,10 @@
   FakeNetwork network_;
   Verdict verdict_;
   ConfigChecks checks_;
-  RequestBook book_;
+  RequestRegistry request_registry_;
   EntrySettings settings_;
-  std::map<NodeId, EntryPlace> entries_;
-  std::map<NodeId, AgentPlace> agents_;
+  std::map<NodeId, EntrySlot> entries_;
+  std::map<NodeId, AgentSlot> agents_;
   std::vector<OrderState> orders_;
   std::vector<config::Command> commands_;
 };
