--- a/src/tools/soak/fault_plan.cc
+++ b/src/tools/soak/fault_plan.cc
@@ -8,37 +8,40 @@
 
 namespace {
 
-constexpr Duration kShortestGap = Milliseconds(200);
-constexpr Duration kLongestGap = Milliseconds(2200);
+constexpr Duration kMinGap = Milliseconds(200);
+constexpr Duration kMaxGap = Milliseconds(2200);
 // In some plays faults are rare, so that each promise that holds only without
 // others beside it is put to the test as well.
-constexpr double kSparseShare = 0.4;
-constexpr Duration kLongestSparseGap = Seconds(7);
-constexpr Duration kShortestFault = Milliseconds(300);
-constexpr Duration kLongestFault = Milliseconds(4500);
+constexpr double kSparseProbability = 0.4;
+constexpr Duration kMaxSparseGap = Seconds(7);
+constexpr Duration kMinFaultDuration = Milliseconds(300);
+constexpr Duration kMaxFaultDuration = Milliseconds(4500);
 // Long enough for a planned stop and a start after it.
-constexpr Duration kPlannedLength = Seconds(6);
+constexpr Duration kPlannedDuration = Seconds(6);
 
-bool Overlap(const Strike& left, const Strike& right, Duration margin) {
+bool Overlap(const FaultEvent& left, const FaultEvent& right, Duration margin) {
   return left.at < right.end() + margin && right.at < left.end() + margin;
 }
 
 // Whether the strike takes a control node out of those that vote.
-bool LosesControl(FaultKind kind) {
+bool RemovesControlNode(FaultKind kind) {
   return ClassOf(kind) == VictimClass::kControl;
 }
 
-bool Fits(const Strike& strike,
-          const std::vector<Strike>& others,
+bool Fits(const FaultEvent& fault_event,
+          const std::vector<FaultEvent>& others,
           Duration catch_up) {
-  return std::none_of(others.begin(), others.end(), [&](const Strike& other) {
-    if (LosesControl(strike.kind) && LosesControl(other.kind)) {
-      return Overlap(strike, other, catch_up);
-    }
-    const bool same_victim = ClassOf(strike.kind) == ClassOf(other.kind) &&
-                             strike.victim == other.victim;
-    return same_victim && Overlap(strike, other, Duration::zero());
-  });
+  return std::none_of(
+      others.begin(), others.end(), [&](const FaultEvent& other) {
+        if (RemovesControlNode(fault_event.kind) &&
+            RemovesControlNode(other.kind)) {
+          return Overlap(fault_event, other, catch_up);
+        }
+        const bool same_victim =
+            ClassOf(fault_event.kind) == ClassOf(other.kind) &&
+            fault_event.victim == other.victim;
+        return same_victim && Overlap(fault_event, other, Duration::zero());
+      });
 }
 
 std::uint32_t VictimsOf(VictimClass victims, const FaultPlanOptions& options) {
@@ -112,34 +115,35 @@
          kind == FaultKind::kReloadGateway || kind == FaultKind::kDrainTarget;
 }
 
-std::string Strike::ToText() const {
+std::string FaultEvent::ToText() const {
   constexpr int kMicrosecondsPerMs = 1000;
   return std::string(NameOf(kind)) + " victim=" + std::to_string(victim) +
          " at_ms=" + std::to_string(at.count() / kMicrosecondsPerMs) +
          " length_ms=" + std::to_string(length.count() / kMicrosecondsPerMs);
 }
 
-std::vector<Strike> MakePlan(const FaultPlanOptions& options) {
+std::vector<FaultEvent> MakePlan(const FaultPlanOptions& options) {
   Random random(options.seed);
-  std::vector<Strike> plan;
-  const Duration longest_gap =
-      random.Chance(kSparseShare) ? kLongestSparseGap : kLongestGap;
-  Duration at = random.Between(kShortestGap, kLongestGap);
+  std::vector<FaultEvent> plan;
+  const Duration max_gap =
+      random.Chance(kSparseProbability) ? kMaxSparseGap : kMaxGap;
+  Duration at = random.Between(kMinGap, kMaxGap);
   while (at < options.length) {
-    Strike strike;
-    strike.kind = kAllFaultKinds[random.Below(std::size(kAllFaultKinds))];
-    strike.victim = static_cast<std::uint32_t>(
-        random.Below(VictimsOf(ClassOf(strike.kind), options)));
-    strike.at = at;
-    strike.length = random.Between(kShortestFault, kLongestFault);
-    if (strike.kind == FaultKind::kStopGateway ||
-        strike.kind == FaultKind::kDrainTarget) {
-      strike.length = kPlannedLength;
+    FaultEvent fault_event;
+    fault_event.kind = kAllFaultKinds[random.Below(std::size(kAllFaultKinds))];
+    fault_event.victim = static_cast<std::uint32_t>(
+        random.Below(VictimsOf(ClassOf(fault_event.kind), options)));
+    fault_event.at = at;
+    fault_event.length = random.Between(kMinFaultDuration, kMaxFaultDuration);
+    if (fault_event.kind == FaultKind::kStopGateway ||
+        fault_event.kind == FaultKind::kDrainTarget) {
+      fault_event.length = kPlannedDuration;
     }
-    if (strike.end() < options.length && Fits(strike, plan, options.catch_up)) {
-      plan.push_back(strike);
+    if (fault_event.end() < options.length &&
+        Fits(fault_event, plan, options.catch_up)) {
+      plan.push_back(fault_event);
     }
-    at += random.Between(kShortestGap, longest_gap);
+    at += random.Between(kMinGap, max_gap);
   }
   return plan;
 }
--- a/src/tools/soak/fault_plan.h
+++ b/src/tools/soak/fault_plan.h
@@ -55,7 +55,7 @@
 bool IsPlanned(FaultKind kind);
 
 // One fault: `victim` counts from 0 in its class.
-struct Strike {
+struct FaultEvent {
   FaultKind kind = FaultKind::kKillControl;
   std::uint32_t victim = 0;
   Duration at{};      // since the start of the play
@@ -77,7 +77,7 @@
 
 // Sorted by time. No two faults strike one victim at a time, and one control
 // node at most is lost at a time, but where all are killed at once.
-std::vector<Strike> MakePlan(const FaultPlanOptions& options);
+std::vector<FaultEvent> MakePlan(const FaultPlanOptions& options);
 
 }  // namespace bilberryspool::soak
 
--- a/src/tools/soak/ledger.cc
+++ b/src/tools/soak/ledger.cc
@@ -15,7 +15,7 @@
 // Statuses that promise that the request has not run and never will.
 constexpr std::array kNotRunStatuses = {408, 421, 429, 503};
 
-bool IsPromise(int status) {
+bool PromisesNotRun(int status) {
   return std::find(kNotRunStatuses.begin(), kNotRunStatuses.end(), status) !=
          kNotRunStatuses.end();
 }
@@ -44,7 +44,7 @@
 void Ledger::OnRun(RunSeen run) {
   const auto found = calls_.find(run.id);
   if (found == calls_.end()) {
-    unasked_.push_back(std::move(run));
+    unrequested_runs_.push_back(std::move(run));
     return;
   }
   found->second.runs.push_back(std::move(run));
@@ -58,47 +58,52 @@
   confirmed_.try_emplace(version, at);
 }
 
-void Ledger::OnWrongVerdict(std::string what) {
-  told_.push_back({"configurations are judged rightly", std::move(what)});
+void Ledger::OnConfigurationViolation(std::string what) {
+  reported_violations_.push_back(
+      {"configurations are judged rightly", std::move(what)});
 }
 
-void Ledger::OnOwnEnd(std::string process) {
-  told_.push_back({"no process ends by itself", std::move(process)});
+void Ledger::OnUnexpectedExit(std::string process) {
+  reported_violations_.push_back(
+      {"no process ends by itself", std::move(process)});
 }
 
-void Ledger::OnFault(const Strike& strike, TimePoint begun, TimePoint undone) {
-  faults_.push_back({strike, begun, undone});
+void Ledger::OnFault(const FaultEvent& fault_event,
+                     TimePoint begun,
+                     TimePoint undone) {
+  faults_.push_back({fault_event, begun, undone});
 }
 
-bool Ledger::IsStruck(VictimClass victims,
+bool Ledger::HasFault(VictimClass victims,
                       std::optional<std::uint32_t> victim,
                       bool counts_planned,
                       TimePoint from,
                       TimePoint to) const {
   return std::any_of(faults_.begin(), faults_.end(), [&](const Window& fault) {
-    if (ClassOf(fault.strike.kind) != victims ||
-        (victim.has_value() && fault.strike.victim != *victim) ||
-        (!counts_planned && IsPlanned(fault.strike.kind))) {
+    if (ClassOf(fault.fault_event.kind) != victims ||
+        (victim.has_value() && fault.fault_event.victim != *victim) ||
+        (!counts_planned && IsPlanned(fault.fault_event.kind))) {
       return false;
     }
-    return fault.begun <= to && fault.undone + options_.aftermath >= from;
+    return fault.begun <= to &&
+           fault.undone + options_.fault_effect_duration >= from;
   });
 }
 
 // Each caller gets an end in its time, unless the gateway itself was struck.
-void Ledger::JudgeEnd(const Call& call, Violations& found) const {
+void Ledger::CheckEnd(const Call& call, Violations& found) const {
   if (!call.ended.has_value()) {
     found.push_back({"each call ends", TextOf(call.sent)});
     return;
   }
-  if (call.ended->ending == CallEnding::kSilent &&
-      !IsStruck(VictimClass::kGateway, call.sent.gateway, true, call.sent.at,
+  if (call.ended->ending == CallEnding::kTimedOut &&
+      !HasFault(VictimClass::kGateway, call.sent.gateway, true, call.sent.at,
                 call.ended->at)) {
     found.push_back({"each caller is answered in time", TextOf(call.sent)});
   }
 }
 
-void Ledger::JudgeAnswer(const Call& call, Violations& found) const {
+void Ledger::CheckAnswer(const Call& call, Violations& found) const {
   if (!call.ended.has_value() || !IsServed(*call.ended)) {
     return;
   }
@@ -111,7 +116,7 @@
   }
 }
 
-void Ledger::JudgeStream(const Call& call, Violations& found) const {
+void Ledger::CheckStream(const Call& call, Violations& found) const {
   if (call.sent.kind != RequestKind::kStream || !call.ended.has_value()) {
     return;
   }
@@ -132,7 +137,7 @@
   }
 }
 
-void Ledger::JudgeRuns(const Call& call, Violations& found) const {
+void Ledger::CheckRuns(const Call& call, Violations& found) const {
   for (const RunSeen& run : call.runs) {
     if (run.path != call.sent.path || run.body != call.sent.body ||
         run.workspace != call.sent.workspace) {
@@ -146,7 +151,7 @@
          TextOf(call.sent) + " runs=" + std::to_string(call.runs.size())});
   }
   if (call.sent.kind == RequestKind::kNonIdempotent && !call.runs.empty() &&
-      call.ended.has_value() && IsPromise(call.ended->status)) {
+      call.ended.has_value() && PromisesNotRun(call.ended->status)) {
     found.push_back(
         {"what is refused has not run",
          TextOf(call.sent) + " status=" + std::to_string(call.ended->status)});
@@ -155,7 +160,7 @@
 
 // A planned stop breaks off nothing that has reached a target, as long as
 // nothing unplanned strikes meanwhile.
-void Ledger::JudgePlannedWork(const Call& call, Violations& found) const {
+void Ledger::CheckPlannedWork(const Call& call, Violations& found) const {
   if (!call.ended.has_value() || call.ended->ending != CallEnding::kBroken ||
       call.runs.empty()) {
     return;
@@ -163,29 +168,29 @@
   const TimePoint from = call.sent.at;
   const TimePoint to = call.ended->at;
   const bool is_planned =
-      IsStruck(VictimClass::kGateway, call.sent.gateway, true, from, to) &&
-      !IsStruck(VictimClass::kGateway, call.sent.gateway, false, from, to);
+      HasFault(VictimClass::kGateway, call.sent.gateway, true, from, to) &&
+      !HasFault(VictimClass::kGateway, call.sent.gateway, false, from, to);
   if (is_planned &&
-      !IsStruck(VictimClass::kTarget, std::nullopt, false, from, to) &&
-      !IsStruck(VictimClass::kControl, std::nullopt, false, from, to)) {
+      !HasFault(VictimClass::kTarget, std::nullopt, false, from, to) &&
+      !HasFault(VictimClass::kControl, std::nullopt, false, from, to)) {
     found.push_back({"planned work cuts nothing", TextOf(call.sent)});
   }
 }
 
-void Ledger::JudgeLeaving(Violations& found) const {
-  constexpr Duration kOnTheWay = Milliseconds(300);
+void Ledger::CheckLeaving(Violations& found) const {
+  constexpr Duration kInFlightAllowance = Milliseconds(300);
   for (const auto& [id, call] : calls_) {
     for (const RunSeen& run : call.runs) {
       const auto left = leaving_.find(run.target);
       if (left == leaving_.end() ||
-          run.at <= left->second + options_.drain_time + kOnTheWay) {
+          run.at <= left->second + options_.drain_time + kInFlightAllowance) {
         continue;
       }
-      const TimePoint from = left->second - options_.aftermath;
+      const TimePoint from = left->second - options_.fault_effect_duration;
       const bool is_excused =
-          IsStruck(VictimClass::kGateway, std::nullopt, false, from, run.at) ||
-          IsStruck(VictimClass::kControl, std::nullopt, true, from, run.at) ||
-          IsStruck(VictimClass::kTarget, run.target_number, false, from,
+          HasFault(VictimClass::kGateway, std::nullopt, false, from, run.at) ||
+          HasFault(VictimClass::kControl, std::nullopt, true, from, run.at) ||
+          HasFault(VictimClass::kTarget, run.target_number, false, from,
                    run.at);
       if (!is_excused) {
         found.push_back({"a target that left gets no new work",
@@ -196,7 +201,7 @@
 }
 
 // Holds for every node at all times: who is not sure says so.
-void Ledger::JudgeReads(Violations& found) const {
+void Ledger::CheckReads(Violations& found) const {
   for (const ConfigurationRead& read : reads_) {
     std::uint64_t least = 0;
     for (const auto& [version, at] : confirmed_) {
@@ -212,7 +217,7 @@
   }
 }
 
-void Ledger::JudgeRetries(Violations& found) const {
+void Ledger::CheckRetries(Violations& found) const {
   std::vector<TimePoint> firsts;
   std::vector<TimePoint> repeats;
   for (const auto& [id, call] : calls_) {
@@ -241,7 +246,7 @@
   }
 }
 
-void Ledger::JudgeRecovery(Violations& found) const {
+void Ledger::CheckRecovery(Violations& found) const {
   if (!recovered_at_.has_value()) {
     return;
   }
@@ -249,7 +254,7 @@
   std::size_t served = 0;
   for (const auto& [id, call] : calls_) {
     const bool has_left =
-        call.ended.has_value() && call.ended->ending == CallEnding::kLeft;
+        call.ended.has_value() && call.ended->ending == CallEnding::kCancelled;
     if (call.sent.at < *recovered_at_ || has_left) {
       continue;
     }
@@ -263,22 +268,22 @@
   }
 }
 
-std::vector<Violation> Ledger::Judge() const {
-  Violations found = told_;
+std::vector<Violation> Ledger::FindViolations() const {
+  Violations found = reported_violations_;
   for (const auto& [id, call] : calls_) {
-    JudgeEnd(call, found);
-    JudgeAnswer(call, found);
-    JudgeStream(call, found);
-    JudgeRuns(call, found);
-    JudgePlannedWork(call, found);
+    CheckEnd(call, found);
+    CheckAnswer(call, found);
+    CheckStream(call, found);
+    CheckRuns(call, found);
+    CheckPlannedWork(call, found);
   }
-  for (const RunSeen& run : unasked_) {
+  for (const RunSeen& run : unrequested_runs_) {
     found.push_back({"nothing runs that nobody asked for", "id=" + run.id});
   }
-  JudgeLeaving(found);
-  JudgeReads(found);
-  JudgeRetries(found);
-  JudgeRecovery(found);
+  CheckLeaving(found);
+  CheckReads(found);
+  CheckRetries(found);
+  CheckRecovery(found);
   return found;
 }
 
@@ -295,7 +300,7 @@
       case CallEnding::kAnswered:
         if (IsServed(*call.ended)) {
           ++totals.served;
-        } else if (IsPromise(call.ended->status)) {
+        } else if (PromisesNotRun(call.ended->status)) {
           ++totals.refused;
         } else {
           ++totals.failed;
@@ -307,10 +312,10 @@
       case CallEnding::kBroken:
         ++totals.broken;
         break;
-      case CallEnding::kSilent:
+      case CallEnding::kTimedOut:
         ++totals.failed;
         break;
-      case CallEnding::kLeft:
+      case CallEnding::kCancelled:
         ++totals.left;
         break;
     }
--- a/src/tools/soak/ledger.h
+++ b/src/tools/soak/ledger.h
@@ -25,20 +25,20 @@
   std::string path;
   std::string body;
   std::uint32_t gateway = 0;
-  Duration patience{};
+  Duration timeout{};
   TimePoint at;
 };
 
 enum class CallEnding {
-  kAnswered,  // a whole answer, whatever its status
-  kNotSent,   // no connection
-  kBroken,    // the connection ended without a whole answer
-  kSilent,    // nothing came in all the caller's time and a second more
-  kLeft,      // the caller left by itself
+  kAnswered,   // a whole answer, whatever its status
+  kNotSent,    // no connection
+  kBroken,     // the connection ended without a whole answer
+  kTimedOut,   // nothing came in all the caller's time and a second more
+  kCancelled,  // the caller left by itself
 };
 
 struct CallEnded {
-  CallEnding ending = CallEnding::kSilent;
+  CallEnding ending = CallEnding::kTimedOut;
   int status = 0;
   bool is_signed = false;
   // Of a plain answer: whether the body is the one that belongs to the call.
@@ -76,7 +76,7 @@
   Duration apply_time = Seconds(2);
   Duration drain_time = Seconds(2);
   // How long a failure of a process may show in what others do.
-  Duration aftermath = Seconds(3);
+  Duration fault_effect_duration = Seconds(3);
   double retry_ratio = 0.2;
   double retry_slack = 94.0;
   Duration retry_window = Seconds(10);
@@ -96,14 +96,16 @@
   void OnConfirmed(std::uint64_t version, TimePoint at);
   void OnRead(const ConfigurationRead& read) { reads_.push_back(read); }
   // An invalid configuration was accepted, a valid one refused.
-  void OnWrongVerdict(std::string what);
+  void OnConfigurationViolation(std::string what);
   // A process ended though nobody ended it.
-  void OnOwnEnd(std::string process);
-  void OnFault(const Strike& strike, TimePoint begun, TimePoint undone);
+  void OnUnexpectedExit(std::string process);
+  void OnFault(const FaultEvent& fault_event,
+               TimePoint begun,
+               TimePoint undone);
   // From here on everything is expected to work.
   void OnRecovered(TimePoint at) { recovered_at_ = at; }
 
-  std::vector<Violation> Judge() const;
+  std::vector<Violation> FindViolations() const;
 
   struct Totals {
     std::size_t sent = 0;
@@ -125,22 +127,22 @@
     std::vector<RunSeen> runs;
   };
   struct Window {
-    Strike strike;
+    FaultEvent fault_event;
     TimePoint begun;
     TimePoint undone;
   };
 
   using Violations = std::vector<Violation>;
-  void JudgeEnd(const Call& call, Violations& found) const;
-  void JudgeAnswer(const Call& call, Violations& found) const;
-  void JudgeStream(const Call& call, Violations& found) const;
-  void JudgeRuns(const Call& call, Violations& found) const;
-  void JudgePlannedWork(const Call& call, Violations& found) const;
-  void JudgeLeaving(Violations& found) const;
-  void JudgeReads(Violations& found) const;
-  void JudgeRetries(Violations& found) const;
-  void JudgeRecovery(Violations& found) const;
-  bool IsStruck(VictimClass victims,
+  void CheckEnd(const Call& call, Violations& found) const;
+  void CheckAnswer(const Call& call, Violations& found) const;
+  void CheckStream(const Call& call, Violations& found) const;
+  void CheckRuns(const Call& call, Violations& found) const;
+  void CheckPlannedWork(const Call& call, Violations& found) const;
+  void CheckLeaving(Violations& found) const;
+  void CheckReads(Violations& found) const;
+  void CheckRetries(Violations& found) const;
+  void CheckRecovery(Violations& found) const;
+  bool HasFault(VictimClass victims,
                 std::optional<std::uint32_t> victim,
                 bool counts_planned,
                 TimePoint from,
@@ -148,12 +150,12 @@
 
   LedgerOptions options_;
   std::map<std::string, Call> calls_;
-  std::vector<RunSeen> unasked_;
+  std::vector<RunSeen> unrequested_runs_;
   std::map<std::string, TimePoint> leaving_;
   std::map<std::uint64_t, TimePoint> confirmed_;
   std::vector<ConfigurationRead> reads_;
   std::vector<Window> faults_;
-  std::vector<Violation> told_;
+  std::vector<Violation> reported_violations_;
   std::optional<TimePoint> recovered_at_;
 };
 
--- a/src/tools/soak/main.cc
+++ b/src/tools/soak/main.cc
@@ -29,7 +29,7 @@
             << " broken " << totals.broken << " not_sent " << totals.not_sent
             << " left " << totals.left << " runs " << totals.runs << " changes "
             << totals.confirmed << "\n";
-  run.PrintPeaks(std::cout);
+  run.PrintPeakMemory(std::cout);
   for (const Violation& violation : violations) {
     std::cout << "BROKEN " << violation.promise << ": " << violation.what
               << "\n";
@@ -38,13 +38,13 @@
             << " broken promises\n";
 }
 
-int Play(const SoakOptions& options) {
+int Execute(const SoakOptions& options) {
   int status = 1;
   net::NetworkLoop loop;
   loop.Run([&] {
     SoakRun run(loop, options);
-    for (const Strike& strike : run.plan()) {
-      std::cout << "fault " << strike.ToText() << "\n";
+    for (const FaultEvent& fault_event : run.plan()) {
+      std::cout << "fault " << fault_event.ToText() << "\n";
     }
     std::cout << std::flush;
     if (FLAGS_plan_only) {
@@ -54,11 +54,11 @@
       run.EndAll();
       std::_Exit(1);
     });
-    const std::string error = run.Play();
+    const std::string error = run.Execute();
     if (!error.empty()) {
       std::cout << "soak: " << error << "\n";
     } else {
-      const std::vector<Violation> violations = run.ledger().Judge();
+      const std::vector<Violation> violations = run.ledger().FindViolations();
       Report(run, violations);
       status = violations.empty() ? 0 : 1;
     }
@@ -86,5 +86,5 @@
   options.deployment.folder = FLAGS_folder;
   options.deployment.first_port = static_cast<std::uint16_t>(FLAGS_first_port);
   options.callers = FLAGS_callers;
-  return bilberryspool::soak::Play(options);
+  return bilberryspool::soak::Execute(options);
 }
--- a/src/tools/soak/operator_work.cc
+++ b/src/tools/soak/operator_work.cc
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr Duration kCallPatience = Milliseconds(1000);
-constexpr Duration kPauseAfterFailure = Milliseconds(100);
-constexpr double kInvalidShare = 0.2;
+constexpr Duration kCallTimeout = Milliseconds(1000);
+constexpr Duration kRetryDelay = Milliseconds(100);
+constexpr double kInvalidChangeProbability = 0.2;
 
-net::HttpClientOptions OneCallAConnection() {
+net::HttpClientOptions WithoutKeepAlive() {
   net::HttpClientOptions options;
   options.max_idle_per_endpoint = 0;
   return options;
@@ -33,7 +33,7 @@
       options_(std::move(options)),
       ledger_(ledger),
       random_(options_.seed),
-      client_(loop, OneCallAConnection()) {}
+      client_(loop, WithoutKeepAlive()) {}
 
 traffic::TrafficConfiguration OperatorWork::MakeConfiguration(
     std::uint64_t version) const {
@@ -66,17 +66,17 @@
   return configuration;
 }
 
-bool OperatorWork::Change(Duration patience) {
-  constexpr std::uint64_t kMostSkipped = 3;
-  version_ += 1 + random_.Below(kMostSkipped);
+bool OperatorWork::Change(Duration timeout) {
+  constexpr std::uint64_t kMaxSkippedVersions = 3;
+  version_ += 1 + random_.Below(kMaxSkippedVersions);
   const std::uint64_t version = version_;
   const net::HttpRequest call =
       platform::PutConfigurationCall(MakeConfiguration(version));
-  const TimePoint limit = SteadyNow() + patience;
+  const TimePoint limit = SteadyNow() + timeout;
   while (SteadyNow() < limit) {
     const std::size_t node = random_.Below(options_.control.size());
     const auto result =
-        client_.Send(options_.control[node], call, kCallPatience);
+        client_.Send(options_.control[node], call, kCallTimeout);
     const auto* response = std::get_if<net::HttpResponse>(&result);
     if (response != nullptr && net::status::IsSuccess(response->head.status)) {
       ledger_.OnConfirmed(version, SteadyNow());
@@ -84,12 +84,12 @@
     }
     if (response != nullptr &&
         response->head.status < net::status::kServerError) {
-      ledger_.OnWrongVerdict("version " + std::to_string(version) +
-                             " was refused with " +
-                             std::to_string(response->head.status));
+      ledger_.OnConfigurationViolation("version " + std::to_string(version) +
+                                       " was refused with " +
+                                       std::to_string(response->head.status));
       return false;
     }
-    loop_.SleepFor(kPauseAfterFailure);
+    loop_.SleepFor(kRetryDelay);
   }
   return false;
 }
@@ -100,23 +100,24 @@
   const std::size_t node = random_.Below(options_.control.size());
   const auto result =
       client_.Send(options_.control[node],
-                   platform::PutConfigurationCall(wrong), kCallPatience);
+                   platform::PutConfigurationCall(wrong), kCallTimeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response != nullptr && net::status::IsSuccess(response->head.status)) {
-    ledger_.OnWrongVerdict("a route to an unknown service was accepted");
+    ledger_.OnConfigurationViolation(
+        "a route to an unknown service was accepted");
   }
 }
 
 void OperatorWork::KeepChanging() {
-  constexpr Duration kChangePatience = Seconds(20);
+  constexpr Duration kChangeTimeout = Seconds(20);
   while (!is_stopping_) {
-    loop_.SleepFor(random_.Between(Duration::zero(), options_.longest_pause));
-    if (random_.Chance(kInvalidShare)) {
+    loop_.SleepFor(random_.Between(Duration::zero(), options_.max_pause));
+    if (random_.Chance(kInvalidChangeProbability)) {
       TryInvalid();
     }
-    if (!Change(kChangePatience)) {
-      ledger_.OnWrongVerdict("version " + std::to_string(version_) +
-                             " was not confirmed in 20 s");
+    if (!Change(kChangeTimeout)) {
+      ledger_.OnConfigurationViolation("version " + std::to_string(version_) +
+                                       " was not confirmed in 20 s");
     }
   }
 }
@@ -124,7 +125,7 @@
 bool OperatorWork::ReadAt(const net::Endpoint& node) {
   const TimePoint asked_at = SteadyNow();
   const auto result =
-      client_.Send(node, platform::GetConfigurationCall(), kCallPatience);
+      client_.Send(node, platform::GetConfigurationCall(), kCallTimeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response == nullptr || !net::status::IsSuccess(response->head.status)) {
     return false;
@@ -132,7 +133,7 @@
   const auto read = platform::ReadConfiguration(response->body);
   const auto* configuration = std::get_if<traffic::TrafficConfiguration>(&read);
   if (configuration == nullptr) {
-    ledger_.OnWrongVerdict("what was read back is no configuration");
+    ledger_.OnConfigurationViolation("what was read back is no configuration");
     return false;
   }
   ledger_.OnRead({configuration->version, asked_at});
@@ -143,18 +144,18 @@
   std::size_t at = 0;
   while (!is_stopping_) {
     ReadAt(options_.control[at++ % options_.control.size()]);
-    loop_.SleepFor(kPauseAfterFailure);
+    loop_.SleepFor(kRetryDelay);
   }
 }
 
-bool OperatorWork::ReadAll(Duration patience) {
-  const TimePoint limit = SteadyNow() + patience;
+bool OperatorWork::ReadAll(Duration timeout) {
+  const TimePoint limit = SteadyNow() + timeout;
   for (const net::Endpoint& node : options_.control) {
     while (!ReadAt(node)) {
       if (SteadyNow() > limit) {
         return false;
       }
-      loop_.SleepFor(kPauseAfterFailure);
+      loop_.SleepFor(kRetryDelay);
     }
   }
   return true;
--- a/src/tools/soak/operator_work.h
+++ b/src/tools/soak/operator_work.h
@@ -22,7 +22,7 @@
   std::string host;
   std::string key;
   std::string workspace;
-  Duration longest_pause = Milliseconds(1500);
+  Duration max_pause = Milliseconds(1500);
 };
 
 class OperatorWork {
@@ -32,13 +32,13 @@
                Ledger& ledger);
 
   // Returns once the next version is confirmed, or false after `patience`.
-  bool Change(Duration patience);
+  bool Change(Duration timeout);
   // Changes, mistakes and reads until Stop().
   void Start();
   void Stop() { is_stopping_ = true; }
   bool has_ended() const { return running_ == 0; }
   // Reads at every node until each has answered; false after `patience`.
-  bool ReadAll(Duration patience);
+  bool ReadAll(Duration timeout);
 
  private:
   traffic::TrafficConfiguration MakeConfiguration(std::uint64_t version) const;
--- a/src/tools/soak/soak_callers.cc
+++ b/src/tools/soak/soak_callers.cc
@@ -15,7 +15,7 @@
 
 // A caller waits a second longer than it says before it calls the silence a
 // fault.
-constexpr Duration kSilenceMargin = Seconds(1);
+constexpr Duration kTimeoutMargin = Seconds(1);
 // Of the calls, by kind.
 constexpr double kStreamShare = 0.5;
 constexpr double kOnceShare = 0.3;
@@ -25,9 +25,9 @@
     case net::HttpErrorKind::kConnect:
       return CallEnding::kNotSent;
     case net::HttpErrorKind::kTimeout:
-      return CallEnding::kSilent;
+      return CallEnding::kTimedOut;
     case net::HttpErrorKind::kCancelled:
-      return CallEnding::kLeft;
+      return CallEnding::kCancelled;
     case net::HttpErrorKind::kClosed:
     case net::HttpErrorKind::kProtocol:
       return CallEnding::kBroken;
@@ -36,9 +36,9 @@
 }
 
 // Takes the numbers of whole events, and notes those of another call.
-void NoteEvents(std::string_view events,
-                const std::string& id,
-                CallEnded& ended) {
+void RecordEvents(std::string_view events,
+                  const std::string& id,
+                  CallEnded& ended) {
   std::size_t at = 0;
   while (at < events.size()) {
     const std::size_t end = events.find("\n\n", at);
@@ -85,13 +85,13 @@
   net::HttpClient client(loop_, client_options);
   std::size_t gateway = number % options_.gateways.size();
   while (!is_stopping_) {
-    loop_.SleepFor(random.Between(Duration::zero(), options_.longest_pause));
+    loop_.SleepFor(random.Between(Duration::zero(), options_.max_pause));
     CallSent call = MakeCall(number, random);
     call.gateway = static_cast<std::uint32_t>(gateway);
     call.at = SteadyNow();
     ledger_.OnSent(call);
     CallEnded ended = Call(client, options_.gateways[gateway], call,
-                           random.Chance(options_.leaving_share));
+                           random.Chance(options_.cancel_probability));
     ended.at = SteadyNow();
     const bool was_answered = ended.ending == CallEnding::kAnswered;
     ledger_.OnEnded(call.id, std::move(ended));
@@ -118,7 +118,7 @@
   }
   call.workspace = options_.workspace;
   call.body = "work of " + call.id;
-  call.patience = options_.patience;
+  call.timeout = options_.timeout;
   return call;
 }
 
@@ -130,7 +130,7 @@
   request.headers.Add(dialect_.key, options_.key);
   request.headers.Add(dialect_.request_id, call.id);
   request.headers.Add(dialect_.deadline_ms,
-                      std::to_string(call.patience.count() / 1000));
+                      std::to_string(call.timeout.count() / 1000));
   request.body = call.body;
   return request;
 }
@@ -138,21 +138,21 @@
 CallEnded SoakCallers::Call(net::HttpClient& client,
                             const net::Endpoint& gateway,
                             const CallSent& call,
-                            bool leaves_early) {
+                            bool cancels_early) {
   auto opened =
-      client.Open(gateway, MakeRequest(call), call.patience + kSilenceMargin);
+      client.Open(gateway, MakeRequest(call), call.timeout + kTimeoutMargin);
   if (const auto* error = std::get_if<net::HttpError>(&opened)) {
     CallEnded ended;
     ended.ending = EndingOf(error->kind);
     return ended;
   }
   auto& stream = *std::get<std::unique_ptr<net::HttpClientStream>>(opened);
-  return ReadAnswer(stream, call, leaves_early);
+  return ReadAnswer(stream, call, cancels_early);
 }
 
 CallEnded SoakCallers::ReadAnswer(net::HttpClientStream& stream,
                                   const CallSent& call,
-                                  bool leaves_early) {
+                                  bool cancels_early) {
   CallEnded ended;
   ended.status = stream.head().status;
   ended.is_signed = stream.head().headers.Find(dialect_.signature).has_value();
@@ -161,7 +161,7 @@
   traffic::EventSplitter splitter;
   std::string body;
   while (true) {
-    const TimePoint ends_at = call.at + call.patience + kSilenceMargin;
+    const TimePoint ends_at = call.at + call.timeout + kTimeoutMargin;
     net::StreamPiece piece =
         stream.Read(std::max(ends_at - SteadyNow(), Milliseconds(1)));
     if (const auto* error = std::get_if<net::HttpError>(&piece)) {
@@ -176,10 +176,10 @@
       body += *bytes;
       continue;
     }
-    NoteEvents(splitter.Take(*bytes), call.id, ended);
-    if (leaves_early) {
+    RecordEvents(splitter.Take(*bytes), call.id, ended);
+    if (cancels_early) {
       stream.Cancel();
-      ended.ending = CallEnding::kLeft;
+      ended.ending = CallEnding::kCancelled;
       return ended;
     }
   }
--- a/src/tools/soak/soak_callers.h
+++ b/src/tools/soak/soak_callers.h
@@ -24,10 +24,10 @@
   std::string host;
   std::string key;
   std::string workspace;
-  Duration longest_pause = Milliseconds(120);
-  Duration patience = Milliseconds(4000);
+  Duration max_pause = Milliseconds(120);
+  Duration timeout = Milliseconds(4000);
   // Share of the calls whose caller leaves before the answer is whole.
-  double leaving_share = 0.04;
+  double cancel_probability = 0.04;
 };
 
 class SoakCallers {
@@ -49,10 +49,10 @@
   CallEnded Call(net::HttpClient& client,
                  const net::Endpoint& gateway,
                  const CallSent& call,
-                 bool leaves_early);
+                 bool cancels_early);
   CallEnded ReadAnswer(net::HttpClientStream& stream,
                        const CallSent& call,
-                       bool leaves_early);
+                       bool cancels_early);
 
   net::NetworkLoop& loop_;
   SoakCallersOptions options_;
--- a/src/tools/soak/soak_run.cc
+++ b/src/tools/soak/soak_run.cc
@@ -23,12 +23,12 @@
 constexpr char kTargetRelayHost[] = "127.0.0.19";
 constexpr std::uint16_t kTargetPort = 70;
 
-constexpr Duration kStartPatience = Seconds(30);
+constexpr Duration kStartTimeout = Seconds(30);
 // From the last fault until all has to work again.
-constexpr Duration kRecovery = Seconds(8);
-constexpr Duration kAfterRecovery = Seconds(3);
-constexpr Duration kPoll = Milliseconds(50);
-constexpr Duration kLateness = Milliseconds(900);
+constexpr Duration kRecoveryDuration = Seconds(8);
+constexpr Duration kObservationDuration = Seconds(3);
+constexpr Duration kPollInterval = Milliseconds(50);
+constexpr Duration kRelayDelay = Milliseconds(900);
 
 }  // namespace
 
@@ -91,22 +91,22 @@
     callers.gateways.push_back(deployment_.callers(i));
   }
   callers_ = std::make_unique<SoakCallers>(loop_, callers, dialect_, ledger_);
-  if (!operators_->Change(kStartPatience)) {
+  if (!operators_->Change(kStartTimeout)) {
     return "no configuration was accepted";
   }
-  return WaitUntilServing(kStartPatience) ? "" : "a gateway does not serve";
+  return WaitUntilServing(kStartTimeout) ? "" : "a gateway does not serve";
 }
 
 // All gateways say that they are ready, and have had time to hear of all
 // targets.
-bool SoakRun::WaitUntilServing(Duration patience) {
-  const TimePoint limit = SteadyNow() + patience;
-  net::HttpRequest question;
-  question.target = "/ready";
+bool SoakRun::WaitUntilServing(Duration timeout) {
+  const TimePoint limit = SteadyNow() + timeout;
+  net::HttpRequest request;
+  request.target = "/ready";
   for (std::uint32_t i = 0; i < options_.plan.gateways; ++i) {
     while (true) {
       const auto result =
-          client_.Send(deployment_.readiness(i), question, Seconds(1));
+          client_.Send(deployment_.readiness(i), request, Seconds(1));
       const auto* response = std::get_if<net::HttpResponse>(&result);
       if (response != nullptr &&
           net::status::IsSuccess(response->head.status)) {
@@ -115,15 +115,15 @@
       if (SteadyNow() > limit) {
         return false;
       }
-      loop_.SleepFor(kPoll);
+      loop_.SleepFor(kPollInterval);
     }
   }
-  constexpr Duration kAnnounced = Seconds(1);
-  loop_.SleepFor(kAnnounced);
+  constexpr Duration kAnnouncementPropagation = Seconds(1);
+  loop_.SleepFor(kAnnouncementPropagation);
   return true;
 }
 
-std::string SoakRun::Play() {
+std::string SoakRun::Execute() {
   std::string error = StartAll();
   if (!error.empty()) {
     return error;
@@ -131,96 +131,97 @@
   loop_.Spawn([this] { WatchProcesses(); });
   callers_->Start();
   operators_->Start();
-  striking_ = static_cast<std::uint32_t>(plan_.size());
+  active_faults_ = static_cast<std::uint32_t>(plan_.size());
   const TimePoint start = SteadyNow();
-  for (const Strike& strike : plan_) {
-    loop_.Spawn([this, strike, start] {
-      loop_.SleepFor(start + strike.at - SteadyNow());
-      Play(strike);
-      --striking_;
+  for (const FaultEvent& fault_event : plan_) {
+    loop_.Spawn([this, fault_event, start] {
+      loop_.SleepFor(start + fault_event.at - SteadyNow());
+      Execute(fault_event);
+      --active_faults_;
     });
   }
   loop_.SleepFor(options_.plan.length);
-  while (striking_ > 0) {
-    loop_.SleepFor(kPoll);
+  while (active_faults_ > 0) {
+    loop_.SleepFor(kPollInterval);
   }
-  loop_.SleepFor(kRecovery);
+  loop_.SleepFor(kRecoveryDuration);
   ledger_.OnRecovered(SteadyNow());
-  loop_.SleepFor(kAfterRecovery);
+  loop_.SleepFor(kObservationDuration);
   callers_->Stop();
   operators_->Stop();
   while (!callers_->has_ended() || !operators_->has_ended()) {
-    loop_.SleepFor(kPoll);
+    loop_.SleepFor(kPollInterval);
   }
-  constexpr Duration kReadPatience = Seconds(10);
-  if (!operators_->ReadAll(kReadPatience)) {
-    ledger_.OnWrongVerdict("a control node does not answer reads at the end");
+  constexpr Duration kReadTimeout = Seconds(10);
+  if (!operators_->ReadAll(kReadTimeout)) {
+    ledger_.OnConfigurationViolation(
+        "a control node does not answer reads at the end");
   }
   is_over_ = true;
-  loop_.SleepFor(2 * kPoll);
+  loop_.SleepFor(2 * kPollInterval);
   for (std::uint32_t i = 0; i < options_.plan.controls; ++i) {
-    NotePeak(Deployment::ControlName(i));
+    RecordPeakMemory(Deployment::ControlName(i));
   }
   for (std::uint32_t i = 0; i < options_.plan.gateways; ++i) {
-    NotePeak(Deployment::GatewayName(i));
+    RecordPeakMemory(Deployment::GatewayName(i));
   }
   return "";
 }
 
 // Faults are never undone later than their time; planned work may end before.
-void SoakRun::Play(const Strike& strike) {
+void SoakRun::Execute(const FaultEvent& fault_event) {
   const TimePoint begun = SteadyNow();
-  Begin(strike);
-  const Duration left = begun + strike.length - SteadyNow();
+  Begin(fault_event);
+  const Duration left = begun + fault_event.length - SteadyNow();
   if (left > Duration::zero()) {
     loop_.SleepFor(left);
   }
-  Undo(strike);
-  ledger_.OnFault(strike, begun, SteadyNow());
+  Undo(fault_event);
+  ledger_.OnFault(fault_event, begun, SteadyNow());
 }
 
-void SoakRun::Begin(const Strike& strike) {
-  switch (ClassOf(strike.kind)) {
+void SoakRun::Begin(const FaultEvent& fault_event) {
+  switch (ClassOf(fault_event.kind)) {
     case VictimClass::kControl:
-      BeginAtControl(strike);
+      BeginAtControl(fault_event);
       return;
     case VictimClass::kGateway:
-      BeginAtGateway(strike);
+      BeginAtGateway(fault_event);
       return;
     case VictimClass::kTarget:
-      BeginAtTarget(strike);
+      BeginAtTarget(fault_event);
       return;
   }
 }
 
-void SoakRun::Undo(const Strike& strike) {
-  switch (ClassOf(strike.kind)) {
+void SoakRun::Undo(const FaultEvent& fault_event) {
+  switch (ClassOf(fault_event.kind)) {
     case VictimClass::kControl:
-      UndoAtControl(strike);
+      UndoAtControl(fault_event);
       return;
     case VictimClass::kGateway:
-      UndoAtGateway(strike);
+      UndoAtGateway(fault_event);
       return;
     case VictimClass::kTarget:
-      UndoAtTarget(strike);
+      UndoAtTarget(fault_event);
       return;
   }
 }
 
-void SoakRun::BeginAtControl(const Strike& strike) {
+void SoakRun::BeginAtControl(const FaultEvent& fault_event) {
   ProcessTable& processes = deployment_.processes();
-  const std::string name = Deployment::ControlName(strike.victim);
-  blackhole::Relay& relay = deployment_.relay(strike.victim);
-  switch (strike.kind) {
+  const std::string name = Deployment::ControlName(fault_event.victim);
+  blackhole::Relay& relay = deployment_.relay(fault_event.victim);
+  switch (fault_event.kind) {
     case FaultKind::kKillControl:
     case FaultKind::kWipeControl:
-      down_.insert(name);
-      NotePeak(name);
+      expected_down_.insert(name);
+      RecordPeakMemory(name);
       processes.Kill(name);
       break;
     case FaultKind::kKillAllControl:
       for (std::uint32_t i = 0; i < options_.plan.controls; ++i) {
-        down_.insert(Deployment::ControlName(i));
+        expected_down_.insert(Deployment::ControlName(i));
         processes.Kill(Deployment::ControlName(i));
       }
       break;
@@ -228,7 +229,7 @@
       processes.Signal(name, SIGSTOP);
       break;
     case FaultKind::kStopControl:
-      down_.insert(name);
+      expected_down_.insert(name);
       processes.Signal(name, SIGTERM);
       break;
     case FaultKind::kCutControl:
@@ -239,17 +240,17 @@
       relay.SilencePresent();
       break;
     default:
-      relay.set_delay(kLateness);
+      relay.set_delay(kRelayDelay);
       break;
   }
 }
 
-void SoakRun::UndoAtControl(const Strike& strike) {
-  const std::string name = Deployment::ControlName(strike.victim);
-  blackhole::Relay& relay = deployment_.relay(strike.victim);
-  switch (strike.kind) {
+void SoakRun::UndoAtControl(const FaultEvent& fault_event) {
+  const std::string name = Deployment::ControlName(fault_event.victim);
+  blackhole::Relay& relay = deployment_.relay(fault_event.victim);
+  switch (fault_event.kind) {
     case FaultKind::kWipeControl:
-      deployment_.WipeControl(strike.victim);
+      deployment_.WipeControl(fault_event.victim);
       Restart(name);
       break;
     case FaultKind::kKillControl:
@@ -276,21 +277,21 @@
   }
 }
 
-void SoakRun::BeginAtGateway(const Strike& strike) {
+void SoakRun::BeginAtGateway(const FaultEvent& fault_event) {
   ProcessTable& processes = deployment_.processes();
-  const std::string name = Deployment::GatewayName(strike.victim);
-  switch (strike.kind) {
+  const std::string name = Deployment::GatewayName(fault_event.victim);
+  switch (fault_event.kind) {
     case FaultKind::kKillGateway:
-      down_.insert(name);
-      NotePeak(name);
+      expected_down_.insert(name);
+      RecordPeakMemory(name);
       processes.Kill(name);
       break;
     case FaultKind::kFreezeGateway:
       processes.Signal(name, SIGSTOP);
       break;
     case FaultKind::kStopGateway:
-      down_.insert(name);
-      NotePeak(name);
+      expected_down_.insert(name);
+      RecordPeakMemory(name);
       processes.Signal(name, SIGTERM);
       break;
     default:
@@ -299,9 +300,9 @@
   }
 }
 
-void SoakRun::UndoAtGateway(const Strike& strike) {
-  const std::string name = Deployment::GatewayName(strike.victim);
-  switch (strike.kind) {
+void SoakRun::UndoAtGateway(const FaultEvent& fault_event) {
+  const std::string name = Deployment::GatewayName(fault_event.victim);
+  switch (fault_event.kind) {
     case FaultKind::kFreezeGateway:
       deployment_.processes().Signal(name, SIGCONT);
       break;
@@ -310,7 +311,7 @@
       break;
     case FaultKind::kStopGateway:
       while (deployment_.processes().IsRunning(name)) {
-        loop_.SleepFor(kPoll);
+        loop_.SleepFor(kPollInterval);
       }
       Restart(name);
       break;
@@ -319,9 +320,9 @@
   }
 }
 
-void SoakRun::BeginAtTarget(const Strike& strike) {
-  SoakTarget& target = *targets_[strike.victim];
-  switch (strike.kind) {
+void SoakRun::BeginAtTarget(const FaultEvent& fault_event) {
+  SoakTarget& target = *targets_[fault_event.victim];
+  switch (fault_event.kind) {
     case FaultKind::kCrashTarget:
       target.Crash();
       break;
@@ -333,10 +334,10 @@
       target.relay().SilencePresent();
       break;
     case FaultKind::kResetTarget:
-      ResetAgainAndAgain(target, strike.length);
+      ResetRepeatedly(target, fault_event.length);
       break;
     case FaultKind::kDelayTarget:
-      target.relay().set_delay(kLateness);
+      target.relay().set_delay(kRelayDelay);
       break;
     case FaultKind::kOneWayTarget:
       target.relay().set_new_connections(NewConnections::kUnanswered);
@@ -348,7 +349,7 @@
   }
 }
 
-void SoakRun::ResetAgainAndAgain(SoakTarget& target, Duration length) {
+void SoakRun::ResetRepeatedly(SoakTarget& target, Duration length) {
   constexpr Duration kBetween = Milliseconds(170);
   const TimePoint end = SteadyNow() + length;
   while (SteadyNow() < end) {
@@ -357,9 +358,9 @@
   }
 }
 
-void SoakRun::UndoAtTarget(const Strike& strike) {
-  SoakTarget& target = *targets_[strike.victim];
-  switch (strike.kind) {
+void SoakRun::UndoAtTarget(const FaultEvent& fault_event) {
+  SoakTarget& target = *targets_[fault_event.victim];
+  switch (fault_event.kind) {
     case FaultKind::kCrashTarget:
     case FaultKind::kDrainTarget:
       target.Restart();
@@ -380,9 +381,9 @@
   const std::string error = is_control ? deployment_.StartControl(number)
                                        : deployment_.StartGateway(number);
   if (!error.empty()) {
-    ledger_.OnOwnEnd(name + " can't be started: " + error);
+    ledger_.OnUnexpectedExit(name + " can't be started: " + error);
   }
-  down_.erase(name);
+  expected_down_.erase(name);
 }
 
 // A process that is down without a fault has ended by itself.
@@ -396,23 +397,24 @@
   }
   while (!is_over_) {
     for (const std::string& name : names) {
-      if (down_.count(name) == 0 && !deployment_.processes().IsRunning(name)) {
-        ledger_.OnOwnEnd(name);
-        down_.insert(name);
+      if (expected_down_.count(name) == 0 &&
+          !deployment_.processes().IsRunning(name)) {
+        ledger_.OnUnexpectedExit(name);
+        expected_down_.insert(name);
         Restart(name);
       }
     }
-    loop_.SleepFor(kPoll);
+    loop_.SleepFor(kPollInterval);
   }
 }
 
-void SoakRun::NotePeak(const std::string& name) {
-  std::uint64_t& peak = peaks_[name];
+void SoakRun::RecordPeakMemory(const std::string& name) {
+  std::uint64_t& peak = peak_memory_kib_[name];
   peak = std::max(peak, deployment_.processes().PeakKib(name));
 }
 
-void SoakRun::PrintPeaks(std::ostream& out) const {
-  for (const auto& [name, kib] : peaks_) {
+void SoakRun::PrintPeakMemory(std::ostream& out) const {
+  for (const auto& [name, kib] : peak_memory_kib_) {
     out << "peak " << name << " " << kib << " KiB\n";
   }
 }
--- a/src/tools/soak/soak_run.h
+++ b/src/tools/soak/soak_run.h
@@ -34,46 +34,46 @@
   SoakRun(net::NetworkLoop& loop, SoakOptions options);
 
   // Empty, or why it could not be played. Blocks the calling fiber.
-  std::string Play();
+  std::string Execute();
   const Ledger& ledger() const { return ledger_; }
-  const std::vector<Strike>& plan() const { return plan_; }
+  const std::vector<FaultEvent>& plan() const { return plan_; }
   // Ends the processes that it has started.
   void EndAll() { deployment_.processes().KillAll(); }
   // Peak memory of the processes, a line each.
-  void PrintPeaks(std::ostream& out) const;
+  void PrintPeakMemory(std::ostream& out) const;
 
  private:
   std::string StartAll();
   std::string StartTargets();
-  bool WaitUntilServing(Duration patience);
-  void Play(const Strike& strike);
-  void Begin(const Strike& strike);
-  void Undo(const Strike& strike);
-  void BeginAtControl(const Strike& strike);
-  void UndoAtControl(const Strike& strike);
-  void BeginAtGateway(const Strike& strike);
-  void UndoAtGateway(const Strike& strike);
-  void BeginAtTarget(const Strike& strike);
-  void UndoAtTarget(const Strike& strike);
-  void ResetAgainAndAgain(SoakTarget& target, Duration length);
+  bool WaitUntilServing(Duration timeout);
+  void Execute(const FaultEvent& fault_event);
+  void Begin(const FaultEvent& fault_event);
+  void Undo(const FaultEvent& fault_event);
+  void BeginAtControl(const FaultEvent& fault_event);
+  void UndoAtControl(const FaultEvent& fault_event);
+  void BeginAtGateway(const FaultEvent& fault_event);
+  void UndoAtGateway(const FaultEvent& fault_event);
+  void BeginAtTarget(const FaultEvent& fault_event);
+  void UndoAtTarget(const FaultEvent& fault_event);
+  void ResetRepeatedly(SoakTarget& target, Duration length);
   void WatchProcesses();
   void Restart(const std::string& name);
-  void NotePeak(const std::string& name);
+  void RecordPeakMemory(const std::string& name);
 
   net::NetworkLoop& loop_;
   SoakOptions options_;
   traffic::WireDialect dialect_;
-  std::vector<Strike> plan_;
+  std::vector<FaultEvent> plan_;
   Ledger ledger_;
   Deployment deployment_;
   net::HttpClient client_;
   std::vector<std::unique_ptr<SoakTarget>> targets_;
   std::unique_ptr<SoakCallers> callers_;
   std::unique_ptr<OperatorWork> operators_;
-  std::map<std::string, std::uint64_t> peaks_;
+  std::map<std::string, std::uint64_t> peak_memory_kib_;
   // Processes that are down because a fault says so.
-  std::set<std::string> down_;
-  std::uint32_t striking_ = 0;
+  std::set<std::string> expected_down_;
+  std::uint32_t active_faults_ = 0;
   bool is_over_ = false;
 };
 
--- a/src/tools/soak/soak_target.cc
+++ b/src/tools/soak/soak_target.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint32_t kSlots = 16;
-constexpr Duration kAnnouncePatience = Milliseconds(1000);
+constexpr Duration kAnnounceTimeout = Milliseconds(1000);
 
 net::HttpServerOptions ServerOptions(const net::Endpoint& listen) {
   net::HttpServerOptions options;
@@ -50,7 +50,7 @@
   }
   if (error.empty()) {
     Restart();
-    loop_.Spawn([this] { Beat(); });
+    loop_.Spawn([this] { AnnouncePeriodically(); });
   }
   return error;
 }
@@ -62,60 +62,61 @@
 }
 
 void SoakTarget::Restart() {
-  ++life_;
-  told_ = {};
-  told_.target = TargetId("i-" + std::to_string(options_.number) + "-" +
-                          std::to_string(life_));
-  told_.service = options_.service;
-  told_.address = options_.advertise.ToString();
-  told_.domain = FailureDomain("z" + std::to_string(options_.number % 3 + 1));
-  told_.slots = kSlots;
+  ++incarnation_;
+  announcement_ = {};
+  announcement_.target = TargetId("i-" + std::to_string(options_.number) + "-" +
+                                  std::to_string(incarnation_));
+  announcement_.service = options_.service;
+  announcement_.address = options_.advertise.ToString();
+  announcement_.domain =
+      FailureDomain("z" + std::to_string(options_.number % 3 + 1));
+  announcement_.slots = kSlots;
   is_alive_ = true;
   relay_.set_new_connections(blackhole::NewConnections::kRelayed);
 }
 
-bool SoakTarget::Tell(const net::HttpRequest& call) {
+bool SoakTarget::SendToControl(const net::HttpRequest& call) {
   const net::Endpoint& node =
-      options_.control[control_at_ % options_.control.size()];
-  const auto result = client_.Send(node, call, kAnnouncePatience);
+      options_.control[control_index_ % options_.control.size()];
+  const auto result = client_.Send(node, call, kAnnounceTimeout);
   const auto* response = std::get_if<net::HttpResponse>(&result);
   if (response != nullptr && net::status::IsSuccess(response->head.status)) {
     return true;
   }
-  ++control_at_;
+  ++control_index_;
   return false;
 }
 
-void SoakTarget::Beat() {
+void SoakTarget::AnnouncePeriodically() {
   while (true) {
     if (is_alive_) {
-      ++told_.sequence;
-      Tell(platform::AnnounceCall(told_));
+      ++announcement_.sequence;
+      SendToControl(platform::AnnounceCall(announcement_));
     }
     loop_.SleepFor(options_.announcement_interval);
   }
 }
 
 void SoakTarget::Drain() {
-  told_.standing = traffic::Standing::kLeaving;
-  constexpr int kMostTries = 12;
-  for (int i = 0; i < kMostTries; ++i) {
-    ++told_.sequence;
-    if (Tell(platform::AnnounceCall(told_))) {
-      ledger_.OnLeaving(told_.target.value(), SteadyNow());
+  announcement_.standing = traffic::Standing::kLeaving;
+  constexpr int kMaxTries = 12;
+  for (int i = 0; i < kMaxTries; ++i) {
+    ++announcement_.sequence;
+    if (SendToControl(platform::AnnounceCall(announcement_))) {
+      ledger_.OnLeaving(announcement_.target.value(), SteadyNow());
       break;
     }
   }
   constexpr Duration kDrainTime = Milliseconds(3500);
   loop_.SleepFor(kDrainTime);
   is_alive_ = false;
-  Tell(platform::WithdrawCall(told_.target));
+  SendToControl(platform::WithdrawCall(announcement_.target));
 }
 
 void SoakTarget::Handle(net::HttpExchange& exchange) {
   const std::string expected(exchange.request().headers.ValueOr(
-      dialect_.expected_target, told_.target.value()));
-  if (expected != told_.target.value()) {
+      dialect_.expected_target, announcement_.target.value()));
+  if (expected != announcement_.target.value()) {
     net::HttpResponseHead head;
     head.status = net::status::kMisdirected;
     exchange.Respond(std::move(head), "");
@@ -127,7 +128,8 @@
 net::HttpResponseHead SoakTarget::SignedHead(
     const net::HttpRequest& request) const {
   net::HttpResponseHead head;
-  head.headers.Add(dialect_.signature, "signed by " + told_.target.value());
+  head.headers.Add(dialect_.signature,
+                   "signed by " + announcement_.target.value());
   head.headers.Add(dialect_.load, "1,0," + std::to_string(kSlots));
   head.headers.Add(dialect_.request_id, std::string(request.headers.ValueOr(
                                             dialect_.request_id, "")));
@@ -138,7 +140,7 @@
   const net::HttpRequest& request = exchange.request();
   RunSeen run;
   run.id = std::string(request.headers.ValueOr(dialect_.request_id, ""));
-  run.target = told_.target.value();
+  run.target = announcement_.target.value();
   run.target_number = options_.number;
   run.workspace = std::string(request.headers.ValueOr(dialect_.workspace, ""));
   run.path = request.target;
@@ -146,20 +148,21 @@
   run.at = SteadyNow();
   const std::string body = run.id + " " + run.body;
   ledger_.OnRun(std::move(run));
-  const std::uint32_t life = life_;
+  const std::uint32_t incarnation = incarnation_;
   if (options_.is_engine) {
-    StreamEvents(exchange, life);
+    StreamEvents(exchange, incarnation);
     return;
   }
   loop_.SleepFor(options_.plain_work);
-  if (life == life_ && is_alive_) {
+  if (incarnation == incarnation_ && is_alive_) {
     exchange.Respond(SignedHead(request), body);
   } else {
     exchange.AbortStream();
   }
 }
 
-void SoakTarget::StreamEvents(net::HttpExchange& exchange, std::uint32_t life) {
+void SoakTarget::StreamEvents(net::HttpExchange& exchange,
+                              std::uint32_t incarnation) {
   const net::HttpRequest& request = exchange.request();
   const std::string id(request.headers.ValueOr(dialect_.request_id, ""));
   const std::uint32_t last =
@@ -175,7 +178,7 @@
     const bool has_begun =
         exchange.WritePiece("id: " + std::to_string(event) + "\ndata: " + id);
     loop_.SleepFor(options_.event_gap / 2);
-    if (!has_begun || life != life_ || !is_alive_ ||
+    if (!has_begun || incarnation != incarnation_ || !is_alive_ ||
         !exchange.WritePiece("\n\n")) {
       exchange.AbortStream();
       return;
--- a/src/tools/soak/soak_target.h
+++ b/src/tools/soak/soak_target.h
@@ -52,13 +52,13 @@
   void Drain();
 
  private:
-  void Beat();
+  void AnnouncePeriodically();
   // Whether a control node has taken it.
-  bool Tell(const net::HttpRequest& call);
+  bool SendToControl(const net::HttpRequest& call);
   void Handle(net::HttpExchange& exchange);
   void Run(net::HttpExchange& exchange);
   net::HttpResponseHead SignedHead(const net::HttpRequest& request) const;
-  void StreamEvents(net::HttpExchange& exchange, std::uint32_t life);
+  void StreamEvents(net::HttpExchange& exchange, std::uint32_t incarnation);
 
   net::NetworkLoop& loop_;
   SoakTargetOptions options_;
@@ -67,9 +67,9 @@
   net::HttpClient client_;
   net::HttpServer server_;
   blackhole::Relay relay_;
-  traffic::TargetAnnouncement told_;
-  std::size_t control_at_ = 0;
-  std::uint32_t life_ = 0;
+  traffic::TargetAnnouncement announcement_;
+  std::size_t control_index_ = 0;
+  std::uint32_t incarnation_ = 0;
   bool is_alive_ = true;
 };
 
--- a/tests/auto/soak/fault_plan_test.cc
+++ b/tests/auto/soak/fault_plan_test.cc
@@ -14,8 +14,8 @@
   return options;
 }
 
-bool IsControl(const Strike& strike) {
-  return ClassOf(strike.kind) == VictimClass::kControl;
+bool IsControl(const FaultEvent& fault_event) {
+  return ClassOf(fault_event.kind) == VictimClass::kControl;
 }
 
 TEST_CASE("a plan loses one control node at a time, and lets it catch up") {
@@ -23,12 +23,12 @@
     CAPTURE(seed);
     const FaultPlanOptions options = OptionsOf(seed);
     TimePoint free_from;
-    for (const Strike& strike : MakePlan(options)) {
-      if (!IsControl(strike)) {
+    for (const FaultEvent& fault_event : MakePlan(options)) {
+      if (!IsControl(fault_event)) {
         continue;
       }
-      CHECK(TimeAt(strike.at) >= free_from);
-      free_from = TimeAt(strike.end() + options.catch_up);
+      CHECK(TimeAt(fault_event.at) >= free_from);
+      free_from = TimeAt(fault_event.end() + options.catch_up);
     }
   }
 }
@@ -36,7 +36,7 @@
 TEST_CASE("no victim is struck twice at a time, and all ends in the play") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
-    const std::vector<Strike> plan = MakePlan(OptionsOf(seed));
+    const std::vector<FaultEvent> plan = MakePlan(OptionsOf(seed));
     for (std::size_t i = 0; i < plan.size(); ++i) {
       CHECK(plan[i].end() < Seconds(60));
       for (std::size_t j = i + 1; j < plan.size(); ++j) {
@@ -52,8 +52,8 @@
 TEST_CASE("the same seed draws the same plan, and all kinds come up") {
   std::set<FaultKind> kinds;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    const std::vector<Strike> plan = MakePlan(OptionsOf(seed));
-    const std::vector<Strike> again = MakePlan(OptionsOf(seed));
+    const std::vector<FaultEvent> plan = MakePlan(OptionsOf(seed));
+    const std::vector<FaultEvent> again = MakePlan(OptionsOf(seed));
     REQUIRE(plan.size() == again.size());
     for (std::size_t i = 0; i < plan.size(); ++i) {
       CHECK(plan[i].ToText() == again[i].ToText());
--- a/tests/auto/soak/ledger_test.cc
+++ b/tests/auto/soak/ledger_test.cc
@@ -21,7 +21,7 @@
   call.workspace = "w";
   call.path = "/x";
   call.body = "b";
-  call.patience = Seconds(4);
+  call.timeout = Seconds(4);
   call.at = At(at_ms);
   return call;
 }
@@ -53,11 +53,11 @@
   return ended;
 }
 
-Strike Fault(FaultKind kind, std::uint32_t victim) {
-  Strike strike;
-  strike.kind = kind;
-  strike.victim = victim;
-  return strike;
+FaultEvent Fault(FaultKind kind, std::uint32_t victim) {
+  FaultEvent fault_event;
+  fault_event.kind = kind;
+  fault_event.victim = victim;
+  return fault_event;
 }
 
 LedgerOptions ThreeEvents() {
@@ -68,7 +68,7 @@
 
 std::vector<std::string> Broken(const Ledger& ledger) {
   std::vector<std::string> promises;
-  for (const Violation& violation : ledger.Judge()) {
+  for (const Violation& violation : ledger.FindViolations()) {
     promises.push_back(violation.promise);
   }
   return promises;
@@ -145,7 +145,7 @@
       {"silent",
        RequestKind::kIdempotent,
        1,
-       Ended(CallEnding::kSilent, 5000),
+       Ended(CallEnding::kTimedOut, 5000),
        {"each caller is answered in time"}},
       {"whole stream", RequestKind::kStream, 1, whole, {}},
       {"stream that looks whole",
@@ -188,7 +188,7 @@
   for (const std::uint32_t victim : {0U, 1U}) {
     Ledger ledger(ThreeEvents());
     ledger.OnSent(Call("a", RequestKind::kIdempotent, 1000));
-    ledger.OnEnded("a", Ended(CallEnding::kSilent, 6000));
+    ledger.OnEnded("a", Ended(CallEnding::kTimedOut, 6000));
     ledger.OnFault(Fault(FaultKind::kFreezeGateway, victim), At(2000),
                    At(4000));
     CHECK(Broken(ledger).empty() == (victim == 0));
@@ -292,7 +292,7 @@
 
 TEST_CASE("a process that ends by itself is a broken promise") {
   Ledger ledger(ThreeEvents());
-  ledger.OnOwnEnd("gateway-0");
+  ledger.OnUnexpectedExit("gateway-0");
   CHECK(Broken(ledger) == Promises{"no process ends by itself"});
 }
 
--- a/tests/processes/platform/platform_standin.cc
+++ b/tests/processes/platform/platform_standin.cc
@@ -33,7 +33,7 @@
 namespace {
 
 constexpr int kEvents = 20;
-constexpr Duration kBeatInterval = Milliseconds(300);
+constexpr Duration kAnnounceInterval = Milliseconds(300);
 
 std::vector<net::Endpoint> ReadEndpoints(const std::string& text) {
   std::vector<net::Endpoint> endpoints;
@@ -62,12 +62,12 @@
         }) {}
 
   std::string Start() {
-    told_.target = TargetId(id_);
-    told_.service = ServiceId(FLAGS_service);
-    told_.address = endpoint_.ToString();
-    told_.domain = FailureDomain("z1");
-    told_.slots = 8;
-    loop_.Spawn([this] { Beat(); });
+    announcement_.target = TargetId(id_);
+    announcement_.service = ServiceId(FLAGS_service);
+    announcement_.address = endpoint_.ToString();
+    announcement_.domain = FailureDomain("z1");
+    announcement_.slots = 8;
+    loop_.Spawn([this] { AnnouncePeriodically(); });
     return server_.Start();
   }
 
@@ -78,18 +78,18 @@
     return options;
   }
 
-  void Beat() {
-    std::size_t at = 0;
+  void AnnouncePeriodically() {
+    std::size_t control_index = 0;
     while (true) {
-      ++told_.sequence;
-      const auto result =
-          client_.Send(control_[at % control_.size()],
-                       platform::AnnounceCall(told_), Milliseconds(1000));
+      ++announcement_.sequence;
+      const auto result = client_.Send(
+          control_[control_index % control_.size()],
+          platform::AnnounceCall(announcement_), Milliseconds(1000));
       const auto* response = std::get_if<net::HttpResponse>(&result);
       if (response == nullptr || response->head.status != 200) {
-        ++at;
+        ++control_index;
       }
-      loop_.SleepFor(kBeatInterval);
+      loop_.SleepFor(kAnnounceInterval);
     }
   }
 
@@ -123,7 +123,7 @@
       return;
     }
     if (request.target == "/drain") {
-      told_.standing = traffic::Standing::kLeaving;
+      announcement_.standing = traffic::Standing::kLeaving;
       Answer(exchange, 200, "");
       return;
     }
@@ -135,14 +135,14 @@
   }
 
   // As an engine that crashes a moment after it began to run the request.
-  void End() {
-    constexpr Duration kUntilEnd = Milliseconds(20);
+  void Crash() {
+    constexpr Duration kCrashDelay = Milliseconds(20);
     std::ofstream(FLAGS_record, std::ios::app) << id_ << "\n";
-    loop_.SleepFor(kUntilEnd);
+    loop_.SleepFor(kCrashDelay);
     std::_Exit(1);
   }
 
-  static void NoteArrival() {
+  static void RecordArrival() {
     using std::chrono::milliseconds;
     using std::chrono::steady_clock;
     if (!FLAGS_arrivals.empty()) {
@@ -153,11 +153,11 @@
   }
 
   void Run(net::HttpExchange& exchange) {
-    NoteArrival();
+    RecordArrival();
     const net::HttpRequest& request = exchange.request();
     if (!FLAGS_ends_on.empty() &&
         request.body.find(FLAGS_ends_on) != std::string::npos) {
-      End();
+      Crash();
     }
     ++runs_[std::string(
         request.headers.ValueOr("Bilberryspool-Attempt-Id", "none"))];
@@ -192,7 +192,7 @@
   std::string id_;
   net::Endpoint endpoint_;
   std::vector<net::Endpoint> control_;
-  traffic::TargetAnnouncement told_;
+  traffic::TargetAnnouncement announcement_;
   std::map<std::string, int> runs_;
   net::HttpClient client_;
   net::HttpServer server_;
