--- a/src/libs/scenario/agent_node.h
+++ b/src/libs/scenario/agent_node.h
@@ -13,7 +13,7 @@
 
 namespace bilberryspool::scenario {
 
-// One process of an agent, before an engine that remembers what it ran.
+// One process of an agent, with a fake engine whose runs are recorded.
 class AgentNode {
  public:
   struct Settings {
@@ -32,7 +32,7 @@
 
   void Start();
   void Receive(const NodeId& from, const Frame& frame);
-  // A planned stop begins.
+  // Starts a planned stop: admits no new work and announces that it leaves.
   void BeginPlannedStop();
 
   const config::Configuration& configuration() const {
@@ -42,7 +42,7 @@
  private:
   struct Job {
     attempts::StartAttempt start;
-    // Who hears of it, from which offset on.
+    // Where the answer is streamed to, and from which byte offset on.
     SendId send;
     NodeId entry;
     std::uint64_t offset = 0;
--- a/src/libs/scenario/conditions.cc
+++ b/src/libs/scenario/conditions.cc
@@ -151,11 +151,11 @@
 std::string Describe(const Condition& condition, const World& world) {
   return std::visit(
       Overloaded{[&](const InForce& expected) {
-                   return "expected otherwise: " +
+                   return "expectation not met: " +
                           DescribeMissing(expected, world);
                  },
                  [&](const HasLeader&) {
-                   std::string text = "expected otherwise: leaders are";
+                   std::string text = "expectation not met: leaders are";
                    for (const NodeId& leader : world.leaders()) {
                      text += " " + leader.value();
                    }
@@ -164,11 +164,11 @@
                  [&](const Ran& expected) {
                    const auto runs =
                        world.request_registry().RunsOf(RequestId(expected.id));
-                   return "expected otherwise: " + expected.id + " ran " +
+                   return "expectation not met: " + expected.id + " ran " +
                           std::to_string(runs) + " times";
                  },
                  [](const auto&) {
-                   return std::string("what is expected did not come about");
+                   return std::string("the expected condition was not met");
                  }},
       condition);
 }
--- a/src/libs/scenario/conditions.h
+++ b/src/libs/scenario/conditions.h
@@ -9,14 +9,15 @@
 
 namespace bilberryspool::scenario {
 
-// Gives the node that a script's name stands for.
+// Resolves a name of a script to a node.
 using ResolveName = std::function<NodeId(const std::string& name)>;
 
+// Whether the condition is met now.
 bool Holds(const Condition& condition,
            const World& world,
            const ResolveName& resolve);
 
-// What was expected and what is there instead.
+// Describes a condition that was not met, with the observed state.
 std::string Describe(const Condition& condition, const World& world);
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/config_checks.h
+++ b/src/libs/scenario/config_checks.h
@@ -17,29 +17,29 @@
 
 namespace bilberryspool::scenario {
 
-// What must always hold of the accepted configuration, whatever happens:
+// Checks the invariants of the accepted configuration:
 // - a log index holds one entry, on every replica;
 // - a new leader has every entry that was committed before;
 // - one replica at a time acts as the leader;
-// - a command has one outcome, also when it is sent again;
+// - a command has one outcome, even when it is resent;
 // - a version has one content, on every node;
-// - what is in force on a node never goes back while the node runs.
+// - the version in force on a node never decreases while its process runs.
 class ConfigChecks {
  public:
   explicit ConfigChecks(Verdict& verdict) : verdict_(verdict) {}
 
   void OnCommitted(const NodeId& node, const consensus::LogEntry& entry);
   void OnBecameLeader(const NodeId& node, LogIndex last_index);
-  // `leaders` act at the same moment.
+  // `leaders` is the number of replicas that act as the leader now.
   void OnLeaderCount(std::size_t leaders);
-  // An operator was told this of its order.
+  // An operator received this outcome of its command.
   void OnOrderAnswered(const config::Command& command,
                        const config::Outcome& outcome);
   void OnInForce(const NodeId& node,
                  Incarnation incarnation,
                  const config::Configuration& configuration);
 
-  // The highest version that an operator was told of; 0 before the first.
+  // The highest version that was reported to an operator; 0 before the first.
   ConfigVersion latest_reported_version() const {
     return latest_reported_version_;
   }
--- a/src/libs/scenario/entry_node.cc
+++ b/src/libs/scenario/entry_node.cc
@@ -11,12 +11,13 @@
 namespace {
 
 constexpr Duration kMaxPause = Milliseconds(100);
-// Small, so that scenarios of a few hundred changes come by a snapshot.
+// Small, so that in scenarios with a few hundred changes a replica that missed
+// some must be sent a snapshot.
 constexpr std::size_t kRetainedEntries = 20;
-// A target of last resort is still offered, at a small weight.
+// Weight of a target of last resort, which is still offered.
 constexpr double kLastResortWeight = 0.05;
 
-// Whether a frame is of the callers' requests.
+// Whether a frame belongs to callers' requests.
 template <typename T>
 constexpr bool kIsRequestFrame =
     std::is_same_v<T, ClaimCall> || std::is_same_v<T, ReleaseCall> ||
@@ -44,9 +45,10 @@
   return options;
 }
 
-// A node with a new folder gets the configuration like any other entry, until
-// its replica has a log: one that lost its disk would otherwise serve without
-// any, and a spare would never hear of the group that it is to join.
+// A node with an empty folder receives the configuration like an entry without
+// a replica until its replica has a log. Otherwise a node that lost its disk
+// would serve without any configuration, and a spare would never learn of the
+// group that it is to join.
 bool HasLog(const Disk* disk) {
   return disk != nullptr &&
          disk->synced.hard_state.cluster != consensus::ClusterId(0);
@@ -114,8 +116,8 @@
   }
 }
 
-// A new folder of a node that founds nothing waits until it has heard of the
-// control group that it is to join.
+// A node with an empty folder that is no initial member waits until it learns
+// of the control group that it is to join.
 void EntryNode::StartReplica() {
   const auto& founders = settings_.initial_members;
   const bool is_founder =
@@ -281,7 +283,7 @@
   for (const auto& [node, row] : declared) {
     members.push_back(node);
   }
-  // Spares know of the group only what others tell them.
+  // Spares learn of the group only from other nodes.
   const auto& founders = settings_.initial_members;
   const bool is_founder =
       std::find(founders.begin(), founders.end(), self_) != founders.end();
--- a/src/libs/scenario/entry_node.h
+++ b/src/libs/scenario/entry_node.h
@@ -14,19 +14,19 @@
 
 namespace bilberryspool::scenario {
 
-// What the entries of one run have in common.
+// Settings that all entries of a run share.
 struct EntrySettings {
   // All entries, by name; also their addresses.
   std::vector<std::string> entries;
-  // The control replicas that found the group.
+  // The control replicas that bootstrap the group.
   std::vector<NodeId> initial_members;
 };
 
 // One process of an entry.
 class EntryNode {
  public:
-  // The end of an operator's order, as the entry tells it; none where the
-  // outcome is unknown or no leader was reached.
+  // Called with the outcome of an operator's order; nullopt where the outcome
+  // is unknown or no leader was reached.
   using OrderDone =
       std::function<void(OrderId, const std::optional<config::Outcome>&)>;
 
@@ -56,12 +56,13 @@
   const RequestHost& requests() const { return requests_; }
 
  private:
-  // An order on its way to whoever leads.
+  // An order that waits for the leader's answer.
   struct PendingOrder {
     config::Command command;
     TimePoint deadline;
     std::vector<NodeId> candidates;
-    // Counts the calls, so that late timers of earlier ones are ignored.
+    // Number of calls so far. Identifies the latest one, so that timers and
+    // replies of earlier calls are ignored.
     std::size_t calls = 0;
   };
 
@@ -74,7 +75,7 @@
   void On(const NodeId& from, const membership::Heartbeat& heartbeat);
   void On(const NodeId& from, const ProposeCall& call);
   void On(const NodeId& from, const ProposeReply& reply);
-  // Everything of callers' requests.
+  // Frames of callers' requests go to `requests_`, all others are ignored.
   template <typename Other>
   void On(const NodeId& from, const Other& frame);
 
--- a/src/libs/scenario/entry_node_orders.cc
+++ b/src/libs/scenario/entry_node_orders.cc
@@ -1,4 +1,4 @@
-// An operator's order on its way from the entry to the leader and back.
+// Forwards operators' orders from the entry to the leader.
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace bilberryspool::scenario {
 namespace {
 
-// As in the program.
+// The same values as in the program.
 constexpr Duration kRetryDelay = Milliseconds(100);
 constexpr Duration kCallTimeout = Seconds(2);
 constexpr Duration kOrderTimeout = Seconds(10);
@@ -20,8 +20,9 @@
   SendOrder(order);
 }
 
-// Tries the hinted leader, then each control replica, until one leads. Asking
-// twice is harmless: the command id makes the second the first one's outcome.
+// Tries the hinted leader, then each control replica, until one of them leads.
+// Sending an order twice is harmless: the second has the same command id and
+// gets the outcome of the first.
 void EntryNode::SendOrder(OrderId id) {
   PendingOrder& order = orders_.at(id);
   if (network_.now() >= order.deadline) {
@@ -77,7 +78,7 @@
     EndOrder(reply.order, *outcome);
     return;
   }
-  // A late or doubled answer must not start one more call each time.
+  // A late or duplicate reply must not start another call.
   if (reply.call != open->second.calls) {
     return;
   }
@@ -86,7 +87,8 @@
     SendOrder(reply.order);
     return;
   }
-  // Unknown: the operator is told so, and resends the same command.
+  // The outcome is unknown. The operator is notified and can resend the same
+  // command.
   EndOrder(reply.order, std::nullopt);
 }
 
--- a/src/libs/scenario/fake_network.cc
+++ b/src/libs/scenario/fake_network.cc
@@ -20,7 +20,7 @@
     const Duration delay =
         random_.Between(conditions_.min_delay, conditions_.max_delay);
     At(delay, [this, from, to, frame] {
-      // A cut also stops what is on its way.
+      // A cut also drops frames in flight.
       if (!cuts_.contains({from, to})) {
         RunOrDefer(to, [this, from, to, frame] { deliver_(from, to, frame); });
       }
@@ -63,7 +63,7 @@
   state.alive = false;
   state.frozen = false;
   state.deferred_tasks.clear();
-  // Its timers belong to no process any more.
+  // Invalidates the timers of the killed process.
   ++state.process_generation;
 }
 
--- a/src/libs/scenario/fake_network.h
+++ b/src/libs/scenario/fake_network.h
@@ -1,5 +1,6 @@
-// The clock of a run, the nodes' timers, and links that lose, double, delay
-// and cut. Everything random comes from the seed, so a run replays exactly.
+// The simulated clock of a run, the nodes' timers, and links that can lose,
+// duplicate and delay frames or be cut. All randomness comes from the seed, so
+// a run can be reproduced exactly.
 
 #ifndef LIBS_SCENARIO_FAKE_NETWORK_H_
 #define LIBS_SCENARIO_FAKE_NETWORK_H_
@@ -39,21 +40,23 @@
   LinkConditions& conditions() { return conditions_; }
 
   void Send(const NodeId& from, const NodeId& to, const Frame& frame);
-  // A timer of a node; it dies with the process and waits while it is frozen.
+  // Runs the task on a node after the delay. Dropped if the node's process ends
+  // before, deferred while it is frozen.
   void After(const NodeId& node, Duration delay, Task task);
-  // Something outside of all nodes.
+  // Runs a task that belongs to no node after the delay.
   void At(Duration delay, Task task);
-  // Runs the next thing that is due by `end`. False where there is none; then
-  // it is `end`.
+  // Runs the next task that is due by `end`. If there is none, advances the
+  // clock to `end` and returns false.
   bool Step(TimePoint end);
 
-  // One direction.
+  // Drops all frames of one direction, also those in flight.
   void Cut(const NodeId& from, const NodeId& to) { cuts_.insert({from, to}); }
   void Heal() { cuts_.clear(); }
 
   void Start(const NodeId& node);
   void Kill(const NodeId& node);
-  // While frozen a node does nothing and its clock goes on; what arrives waits.
+  // A frozen node runs nothing while the clock advances. Its timers and
+  // received frames are deferred until it is thawed.
   void Freeze(const NodeId& node);
   void Thaw(const NodeId& node);
   bool alive(const NodeId& node) const { return State(node).alive; }
--- a/src/libs/scenario/frame.h
+++ b/src/libs/scenario/frame.h
@@ -1,4 +1,4 @@
-// What travels between the nodes of a scenario.
+// Messages between the nodes of a scenario.
 
 #ifndef LIBS_SCENARIO_FRAME_H_
 #define LIBS_SCENARIO_FRAME_H_
@@ -24,7 +24,7 @@
 // One order of an operator, counted over the whole run.
 using OrderId = StrongType<struct OrderIdTag, std::size_t>;
 
-// Calls of one send, and the answers to it.
+// Messages of one send of a request.
 struct ClaimCall {
   SendId send;
   attempts::ClaimRequest request;
@@ -55,16 +55,17 @@
   attempts::AttemptRef attempt;
   std::uint64_t offset = 0;
 };
-// A stream keeps its order, so its parts travel together.
+// Events that are delivered together, in order: the network may reorder
+// frames, but a stream keeps its order.
 struct RequestReply {
   SendId send;
   std::vector<attempts::RequestEvent> events;
 };
 
-// An operator's order on its way to the leader.
+// An operator's order, forwarded to the leader.
 struct ProposeCall {
   OrderId order;
-  // Counts the calls for one order; the answer repeats it.
+  // Number of the call for this order, repeated in the reply.
   std::size_t call = 0;
   config::Command command;
 };
--- a/src/libs/scenario/grammar.cc
+++ b/src/libs/scenario/grammar.cc
@@ -18,8 +18,8 @@
 using language::internal::Token;
 using language::internal::Word;
 
-// Semantic actions, as in the operators' grammar: the attribute of the part
-// just read goes into the value of the rule that it stands in.
+// Semantic actions, as in the operators' grammar: each stores the attribute of
+// the parsed part in the value of the enclosing rule.
 
 template <auto Member>
 struct Set {
@@ -45,7 +45,7 @@
   }
 };
 
-// Empties a list that has a default, before the first name goes in.
+// Clears the default of a list before the first name is appended.
 template <auto Member>
 struct Clear {
   template <typename Context>
@@ -62,14 +62,14 @@
   }
 };
 
-// The rest of the line, for the operators' grammar.
+// Reads the rest of the line, which the operators' grammar parses.
 bool ReadRest(const char*& first, const char* last, std::string& value) {
   value = std::string(first, last);
   first = last;
   return !value.empty();
 }
 
-// A name without the colon that ends the operator's prefix.
+// Reads a name up to the colon that ends the operator's prefix.
 bool ReadPlainName(const char*& first, const char* last, std::string& value) {
   const char* end = first;
   while (end != last && *end != ':' &&
@@ -84,7 +84,7 @@
   return true;
 }
 
-// A number that a sign such as % may follow.
+// Reads a percentage from 0% to 100%.
 bool ReadPercent(const char*& first, const char* last, std::uint32_t& value) {
   const auto [end, error] = std::from_chars(first, last, value);
   const bool is_valid =
@@ -262,7 +262,7 @@
   return error;
 }
 
-// The operators' grammar has the last word on what operators type.
+// Checks an operator's statement with the operators' grammar.
 std::optional<language::ParseError> CheckOrder(Order& order,
                                                std::string_view line) {
   order.offset = line.size() - order.text.size();
--- a/src/libs/scenario/grammar.h
+++ b/src/libs/scenario/grammar.h
@@ -9,8 +9,8 @@
 
 namespace bilberryspool::scenario {
 
-// One line without its remark. An operator's statement is checked by the
-// operators' grammar; the column of an error counts in the whole line.
+// Parses one line, its comment already removed. An operator's statement is also
+// checked by the operators' grammar; columns of errors refer to the whole line.
 std::variant<Statement, language::ParseError> ParseLine(std::string_view line);
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/random_faults.cc
+++ b/src/libs/scenario/random_faults.cc
@@ -72,7 +72,7 @@
     text += " at version " +
             std::to_string(world.checks().latest_reported_version().value());
   }
-  // Some orders are sent twice, as after a lost answer.
+  // Some orders are submitted twice, as an operator does after a lost answer.
   text += " as \"order-" + std::to_string(count) + "\"";
   const std::size_t sends = random.Chance(0.3) ? 2 : 1;
   for (std::size_t i = 0; i < sends; ++i) {
--- a/src/libs/scenario/random_faults.h
+++ b/src/libs/scenario/random_faults.h
@@ -6,9 +6,9 @@
 
 namespace bilberryspool::scenario {
 
-// Kills, freezes, cuts and bad links, one every second or so, with operators
-// who race each other and callers who send again meanwhile. No disk is lost.
-// At the end everything runs and the links are whole.
+// Injects random faults (kills, freezes, cuts, degraded links), about one a
+// second, while operators submit concurrent changes and callers send and resend
+// requests. No disk is lost. At the end all nodes run and all links work.
 void RunRandomFaults(World& world, const RandomFaults& faults);
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/replica_host.cc
+++ b/src/libs/scenario/replica_host.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kMaxPause = Milliseconds(50);
 constexpr Duration kMaxSyncDuration = Milliseconds(10);
-// Small, so that scenarios of a few hundred changes come by one.
+// Small, so that scenarios with a few hundred changes take a snapshot.
 constexpr std::uint64_t kEntriesPerSnapshot = 100;
 constexpr std::size_t kKeptOutcomes = 1024;
 
@@ -148,7 +148,7 @@
     return;
   }
   last_snapshot_ = applied;
-  // After the present event, whose further actions come first.
+  // Deferred, so that the remaining actions of the current event run first.
   const std::string data = config::WriteSnapshot(state_machine_.state());
   network_.After(self(), Duration{}, [this, applied, data] {
     Handle(consensus::SnapshotTaken{applied, data});
@@ -158,7 +158,8 @@
 void ReplicaHost::ApplyEntry(const consensus::LogEntry& entry) {
   const auto* membership = std::get_if<consensus::Membership>(&entry.payload);
   // A restarted replica applies the first entry again, but it has voted on
-  // claims before: taken for a founder it would grant what it granted then.
+  // claims before. If it counted as a first start, it would grant claims again
+  // that it granted then.
   const bool is_founding =
       was_folder_empty_ && membership != nullptr && entry.index == LogIndex(1);
   if (is_founding && membership->IsVoter(replica_.self())) {
--- a/src/libs/scenario/replica_host.h
+++ b/src/libs/scenario/replica_host.h
@@ -16,31 +16,34 @@
 
 namespace bilberryspool::scenario {
 
-// A data folder; outlives the process.
+// The data folder of a replica; outlives its process.
 struct Disk {
   consensus::RecoveredState synced;
-  // Writes that are under way, oldest first.
+  // Writes in progress, oldest first.
   std::deque<consensus::Action> unsynced;
 
-  // A crash keeps the first `kept` writes that were under way.
+  // Keeps the first `kept` of the writes in progress and drops the others.
   void Crash(std::size_t kept);
   void Sync(consensus::PersistTicket ticket);
 };
 
-// A control replica with its state machine, joined as in the program.
+// A control replica with its state machine, connected as in the program.
 class ReplicaHost {
  public:
   struct Hooks {
+    // Called for each applied change of the configuration: with the step, or
+    // with the whole state where no step is available.
     std::function<void(const config::Delta&, config::Digest from)>
         step_committed;
     std::function<void(const config::Configuration&)> state_adopted;
     std::function<void(const consensus::RoleChanged&)> role_changed;
-    // This replica has founded the log since its start.
+    // Called when this process has taken part in bootstrapping the log, from an
+    // empty folder.
     std::function<void()> log_founded;
-    // Where the members' failure domains come from.
+    // Looks up a member's failure domain; empty where it is unknown.
     std::function<FailureDomain(const NodeId&)> domain_of;
   };
-  // The result of a proposal, where this process lives long enough.
+  // The result of a proposal. Not delivered if the process ends before.
   using Answer = decltype(ProposeReply::result);
   using Done = std::function<void(const Answer&)>;
 
@@ -89,16 +92,17 @@
   Hooks hooks_;
   consensus::Replica replica_;
   config::StateMachine state_machine_;
-  // The folder was new at this start.
+  // The data folder was empty when this process started.
   bool was_folder_empty_;
   TimePoint disk_free_at_;
   LogIndex last_snapshot_;
   consensus::RequestTicket last_ticket_;
   std::map<consensus::RequestTicket, Done> proposed_;
-  // Outcomes of the latest entries. An id alone would not do: the same id with
-  // another text is refused, and its first outcome is not that order's.
+  // Outcomes of the latest applied entries, by log index. The command id can't
+  // be the key: the same id with another text is refused, so one id can have
+  // two outcomes.
   std::map<LogIndex, config::Outcome> outcomes_;
-  // Committed, maybe not yet applied.
+  // Callbacks of proposals that are committed but may not be applied yet.
   std::multimap<LogIndex, Done> accepted_;
   std::uint64_t issued_commands_ = 0;
 };
--- a/src/libs/scenario/replica_host_membership.cc
+++ b/src/libs/scenario/replica_host_membership.cc
@@ -1,5 +1,5 @@
-// Keeps the declared control members and the log's membership in step, as the
-// program does. Only the leader acts.
+// Reconciles the declared control members with the log's membership, as the
+// program does. Only the leader does so.
 
 #include <algorithm>
 
--- a/src/libs/scenario/request_book.cc
+++ b/src/libs/scenario/request_book.cc
@@ -5,7 +5,8 @@
 namespace bilberryspool::scenario {
 namespace {
 
-// What an answer may come after its deadline, for the steps of the run itself.
+// Tolerance for answers after the deadline: the steps of a run take simulated
+// time themselves.
 constexpr Duration kSlack = Milliseconds(5);
 
 }  // namespace
@@ -81,7 +82,7 @@
         answer.outcome ? answer.outcome->body.value_or("") : sent.text;
     Check(text == whole, id, "the answer isn't whole");
   }
-  // Another send of an idempotent request may have run.
+  // Of an idempotent request, another send may have run.
   const bool covers_all_sends =
       answer.kind == attempts::FinalKind::kNotRun && !sent.request.idempotent;
   Check(!covers_all_sends || RunsOf(sent.request.id) == 0, id,
--- a/src/libs/scenario/request_book.h
+++ b/src/libs/scenario/request_book.h
@@ -14,7 +14,7 @@
 
 namespace bilberryspool::scenario {
 
-// What a caller asks for; each resend means the same request.
+// A caller's request; all of its sends have the same id.
 struct CallerRequest {
   RequestId id;
   ServiceId service;
@@ -26,37 +26,38 @@
   CallerRequest request;
   NodeId entry;
   TimePoint at;
-  // Set once the entry has read it.
+  // Set once the entry has received the request.
   std::optional<TimePoint> deadline;
-  // The entry died or stood still before the answer.
+  // The entry was killed or frozen before it answered.
   bool disturbed = false;
   std::string text;
   std::optional<attempts::FinalKind> final;
 };
 
-// All sends of all callers and what the engines ran, and what must always
-// hold of them:
+// Records all sends of callers and all runs of the engines, and checks their
+// invariants:
 // - a non-idempotent request runs at most once;
-// - what is answered as "not run" did not run, and this send never runs;
-// - an answer is whole, of the request's own, and comes once;
-// - it comes by the deadline, unless the entry itself died or stood still;
-// - a target that was stopped gets no new work after its grace.
+// - a send answered as "not run" did not run and never will; for a
+//   non-idempotent request, neither did any other send of it;
+// - an answer is complete, belongs to its request, and comes once;
+// - it comes by the deadline, unless the entry was killed or frozen;
+// - a target in a planned stop gets no new work after the drain grace period.
 class RequestRegistry {
  public:
-  // How long a stopped target may still get work.
+  // How long a target may still get new work after its planned stop began.
   static constexpr Duration kDrainGracePeriod = Seconds(4);
 
   explicit RequestRegistry(Verdict& verdict) : verdict_(verdict) {}
 
   SendId Open(CallerRequest request, const NodeId& entry, TimePoint now);
   CallerSend& send(SendId id) { return sends_.at(id.value()); }
-  // The request as it was first sent.
+  // The request as it was first sent; nullopt if it was never sent.
   std::optional<CallerRequest> Find(const RequestId& id) const;
-  // The latest send of the request with a final answer, or its latest.
+  // The latest send of the request; null if there is none.
   const CallerSend* LatestOf(const RequestId& id) const;
   std::size_t RunsOf(const RequestId& id) const;
 
-  // The entry died or froze: answers that it owes may be late or missing.
+  // The entry was killed or frozen: its pending answers may be late or missing.
   void MarkDisturbed(const NodeId& entry);
   void OnTargetStopping(const TargetId& target, TimePoint now);
   void OnRun(SendId send, const TargetId& target, TimePoint now);
--- a/src/libs/scenario/request_host.cc
+++ b/src/libs/scenario/request_host.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration kUpdateInterval = Milliseconds(100);
-// As long as the holders' ledgers remember a key.
+// As long as the ledgers of the holders keep a key.
 constexpr Duration kClaimWindow = Seconds(600);
 constexpr Duration kDefaultDeadline = Seconds(5);
 
@@ -168,7 +168,7 @@
 }
 
 void RequestHost::OnStallDetected() {
-  verdict_.Note(self_, "notices that it stood still");
+  verdict_.Note(self_, "detects that it was stalled");
   std::vector<SendId> open;
   for (const auto& [send, machine] : machines_) {
     open.push_back(send);
@@ -186,7 +186,8 @@
   }
   UpdateRouter(event);
   for (const auto& action : found->second.Handle(event, network_.now())) {
-    // An entry that freezes now carries out what it decided once it wakes up.
+    // Deferred, so that an entry that is frozen here executes the actions it
+    // already decided on after it is thawed.
     network_.After(self_, Microseconds(10), [this, send, action] {
       std::visit([&](const auto& typed) { Execute(send, typed); }, action);
     });
--- a/src/libs/scenario/request_host.h
+++ b/src/libs/scenario/request_host.h
@@ -17,12 +17,12 @@
 
 namespace bilberryspool::scenario {
 
-// The callers' side of an entry: its router, a machine for each request, and
-// its votes on claims.
+// The request handling of an entry: its router, a state machine for each
+// request, and its votes on claims.
 class RequestHost {
  public:
   struct Hooks {
-    // The targets as membership sees them.
+    // The targets as the membership directory lists them.
     std::function<std::vector<routing::TargetView>()> targets;
     std::function<const config::Configuration&()> configuration;
   };
@@ -35,7 +35,8 @@
               Hooks hooks);
 
   void Start();
-  // The deployment has never run, so there is no vote to have forgotten.
+  // Called when the deployment starts for the first time: there are no earlier
+  // votes on claims that this process could have lost, so it may vote at once.
   void MarkFirstStart();
   void Open(SendId send);
   // Whether new work may go to the target.
@@ -52,7 +53,7 @@
     attempts::AdmissionToken token;
     TimePoint learned_at;
   };
-  // A choice of a target that waits for its token.
+  // A chosen target whose admission token was requested.
   struct PendingChoice {
     routing::RouteRequest request;
     TargetId target;
@@ -102,7 +103,7 @@
   std::map<TargetId, KnownToken> tokens_;
   std::map<SendId, attempts::RequestMachine> machines_;
   std::map<SendId, PendingChoice> choices_;
-  // Attempts of each open send, for the router.
+  // Attempts of each open send, to be finished in the router.
   std::map<SendId, std::vector<AttemptId>> attempts_;
   bool was_founded_ = false;
 };
--- a/src/libs/scenario/request_host_actions.cc
+++ b/src/libs/scenario/request_host_actions.cc
@@ -1,4 +1,4 @@
-// What a request's machine asks for, and what comes back.
+// The actions of the request machines, and the answers to them.
 
 #include <algorithm>
 #include <utility>
@@ -125,7 +125,8 @@
   });
 }
 
-// The agent doesn't answer: nothing was sent, so another may be tried.
+// The agent did not answer in time. The request was not sent to it, so another
+// target can be tried.
 void RequestHost::OnTokenTimeout(SendId send,
                                  const TargetId& unresponsive,
                                  std::size_t tries) {
--- a/src/libs/scenario/runner.cc
+++ b/src/libs/scenario/runner.cc
@@ -11,10 +11,11 @@
 namespace bilberryspool::scenario {
 namespace {
 
-// How often an expectation with a bound is looked at.
+// How often an expectation with a time limit is checked, in simulated time.
 constexpr Duration kPollInterval = Milliseconds(1);
 
-// An invariant inside of a machine, caught so that the run can be told.
+// Thrown when an invariant of the code under test is violated, so that the run
+// can be reported instead of aborting the process.
 struct BrokenInvariant : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -24,7 +25,7 @@
                         ":" + std::to_string(line) + ")");
 }
 
-// Names that a script gave to nodes.
+// Names that the script has assigned to nodes.
 using Names = std::map<std::string, NodeId>;
 
 class Execution {
@@ -75,7 +76,8 @@
 
 NodeId Execution::ResolveOne(const std::string& name) {
   const std::vector<NodeId> nodes = Resolve(name);
-  world_.verdict().Check(nodes.size() == 1, "\"" + name + "\" names one node");
+  world_.verdict().Check(nodes.size() == 1,
+                         "\"" + name + "\" must name exactly one node");
   return nodes.empty() ? world_.entries().front() : nodes.front();
 }
 
@@ -112,7 +114,7 @@
       from.insert(node);
     }
   }
-  world_.verdict().Check(!from.empty(), "a cut names nodes");
+  world_.verdict().Check(!from.empty(), "a cut must name nodes");
   for (const std::string& name : cut.to) {
     for (const NodeId& to : Resolve(name)) {
       for (const NodeId& node : from) {
@@ -148,8 +150,9 @@
 
 void Execution::Execute(const ResendRequest& resend) {
   const auto request = world_.request_registry().Find(RequestId(resend.id));
-  world_.verdict().Check(request.has_value(),
-                         "request " + resend.id + " was sent before");
+  world_.verdict().Check(
+      request.has_value(),
+      "request " + resend.id + " must have been sent before");
   if (request.has_value()) {
     world_.Send(*request, ResolveOne(resend.entry));
   }
--- a/src/libs/scenario/script.cc
+++ b/src/libs/scenario/script.cc
@@ -5,7 +5,7 @@
 namespace bilberryspool::scenario {
 namespace {
 
-// Quotes hold a # that begins no remark.
+// A # inside of quotes begins no comment.
 std::string_view StripComment(std::string_view line) {
   bool is_quoted = false;
   for (std::size_t i = 0; i < line.size(); ++i) {
--- a/src/libs/scenario/script.h
+++ b/src/libs/scenario/script.h
@@ -1,4 +1,4 @@
-// A scenario file, read.
+// A parsed scenario file.
 
 #ifndef LIBS_SCENARIO_SCRIPT_H_
 #define LIBS_SCENARIO_SCRIPT_H_
@@ -14,7 +14,7 @@
 namespace bilberryspool::scenario {
 
 struct ScriptLine {
-  // From 1.
+  // Line number in the file, from 1.
   std::size_t number = 0;
   std::string text;
   Statement statement;
@@ -30,8 +30,8 @@
   std::string text;
 };
 
-// `name` stands for the file in errors. Remarks begin with #; the first
-// statement, and no other, is the deployment.
+// `name` is the file name in errors. Comments begin with #. The first
+// statement, and only the first, must be the deployment.
 std::variant<Script, ScriptError> ParseScript(const std::string& name,
                                               std::string_view text);
 
--- a/src/libs/scenario/spread_host.cc
+++ b/src/libs/scenario/spread_host.cc
@@ -69,8 +69,8 @@
                  [this](const spread::ReportDivergence& divergence) {
                    verdict_.Check(false, self_.value() + " and " +
                                              divergence.other.value() +
-                                             " hold one version with two "
-                                             "contents");
+                                             " have different contents of "
+                                             "the same version");
                  }},
       action);
 }
--- a/src/libs/scenario/spread_host.h
+++ b/src/libs/scenario/spread_host.h
@@ -10,8 +10,8 @@
 
 namespace bilberryspool::scenario {
 
-// What is in force on one node and how it gets there, joined as in the
-// program.
+// The configuration in force on one node, and the spreader that delivers it,
+// connected as in the program.
 class SpreadHost {
  public:
   using Topology = std::function<spread::TopologyChanged()>;
@@ -24,7 +24,7 @@
 
   void Start() { Run(); }
   void Handle(const spread::SpreaderEvent& event);
-  // The log of this node has committed these states.
+  // The log of this node has committed a change, or restored a whole state.
   void OnStepCommitted(const config::Delta& delta, config::Digest from);
   void OnStateAdopted(const config::Configuration& state);
 
--- a/src/libs/scenario/statement.h
+++ b/src/libs/scenario/statement.h
@@ -13,16 +13,17 @@
 
 namespace bilberryspool::scenario {
 
-// The nodes that take part; always the first statement.
+// The nodes of the scenario; always the first statement.
 struct Deployment {
   std::uint32_t entries = 3;
   std::vector<std::string> domains{"sahab", "marka", "abdali"};
-  // The first so many entries found the control group.
+  // Number of control replicas; the first entries bootstrap the control group.
   std::uint32_t control = 3;
-  // The entries after them that have an empty data folder.
+  // Number of further entries, after the control replicas, that have an empty
+  // data folder and can replace a control replica.
   std::uint32_t spares = 0;
   std::uint32_t agents = 0;
-  // What each target serves.
+  // The services that each target serves.
   std::vector<std::string> services{"drafter"};
 };
 
@@ -35,7 +36,7 @@
   std::size_t offset = 0;
 };
 
-// Gives the present leader another name.
+// Assigns a name to the current leader.
 struct NameLeader {
   std::string name;
 };
@@ -47,7 +48,7 @@
   kLoseDisk,
   kFreeze,
   kThaw,
-  // A target's planned stop.
+  // Begins the planned stop of a target.
   kPlannedStop,
 };
 struct FaultNode {
@@ -63,7 +64,7 @@
 };
 struct Heal {};
 
-// Of all links from now on.
+// Maximum delay of all links from now on.
 struct SetDelay {
   Duration max_delay{};
 };
@@ -85,7 +86,8 @@
   std::string id;
   std::string entry;
 };
-// Requests through all entries in turn, beside the statements that follow.
+// Sends requests through all entries in turn, concurrently with the statements
+// that follow.
 struct Load {
   std::uint32_t per_second = 0;
   Duration duration{};
@@ -96,21 +98,23 @@
 struct Wait {
   Duration duration{};
 };
-// Faults drawn from the seed; at the end all is started, thawed and healed.
+// Random faults, see random_faults.h; at the end all nodes are started and
+// thawed and all links healed.
 struct RandomFaults {
   Duration duration{};
 };
 
-// `version` empty: the latest that any operator was told of.
+// The version or a later one is in force.
 struct InForce {
+  // Empty: the latest version that was reported to an operator.
   std::optional<std::uint64_t> version;
-  // Empty: everywhere.
+  // Empty: on all nodes that run.
   std::string node;
 };
 struct HasLeader {
-  // Empty: any.
+  // Empty: any node.
   std::string node;
-  // Whether exactly one replica takes itself for the leader.
+  // Exactly one replica acts as the leader.
   bool only = false;
   bool none = false;
 };
@@ -126,12 +130,12 @@
 };
 struct Offered {
   std::string target;
-  // By each live entry, or by none.
+  // Whether all running entries route new work to the target, or none does.
   bool offered = true;
 };
 enum class OrderOutcome { kAccepted, kRefused, kUnanswered };
 struct OrderEnded {
-  // Empty: the operator who spoke last.
+  // Empty: the operator of the latest order.
   std::string operator_name;
   OrderOutcome outcome = OrderOutcome::kAccepted;
   std::optional<std::uint64_t> version;
@@ -146,7 +150,7 @@
 
 struct Expect {
   Condition condition;
-  // How long it may take; 0: it holds now.
+  // Maximum time until the condition is met; 0: it must be met now.
   Duration within{};
 };
 
--- a/src/libs/scenario/verdict.h
+++ b/src/libs/scenario/verdict.h
@@ -11,24 +11,24 @@
 
 namespace bilberryspool::scenario {
 
-// What happened in a run: the latest events, and the first thing that must not
-// have happened.
+// Records the latest events of a run, and its first violated check.
 class Verdict {
  public:
   static constexpr std::size_t kKeptEvents = 60;
   using Listener = std::function<void(const std::string& event)>;
 
-  // `listener` hears of every event as it comes; may be empty.
+  // Calls `listener`, if not empty, for each event.
   Verdict(std::function<TimePoint()> clock, Listener listener)
       : clock_(std::move(clock)), listener_(std::move(listener)) {}
 
   void Note(const NodeId& node, const std::string& event);
-  // `what` is what must hold.
+  // Fails the run with the message `what` unless `holds`, if it has not failed
+  // before.
   void Check(bool holds, const std::string& what);
 
   bool failed() const { return !failure_.empty(); }
   const std::string& failure() const { return failure_; }
-  // The latest ones, oldest first.
+  // The latest events, oldest first.
   const std::deque<std::string>& events() const { return events_; }
 
  private:
--- a/src/libs/scenario/world.cc
+++ b/src/libs/scenario/world.cc
@@ -219,7 +219,8 @@
     OrderDone(order, std::nullopt);
     return;
   }
-  // Only carried out where the entry isn't frozen.
+  // Through a timer of the entry, so that a frozen entry handles it only after
+  // it is thawed.
   network_.After(entry, Duration{}, [this, entry, order, command] {
     entries_.at(entry).node->Order(order, command);
   });
@@ -238,7 +239,7 @@
 
 void World::Send(CallerRequest request, const NodeId& entry) {
   if (!network_.alive(entry)) {
-    verdict_.Note(entry, "is down for a caller");
+    verdict_.Note(entry, "is down; the caller's request is not sent");
     return;
   }
   const bool is_frozen = network_.frozen(entry);
--- a/src/libs/scenario/world.h
+++ b/src/libs/scenario/world.h
@@ -1,8 +1,8 @@
-// Entries and agents on a fake network, with all invariants asserted.
+// Entries and agents on a simulated network, with all invariants checked.
 //
-// Each node holds the same pure machines as the program; only links, clocks,
-// disks, engines and callers are fakes. It guards against faults of the joints
-// between the machines, which the tests of each machine alone can't show.
+// Each node runs the same state machines as the program; only links, clocks,
+// disks, engines and callers are simulated. This finds faults in the
+// interaction of the state machines, which their unit tests can't show.
 
 #ifndef LIBS_SCENARIO_WORLD_H_
 #define LIBS_SCENARIO_WORLD_H_
@@ -22,7 +22,8 @@
 
 namespace bilberryspool::scenario {
 
-// What became of an operator's order; none while it is open.
+// The state of an operator's order. The outcome is nullopt while the order is
+// open, and also if it ended without a known outcome.
 struct OrderState {
   std::string operator_name;
   bool ended = false;
@@ -41,12 +42,13 @@
   const RequestRegistry& request_registry() const { return request_registry_; }
   const std::vector<OrderState>& orders() const { return orders_; }
 
-  // Runs until `end`, or until something that must hold doesn't, or `done`.
+  // Runs until `end`, until a check fails or until `done` returns true. Returns
+  // whether `done` was reached; false if a check failed.
   bool RunUntil(TimePoint end, const std::function<bool()>& done);
 
   std::vector<NodeId> entries() const;
   std::vector<NodeId> nodes() const;
-  // Nodes of that name or failure domain.
+  // The nodes with that name or in that failure domain.
   std::vector<NodeId> Resolve(const std::string& name) const;
   bool runs(const NodeId& node) const {
     return network_.alive(node) && !network_.frozen(node);
@@ -58,22 +60,22 @@
   void Freeze(const NodeId& node);
   void BeginPlannedStop(const NodeId& node);
 
-  // The first unused number becomes part of the command's id where the
-  // operator named none.
+  // Submits a change through the entry. If the text names no command id, one is
+  // made of the operator's name and the number of the order.
   void SubmitOrder(const std::string& operator_name,
                    const NodeId& entry,
                    const std::string& text);
   void Send(CallerRequest request, const NodeId& entry);
 
-  // What is only judged once the script is over.
+  // Checks that can only be made at the end of the script.
   void CheckAtEnd() { request_registry_.CheckDeadlines(network_.now()); }
 
-  // The replicas that may act as the leader now.
+  // The replicas that act as the leader now.
   std::vector<NodeId> leaders() const;
   bool IsInForce(const NodeId& node, ConfigVersion version) const;
-  // Whether the entry lets new work go to the target.
+  // Whether the entry routes new work to the target.
   bool Offers(const NodeId& entry, const TargetId& target) const;
-  // Whether a leader counts the node among its voters.
+  // Whether the node is a voter in the leader's membership.
   bool IsVoter(const NodeId& node) const;
 
  private:
--- a/src/tools/scenario/main.cc
+++ b/src/tools/scenario/main.cc
@@ -1,5 +1,6 @@
 // Runs scenario files: bilberryspool-scenario FILE... [--seed=N] [--seeds=A..B]
-// [--trace]. Ends with 1 where one failed, with 2 where one can't be read.
+// [--trace]. Exit status: 1 if a run failed, 2 if a file can't be read or the
+// arguments are wrong.
 
 #include <cstdint>
 #include <cstdlib>
@@ -44,7 +45,7 @@
   return is_valid ? std::optional(range) : std::nullopt;
 }
 
-// The number of failed runs.
+// Runs the script once with each seed. Returns the number of failed runs.
 std::uint64_t RunSeeds(const Script& script, const SeedRange& seeds) {
   Verdict::Listener listener;
   if (FLAGS_trace) {
--- a/tests/auto/scenario/scenarios_test.cc
+++ b/tests/auto/scenario/scenarios_test.cc
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t kSeeds = 5;
 constexpr std::uint64_t kRandomSeeds = 20;
-// Eleven minutes of every node's timers take a second or so.
+// Simulating 11 minutes of every node's timers takes about 1 s.
 constexpr std::uint64_t kLongScenarioSeeds = 1;
 
 std::uint64_t SeedsOf(const std::string& name) {
@@ -62,8 +62,8 @@
   }
 }
 
-// Symptom: a failure can't be looked into, as its seed shows another run.
-// Cause: something in a run comes from elsewhere than the seed.
+// Guards against failures that can't be reproduced because something in a run
+// does not come from the seed.
 TEST_CASE("a run replays event by event") {
   const Script script =
       Read(std::filesystem::path(BILBERRYSPOOL_SCENARIOS) / "random.scenario");
@@ -76,8 +76,8 @@
   CHECK(runs[0] == runs[1]);
 }
 
-// Symptom: a scenario passes whatever happens.
-// Cause: an expectation that can't fail; each kind must be seen to.
+// Guards against an expectation that can't fail: each kind must be able to fail
+// its run.
 TEST_CASE("an expectation that doesn't hold fails its run") {
   const char* expectations[] = {
       "expect no leader within 100ms",
--- a/tests/auto/scenario/script_test.cc
+++ b/tests/auto/scenario/script_test.cc
@@ -7,7 +7,7 @@
 
 struct ErrorCase {
   const char* text;
-  // Where and what; "" where the text is right.
+  // The expected error with its position; "" if the text is valid.
   const char* error;
 };
 
@@ -25,14 +25,14 @@
      "f:2:6: expected a share such as 5%, found \"200%\""},
     {"deployment\ncut a of b\n",
      "f:2:7: expected \",\" or \"from\", found \"of\""},
-    // The operators' grammar finds this one; the column is the line's.
+    // An error of the operators' grammar; the column counts in the whole line.
     {"deployment\noperator A at entry-1: declare service x fast\n",
      "f:2:42: expected \"engine\" or \"plain\", found \"fast\""},
     {"deployment\noperator A at entry-1: show targets\n",
      "f:2:24: expected a change, found \"show targets\""},
 };
 
-TEST_CASE("a script that is wrong is answered with its place") {
+TEST_CASE("a script error has its line and column") {
   for (const ErrorCase& each : kErrorCases) {
     CAPTURE(each.text);
     const auto parsed = ParseScript("f", each.text);
