--- a/src/tools/soak/deployment.cc
+++ b/src/tools/soak/deployment.cc
@@ -7,16 +7,18 @@
 
 namespace {
 
-// Offsets of ports; the same on the address of each control node.
+// Port offsets from the first port, the same for each control node: each has an
+// address of its own.
 constexpr std::uint32_t kOperatorsPort = 10;
 constexpr std::uint32_t kPeersPort = 20;
 constexpr std::uint32_t kControlMetricsPort = 30;
-// Of the first gateway; the others follow.
+// Port offsets of the first gateway; the others use the following ports.
 constexpr std::uint32_t kCallersPort = 40;
 constexpr std::uint32_t kReadinessPort = 50;
 constexpr std::uint32_t kGatewayMetricsPort = 60;
 
-// Control nodes listen on 127.0.0.1 and up, and are known by these.
+// Last octets in 127.0.0.0/8 of the first control node: the address it listens
+// on, and the address of its relay, which it advertises.
 constexpr std::uint32_t kFirstHost = 1;
 constexpr std::uint32_t kFirstKnownHost = 11;
 
@@ -28,7 +30,7 @@
   return '"' + text + '"';
 }
 
-// Lines of a settings file.
+// Builds the text of a settings file.
 class SettingsText {
  public:
   SettingsText& Set(const std::string& key, const std::string& value) {
@@ -180,7 +182,7 @@
 }
 
 void Deployment::WipeControl(std::uint32_t number) {
-  std::error_code ignored;  // A folder that is not there is as good as empty.
+  std::error_code ignored;  // A missing folder is as good as an empty one.
   std::filesystem::remove_all(PathOf("data-" + std::to_string(number)),
                               ignored);
   WriteControl(number, false);
--- a/src/tools/soak/deployment.h
+++ b/src/tools/soak/deployment.h
@@ -1,5 +1,5 @@
-// The processes of a small deployment on loopback: control nodes, each behind
-// a relay that the others reach it by, and gateways.
+// The processes of a small deployment on loopback: gateways, and control nodes
+// that other processes reach through a relay for each of them.
 
 #ifndef TOOLS_SOAK_DEPLOYMENT_H_
 #define TOOLS_SOAK_DEPLOYMENT_H_
@@ -17,9 +17,9 @@
 namespace bilberryspool::soak {
 
 struct DeploymentOptions {
-  std::string binary;  // of the program
+  std::string binary;  // path of the program
   std::string folder;  // for settings, logs and data
-  // The first of a hundred ports that are free on all loopback addresses.
+  // The first of 100 ports that are free on all loopback addresses.
   std::uint16_t first_port = 0;
   std::uint32_t controls = 3;
   std::uint32_t gateways = 2;
@@ -29,12 +29,14 @@
  public:
   Deployment(net::NetworkLoop& loop, DeploymentOptions options);
 
-  // Writes the settings and starts all. Empty, or what went wrong.
+  // Writes the settings and starts all processes. Returns an error message,
+  // empty on success.
   std::string Start();
 
   std::string StartControl(std::uint32_t number);
   std::string StartGateway(std::uint32_t number);
-  // Whose folder was lost starts as a node that joins a running deployment.
+  // Deletes the data folder of a control node that is not running. Its next
+  // start joins the running deployment.
   void WipeControl(std::uint32_t number);
   ProcessTable& processes() { return processes_; }
   blackhole::Relay& relay(std::uint32_t control) { return *relays_[control]; }
--- a/src/tools/soak/fault_plan.cc
+++ b/src/tools/soak/fault_plan.cc
@@ -10,8 +10,8 @@
 
 constexpr Duration kMinGap = Milliseconds(200);
 constexpr Duration kMaxGap = Milliseconds(2200);
-// In some plays faults are rare, so that each promise that holds only without
-// others beside it is put to the test as well.
+// Probability of a run with few faults, which also tests the guarantees that
+// only hold while no other fault is active.
 constexpr double kSparseProbability = 0.4;
 constexpr Duration kMaxSparseGap = Seconds(7);
 constexpr Duration kMinFaultDuration = Milliseconds(300);
@@ -23,7 +23,7 @@
   return left.at < right.end() + margin && right.at < left.end() + margin;
 }
 
-// Whether the strike takes a control node out of those that vote.
+// Whether the fault removes a control node from the voters.
 bool RemovesControlNode(FaultKind kind) {
   return ClassOf(kind) == VictimClass::kControl;
 }
--- a/src/tools/soak/fault_plan.h
+++ b/src/tools/soak/fault_plan.h
@@ -1,4 +1,4 @@
-// Which faults strike when: overlapping series, drawn from a seed.
+// A plan of faults drawn from a seed. Faults may overlap.
 
 #ifndef TOOLS_SOAK_FAULT_PLAN_H_
 #define TOOLS_SOAK_FAULT_PLAN_H_
@@ -13,25 +13,26 @@
 namespace bilberryspool::soak {
 
 enum class FaultKind {
-  kKillControl,     // SIGKILL, back after a moment with its folder
-  kWipeControl,     // the same, and the folder is lost
-  kFreezeControl,   // SIGSTOP, SIGCONT
-  kStopControl,     // SIGTERM, back after a moment
-  kCutControl,      // nobody reaches it, it reaches the others
-  kSilenceControl,  // present connections to it go silent, new ones work
-  kDelayControl,    // all that is sent to it comes late
-  kKillAllControl,  // all of them at one moment; folders are kept
+  kKillControl,     // SIGKILL, later restarted with its data folder
+  kWipeControl,     // the same, with the data folder deleted
+  kFreezeControl,   // SIGSTOP, later SIGCONT
+  kStopControl,     // SIGTERM, later restarted
+  kCutControl,      // unreachable for others, but can reach them
+  kSilenceControl,  // existing connections to it go silent, new ones work
+  kDelayControl,    // everything sent to it is delayed
+  kKillAllControl,  // all at the same time; data folders are kept
   kKillGateway,
   kFreezeGateway,
   kStopGateway,    // planned
   kReloadGateway,  // SIGHUP
-  kCrashTarget,    // resets, refuses and says nothing, then a new start
-  kCutTarget,      // reaches control, callers of it get silence
+  kCrashTarget,    // resets and refuses connections, no announcements, then
+                   // restarts
+  kCutTarget,      // can reach control nodes, connections to it go silent
   kSilenceTarget,
-  kResetTarget,  // connections break off, again and again
+  kResetTarget,  // connections are reset repeatedly
   kDelayTarget,
-  kOneWayTarget,  // hears requests, its answers are lost
-  kDrainTarget,   // planned: leaves, then a new start
+  kOneWayTarget,  // receives requests, its answers are lost
+  kDrainTarget,   // planned: leaves, then restarts
 };
 
 constexpr FaultKind kAllFaultKinds[] = {
@@ -51,15 +52,15 @@
 
 std::string_view NameOf(FaultKind kind);
 VictimClass ClassOf(FaultKind kind);
-// Planned work must cut off nothing.
+// Whether the fault is planned work, which must interrupt no request.
 bool IsPlanned(FaultKind kind);
 
-// One fault: `victim` counts from 0 in its class.
+// One planned fault.
 struct FaultEvent {
   FaultKind kind = FaultKind::kKillControl;
-  std::uint32_t victim = 0;
-  Duration at{};      // since the start of the play
-  Duration length{};  // until it is undone
+  std::uint32_t victim = 0;  // number within its class, from 0
+  Duration at{};             // since the start of the run
+  Duration length{};         // until it is undone
 
   Duration end() const { return at + length; }
   std::string ToText() const;
@@ -71,12 +72,12 @@
   std::uint32_t controls = 3;
   std::uint32_t gateways = 2;
   std::uint32_t targets = 4;
-  // How long a control node counts as lost after it is back.
+  // Time after its restart during which a control node still counts as lost.
   Duration catch_up = Seconds(4);
 };
 
-// Sorted by time. No two faults strike one victim at a time, and one control
-// node at most is lost at a time, but where all are killed at once.
+// Draws a plan, sorted by time. No two faults of the same victim overlap, and
+// at most one control node is lost at a time, unless all are killed at once.
 std::vector<FaultEvent> MakePlan(const FaultPlanOptions& options);
 
 }  // namespace bilberryspool::soak
--- a/src/tools/soak/ledger.cc
+++ b/src/tools/soak/ledger.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Statuses that promise that the request has not run and never will.
+// Statuses that guarantee that the request has not run and never will.
 constexpr std::array kNotRunStatuses = {408, 421, 429, 503};
 
 bool PromisesNotRun(int status) {
@@ -90,7 +90,7 @@
   });
 }
 
-// Each caller gets an end in its time, unless the gateway itself was struck.
+// Each call ends within its timeout, unless its gateway had a fault.
 void Ledger::CheckEnd(const Call& call, Violations& found) const {
   if (!call.ended.has_value()) {
     found.push_back({"each call ends", TextOf(call.sent)});
@@ -158,8 +158,8 @@
   }
 }
 
-// A planned stop breaks off nothing that has reached a target, as long as
-// nothing unplanned strikes meanwhile.
+// A planned stop interrupts no request that has reached a target, unless an
+// unplanned fault overlaps with it.
 void Ledger::CheckPlannedWork(const Call& call, Violations& found) const {
   if (!call.ended.has_value() || call.ended->ending != CallEnding::kBroken ||
       call.runs.empty()) {
@@ -200,7 +200,8 @@
   }
 }
 
-// Holds for every node at all times: who is not sure says so.
+// Holds for every node at all times: a node that can't be sure that its
+// configuration is current answers with an error instead.
 void Ledger::CheckReads(Violations& found) const {
   for (const ConfigurationRead& read : reads_) {
     std::uint64_t least = 0;
--- a/src/tools/soak/ledger.h
+++ b/src/tools/soak/ledger.h
@@ -1,6 +1,8 @@
-// What callers, targets and operators saw, and which promises that breaks.
+// Records what callers, targets and operators observed, and finds violations of
+// the system's guarantees.
 //
-// Pure: it is told what happened and when, and judges at the end.
+// Without I/O or a clock: events are reported with their times and evaluated at
+// the end.
 
 #ifndef TOOLS_SOAK_LEDGER_H_
 #define TOOLS_SOAK_LEDGER_H_
@@ -17,7 +19,7 @@
 
 namespace bilberryspool::soak {
 
-// A caller's one try.
+// One call of a caller.
 struct CallSent {
   std::string id;
   traffic::RequestKind kind = traffic::RequestKind::kNonIdempotent;
@@ -30,26 +32,27 @@
 };
 
 enum class CallEnding {
-  kAnswered,   // a whole answer, whatever its status
+  kAnswered,   // a complete answer with any status
   kNotSent,    // no connection
-  kBroken,     // the connection ended without a whole answer
-  kTimedOut,   // nothing came in all the caller's time and a second more
-  kCancelled,  // the caller left by itself
+  kBroken,     // the connection ended before the answer was complete
+  kTimedOut,   // no complete answer within the caller's timeout and a margin of
+               // 1 s
+  kCancelled,  // the caller cancelled the call
 };
 
 struct CallEnded {
   CallEnding ending = CallEnding::kTimedOut;
   int status = 0;
   bool is_signed = false;
-  // Of a plain answer: whether the body is the one that belongs to the call.
+  // Of a plain answer: whether the body belongs to the call.
   bool is_own_body = true;
-  // Of a stream: the numbers of its events, as they came.
+  // Of a stream: the numbers of its events, in the order received.
   std::vector<std::uint32_t> events;
   bool has_foreign_event = false;
   TimePoint at;
 };
 
-// A target began to run a request.
+// A target started to run a request.
 struct RunSeen {
   std::string id;
   std::string target;
@@ -60,7 +63,7 @@
   TimePoint at;
 };
 
-// What a control node answered to an operator.
+// A configuration version that an operator read from a control node.
 struct ConfigurationRead {
   std::uint64_t version = 0;
   TimePoint asked_at;
@@ -72,15 +75,15 @@
 };
 
 struct LedgerOptions {
-  std::uint32_t events = 20;  // of each stream
+  std::uint32_t events = 20;  // number of events of each stream
   Duration apply_time = Seconds(2);
   Duration drain_time = Seconds(2);
-  // How long a failure of a process may show in what others do.
+  // How long after a fault ended its effects on other processes are excused.
   Duration fault_effect_duration = Seconds(3);
   double retry_ratio = 0.2;
   double retry_slack = 94.0;
   Duration retry_window = Seconds(10);
-  // Share of the calls after the last fault that must be served.
+  // Minimum share of the calls after the recovery that must be served.
   double recovered_share = 0.95;
 };
 
@@ -91,18 +94,19 @@
   void OnSent(CallSent call);
   void OnEnded(const std::string& id, CallEnded ended);
   void OnRun(RunSeen run);
-  // A control node has acknowledged that the target leaves.
+  // A control node has confirmed the announcement that the target leaves.
   void OnLeaving(const std::string& target, TimePoint at);
   void OnConfirmed(std::uint64_t version, TimePoint at);
   void OnRead(const ConfigurationRead& read) { reads_.push_back(read); }
-  // An invalid configuration was accepted, a valid one refused.
+  // A configuration was handled wrongly: an invalid one was accepted, or a
+  // valid one refused, not confirmed in time or not readable.
   void OnConfigurationViolation(std::string what);
-  // A process ended though nobody ended it.
+  // A process exited although no fault ended it, or can't be started again.
   void OnUnexpectedExit(std::string process);
   void OnFault(const FaultEvent& fault_event,
                TimePoint begun,
                TimePoint undone);
-  // From here on everything is expected to work.
+  // From this time on everything is expected to work again.
   void OnRecovered(TimePoint at) { recovered_at_ = at; }
 
   std::vector<Violation> FindViolations() const;
--- a/src/tools/soak/main.cc
+++ b/src/tools/soak/main.cc
@@ -1,6 +1,6 @@
-// A soak of real processes under faults: starts a small deployment on
-// loopback, strikes it by a plan drawn from a seed, and says which promises
-// were broken. Exit status 0: none; 1: some, or it could not be played.
+// Soak test of real processes under faults: starts a small deployment on
+// loopback, injects faults by a plan drawn from a seed, and reports violated
+// guarantees. Exit status 0: none; 1: some, or the run could not be executed.
 
 #include <gflags/gflags.h>
 
@@ -9,15 +9,17 @@
 
 #include "tools/soak/soak_run.h"
 
-DEFINE_uint64(seed, 1, "draws the faults, the callers and the changes");
-DEFINE_uint32(seconds, 30, "length of the series of faults");
-DEFINE_uint32(callers, 12, "callers that send one call after the other");
-DEFINE_string(binary, "", "the program");
+DEFINE_uint64(seed, 1, "seed of the faults, the calls and the changes");
+DEFINE_uint32(seconds, 30, "duration of the fault plan");
+DEFINE_uint32(callers,
+              12,
+              "number of callers that send one call after the other");
+DEFINE_string(binary, "", "path of the program");
 DEFINE_string(folder, "", "an empty folder for settings, logs and data");
 DEFINE_uint32(first_port,
               0,
               "first of 100 ports that are free on 127.0.0.0/24");
-DEFINE_bool(plan_only, false, "print the plan and end");
+DEFINE_bool(plan_only, false, "print the plan and exit");
 
 namespace bilberryspool::soak {
 namespace {
@@ -64,7 +66,7 @@
     }
     std::cout << std::flush;
     run.EndAll();
-    // Fibers of targets and relays wait for good.
+    // Fibers of targets and relays never end.
     std::_Exit(status);
   });
   return status;
--- a/src/tools/soak/operator_work.cc
+++ b/src/tools/soak/operator_work.cc
@@ -56,7 +56,7 @@
   add_route("stream", RequestKind::kStream, "engine");
   add_route("once", RequestKind::kNonIdempotent, "desk");
   add_route("any", RequestKind::kIdempotent, "desk");
-  // One that only this version has.
+  // A route that only this version has.
   add_route("v" + std::to_string(version), RequestKind::kIdempotent, "desk");
   for (const char* service : {"engine", "desk"}) {
     configuration.services[ServiceId(service)].id = ServiceId(service);
--- a/src/tools/soak/operator_work.h
+++ b/src/tools/soak/operator_work.h
@@ -1,5 +1,5 @@
-// Operators: they change the configuration again and again, sometimes wrongly,
-// and read it back anywhere.
+// Simulated operators: they change the configuration repeatedly, sometimes with
+// invalid changes, and read it back from any control node.
 
 #ifndef TOOLS_SOAK_OPERATOR_WORK_H_
 #define TOOLS_SOAK_OPERATOR_WORK_H_
@@ -31,13 +31,14 @@
                OperatorWorkOptions options,
                Ledger& ledger);
 
-  // Returns once the next version is confirmed, or false after `patience`.
+  // Submits the next version until it is confirmed; false after `timeout`, or
+  // if it was refused.
   bool Change(Duration timeout);
-  // Changes, mistakes and reads until Stop().
+  // Submits valid and invalid changes and reads until Stop().
   void Start();
   void Stop() { is_stopping_ = true; }
   bool has_ended() const { return running_ == 0; }
-  // Reads at every node until each has answered; false after `patience`.
+  // Reads from each node until all have answered; false after `timeout`.
   bool ReadAll(Duration timeout);
 
  private:
@@ -45,7 +46,7 @@
   void KeepChanging();
   void KeepReading();
   void TryInvalid();
-  // Whether a version came back.
+  // Whether the node answered with a version.
   bool ReadAt(const net::Endpoint& node);
 
   net::NetworkLoop& loop_;
--- a/src/tools/soak/soak_callers.cc
+++ b/src/tools/soak/soak_callers.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-// A caller waits a second longer than it says before it calls the silence a
-// fault.
+// Time that a caller waits beyond its deadline before it counts a missing
+// answer as a timeout.
 constexpr Duration kTimeoutMargin = Seconds(1);
-// Of the calls, by kind.
+// Probability of the kinds of calls.
 constexpr double kStreamShare = 0.5;
 constexpr double kOnceShare = 0.3;
 
@@ -35,7 +35,8 @@
   return CallEnding::kBroken;
 }
 
-// Takes the numbers of whole events, and notes those of another call.
+// Records the numbers of complete events, and whether one belongs to another
+// call.
 void RecordEvents(std::string_view events,
                   const std::string& id,
                   CallEnded& ended) {
@@ -79,7 +80,8 @@
 
 void SoakCallers::RunCaller(std::uint32_t number) {
   Random random(options_.seed * 1000 + number);
-  // Its own connections, kept as long as the gateway keeps them.
+  // A client for each caller, whose connection is kept as long as the gateway
+  // keeps it.
   net::HttpClientOptions client_options;
   client_options.max_idle_per_endpoint = 1;
   net::HttpClient client(loop_, client_options);
--- a/src/tools/soak/soak_callers.h
+++ b/src/tools/soak/soak_callers.h
@@ -1,5 +1,5 @@
-// Callers that keep their connections open, call by call, and now and then
-// leave early.
+// Simulated callers that send one call after the other on persistent
+// connections and sometimes cancel a call early.
 
 #ifndef TOOLS_SOAK_SOAK_CALLERS_H_
 #define TOOLS_SOAK_SOAK_CALLERS_H_
@@ -26,7 +26,7 @@
   std::string workspace;
   Duration max_pause = Milliseconds(120);
   Duration timeout = Milliseconds(4000);
-  // Share of the calls whose caller leaves before the answer is whole.
+  // Probability that a caller cancels a stream before it is complete.
   double cancel_probability = 0.04;
 };
 
--- a/src/tools/soak/soak_run.cc
+++ b/src/tools/soak/soak_run.cc
@@ -18,13 +18,14 @@
 constexpr char kHost[] = "h.example";
 constexpr char kKey[] = "k1";
 constexpr char kWorkspace[] = "w1";
-// Targets listen on one address, their relays on another.
+// Targets listen on one address, their relays on another. The port is an offset
+// from the first port of the deployment.
 constexpr char kTargetHost[] = "127.0.0.9";
 constexpr char kTargetRelayHost[] = "127.0.0.19";
 constexpr std::uint16_t kTargetPort = 70;
 
 constexpr Duration kStartTimeout = Seconds(30);
-// From the last fault until all has to work again.
+// Time from the last fault until everything must work again.
 constexpr Duration kRecoveryDuration = Seconds(8);
 constexpr Duration kObservationDuration = Seconds(3);
 constexpr Duration kPollInterval = Milliseconds(50);
@@ -97,8 +98,8 @@
   return WaitUntilServing(kStartTimeout) ? "" : "a gateway does not serve";
 }
 
-// All gateways say that they are ready, and have had time to hear of all
-// targets.
+// Waits until all gateways report readiness, and gives them time to learn of
+// all targets.
 bool SoakRun::WaitUntilServing(Duration timeout) {
   const TimePoint limit = SteadyNow() + timeout;
   net::HttpRequest request;
@@ -168,7 +169,8 @@
   return "";
 }
 
-// Faults are never undone later than their time; planned work may end before.
+// Injects a fault and undoes it after its duration, or later if injecting it
+// took longer.
 void SoakRun::Execute(const FaultEvent& fault_event) {
   const TimePoint begun = SteadyNow();
   Begin(fault_event);
@@ -255,7 +257,7 @@
       break;
     case FaultKind::kKillControl:
     case FaultKind::kStopControl:
-      // One that does not stop by itself is ended, as the platform does.
+      // Kill a process that did not stop by itself, as the platform does.
       deployment_.processes().Kill(name);
       Restart(name);
       break;
@@ -268,7 +270,7 @@
       deployment_.processes().Signal(name, SIGCONT);
       break;
     case FaultKind::kCutControl:
-      // What was silent stays silent: only new connections work.
+      // Silenced connections stay silent; only new ones work again.
       relay.set_new_connections(NewConnections::kRelayed);
       break;
     default:
@@ -386,7 +388,7 @@
   expected_down_.erase(name);
 }
 
-// A process that is down without a fault has ended by itself.
+// Reports and restarts processes that exited without a fault.
 void SoakRun::WatchProcesses() {
   std::vector<std::string> names;
   for (std::uint32_t i = 0; i < options_.plan.controls; ++i) {
--- a/src/tools/soak/soak_run.h
+++ b/src/tools/soak/soak_run.h
@@ -1,5 +1,5 @@
-// One soak: a deployment of real processes under a plan of faults, with
-// callers, targets and operators at work, and the verdict on what they saw.
+// One soak run: a deployment of real processes under a plan of faults, with
+// simulated callers, targets and operators whose observations go to a ledger.
 
 #ifndef TOOLS_SOAK_SOAK_RUN_H_
 #define TOOLS_SOAK_SOAK_RUN_H_
@@ -33,13 +33,14 @@
  public:
   SoakRun(net::NetworkLoop& loop, SoakOptions options);
 
-  // Empty, or why it could not be played. Blocks the calling fiber.
+  // Returns an error message if the run could not be executed, empty otherwise.
+  // Blocks the calling fiber.
   std::string Execute();
   const Ledger& ledger() const { return ledger_; }
   const std::vector<FaultEvent>& plan() const { return plan_; }
-  // Ends the processes that it has started.
+  // Kills all processes that this run has started.
   void EndAll() { deployment_.processes().KillAll(); }
-  // Peak memory of the processes, a line each.
+  // Prints the peak memory of each process, one line each.
   void PrintPeakMemory(std::ostream& out) const;
 
  private:
@@ -71,7 +72,7 @@
   std::unique_ptr<SoakCallers> callers_;
   std::unique_ptr<OperatorWork> operators_;
   std::map<std::string, std::uint64_t> peak_memory_kib_;
-  // Processes that are down because a fault says so.
+  // Processes that are down because of a fault.
   std::set<std::string> expected_down_;
   std::uint32_t active_faults_ = 0;
   bool is_over_ = false;
--- a/src/tools/soak/soak_target.cc
+++ b/src/tools/soak/soak_target.cc
@@ -173,7 +173,8 @@
     return;
   }
   for (std::uint32_t event = last + 1; event <= options_.events; ++event) {
-    // Most of an event at once, its end later: a cut may fall between.
+    // Send the end of the event separately, so that a cut can fall within the
+    // event.
     loop_.SleepFor(options_.event_gap / 2);
     const bool has_begun =
         exchange.WritePiece("id: " + std::to_string(event) + "\ndata: " + id);
--- a/src/tools/soak/soak_target.h
+++ b/src/tools/soak/soak_target.h
@@ -1,5 +1,5 @@
-// A target inside the soak: it announces itself, runs requests behind a relay
-// and tells the ledger of each run. It restarts under another name.
+// A target inside the soak process: announces itself, runs requests behind a
+// relay and reports each run to the ledger. After a restart it has a new name.
 
 #ifndef TOOLS_SOAK_SOAK_TARGET_H_
 #define TOOLS_SOAK_SOAK_TARGET_H_
@@ -24,7 +24,7 @@
   ServiceId service;
   bool is_engine = false;  // streams events
   net::Endpoint listen;
-  net::Endpoint advertise;  // of the relay in front
+  net::Endpoint advertise;  // address of its relay
   std::vector<net::Endpoint> control;
   std::uint32_t events = 20;
   Duration event_gap = Milliseconds(25);
@@ -39,21 +39,22 @@
              const traffic::WireDialect& dialect,
              Ledger& ledger);
 
-  // Empty, or what went wrong.
+  // Returns an error message, empty on success.
   std::string Start();
 
   blackhole::Relay& relay() { return relay_; }
-  // Falls dead without a word.
+  // Resets and refuses connections and stops announcing, without notice.
   void Crash();
-  // The next life, under another name.
+  // Starts the next incarnation, under a new name.
   void Restart();
-  // Tells that it leaves, goes on for the drain time once that is confirmed,
-  // and withdraws.
+  // Announces that it leaves, continues to serve for the drain time, and
+  // withdraws.
   void Drain();
 
  private:
   void AnnouncePeriodically();
-  // Whether a control node has taken it.
+  // Sends the call to a control node; whether it was accepted. After a failure
+  // the next call goes to the next node.
   bool SendToControl(const net::HttpRequest& call);
   void Handle(net::HttpExchange& exchange);
   void Run(net::HttpExchange& exchange);
--- a/tests/auto/soak/fault_plan_test.cc
+++ b/tests/auto/soak/fault_plan_test.cc
@@ -18,7 +18,7 @@
   return ClassOf(fault_event.kind) == VictimClass::kControl;
 }
 
-TEST_CASE("a plan loses one control node at a time, and lets it catch up") {
+TEST_CASE("a plan stops one control node at a time and lets it catch up") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
     const FaultPlanOptions options = OptionsOf(seed);
@@ -33,7 +33,7 @@
   }
 }
 
-TEST_CASE("no victim is struck twice at a time, and all ends in the play") {
+TEST_CASE("faults of one victim do not overlap and end within the run") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
     const std::vector<FaultEvent> plan = MakePlan(OptionsOf(seed));
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("the same seed draws the same plan, and all kinds come up") {
+TEST_CASE("a seed always draws the same plan, and all fault kinds are drawn") {
   std::set<FaultKind> kinds;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     const std::vector<FaultEvent> plan = MakePlan(OptionsOf(seed));
--- a/tests/auto/soak/ledger_test.cc
+++ b/tests/auto/soak/ledger_test.cc
@@ -1,5 +1,5 @@
-// Each case tells the ledger of one broken promise, or of what looks like one
-// and is allowed, and reads the verdict.
+// Each case reports one violation to the ledger, or something allowed that
+// looks like one, and checks the violations that it finds.
 
 #include "tools/soak/ledger.h"
 
@@ -76,7 +76,7 @@
 
 using Promises = std::vector<std::string>;
 
-TEST_CASE("a call that is served once breaks nothing") {
+TEST_CASE("a call that is served once is no violation") {
   Ledger ledger(ThreeEvents());
   ledger.OnSent(Call("a", RequestKind::kNonIdempotent, 0));
   ledger.OnRun(Run("a", 5));
@@ -85,7 +85,7 @@
   CHECK(ledger.totals().served == 1);
 }
 
-TEST_CASE("verdicts on single calls") {
+TEST_CASE("violations of single calls") {
   struct Case {
     const char* name;
     RequestKind kind;
@@ -172,7 +172,7 @@
   }
 }
 
-TEST_CASE("what reaches a target is what was sent") {
+TEST_CASE("a request must reach its target unchanged") {
   Ledger ledger(ThreeEvents());
   ledger.OnSent(Call("a", RequestKind::kIdempotent, 0));
   RunSeen changed = Run("a", 5);
@@ -184,7 +184,7 @@
                                    "nothing runs that nobody asked for"});
 }
 
-TEST_CASE("a struck gateway excuses silence, another one doesn't") {
+TEST_CASE("only a fault of the call's own gateway excuses a timeout") {
   for (const std::uint32_t victim : {0U, 1U}) {
     Ledger ledger(ThreeEvents());
     ledger.OnSent(Call("a", RequestKind::kIdempotent, 1000));
@@ -195,7 +195,7 @@
   }
 }
 
-TEST_CASE("planned work cuts nothing that has reached a target") {
+TEST_CASE("planned work must not interrupt a request that reached a target") {
   struct Case {
     FaultKind beside;
     std::uint32_t victim;
@@ -219,10 +219,10 @@
   }
 }
 
-TEST_CASE("a target that left gets no new work") {
+TEST_CASE("a target that left must get no new work") {
   struct Case {
     std::int64_t run_at_ms;
-    bool is_frozen;  // a gateway, meanwhile
+    bool is_frozen;  // a gateway is frozen meanwhile
     bool is_broken;
   };
   const Case cases[] = {
@@ -241,7 +241,7 @@
   }
 }
 
-TEST_CASE("an accepted configuration is read back, or a newer one") {
+TEST_CASE("a read must return the accepted configuration or a newer one") {
   struct Case {
     std::uint64_t read;
     std::int64_t asked_at_ms;
@@ -257,7 +257,7 @@
   }
 }
 
-TEST_CASE("repeats beyond the budget are seen") {
+TEST_CASE("retries beyond the budget are a violation") {
   for (const int repeats : {90, 120}) {
     Ledger ledger(ThreeEvents());
     for (int i = 0; i < repeats; ++i) {
@@ -267,12 +267,12 @@
       ledger.OnRun(Run(id, i + 1));
       ledger.OnEnded(id, Answered(200, i + 2));
     }
-    // Of 120 requests 24 may be repeated, and 94 more.
+    // The budget for 120 requests is 0.2 * 120 + 94 = 118 retries.
     CHECK(Broken(ledger).empty() == (repeats == 90));
   }
 }
 
-TEST_CASE("after the last fault all has to be served") {
+TEST_CASE("after the recovery calls must be served") {
   for (const int refused : {0, 3}) {
     Ledger ledger(ThreeEvents());
     ledger.OnRecovered(At(1000));
@@ -290,7 +290,7 @@
   }
 }
 
-TEST_CASE("a process that ends by itself is a broken promise") {
+TEST_CASE("a process that exits without a fault is a violation") {
   Ledger ledger(ThreeEvents());
   ledger.OnUnexpectedExit("gateway-0");
   CHECK(Broken(ledger) == Promises{"no process ends by itself"});
--- a/tests/processes/soak/process_table.cc
+++ b/tests/processes/soak/process_table.cc
@@ -33,7 +33,7 @@
   std::vector<char*> arguments;
   arguments.reserve(command.size() + 1);
   for (const std::string& word : command) {
-    // The call does not change them.
+    // posix_spawn does not modify the arguments.
     arguments.push_back(const_cast<char*>(word.c_str()));
   }
   arguments.push_back(nullptr);
--- a/tests/processes/soak/process_table.h
+++ b/tests/processes/soak/process_table.h
@@ -1,4 +1,4 @@
-// Processes that this one has started, by name. It ends no others.
+// Child processes by name. Only processes started by this table are killed.
 
 #ifndef TESTS_PROCESSES_SOAK_PROCESS_TABLE_H_
 #define TESTS_PROCESSES_SOAK_PROCESS_TABLE_H_
@@ -19,18 +19,18 @@
   ProcessTable(const ProcessTable&) = delete;
   ProcessTable& operator=(const ProcessTable&) = delete;
 
-  // Starts a program whose output is added to `log`. Empty, or what went
-  // wrong.
+  // Starts a program and appends its output to `log`. Returns an error message,
+  // empty on success.
   std::string Start(const std::string& name,
                     const std::vector<std::string>& command,
                     const std::string& log);
-  // SIGSTOP, SIGCONT, SIGHUP or SIGTERM; nothing where it does not run.
+  // Sends SIGSTOP, SIGCONT, SIGHUP or SIGTERM if the process is running.
   void Signal(const std::string& name, int signal);
-  // SIGKILL; returns once the process has ended.
+  // Sends SIGKILL and waits for the process to exit.
   void Kill(const std::string& name);
   void KillAll();
   bool IsRunning(const std::string& name);
-  // The most memory that the process has used, in KiB; 0 where it is unknown.
+  // Peak resident memory of the process in KiB; 0 if unknown.
   std::uint64_t PeakKib(const std::string& name) const;
 
  private:
--- a/tests/processes/soak/soak_test.sh
+++ b/tests/processes/soak/soak_test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A short soak, and each seed that ever failed (regressions.txt: "SEED SECONDS
-# cause"). By hand, with any seeds: SOAK_SEEDS="5 6 7" SOAK_SECONDS=60.
+# Runs a short soak and each seed that has failed before (regressions.txt: "SEED
+# SECONDS cause"). Other seeds by hand: SOAK_SEEDS="5 6 7" SOAK_SECONDS=60.
 . "$(dirname "$0")/../deployment.sh"
 
 soak() { # SEED SECONDS
@@ -25,5 +25,5 @@
   soak 1 10
   while read -r seed seconds _; do soak "$seed" "$seconds"; done < <(grep -E '^[0-9]' "$(dirname "$0")/regressions.txt")
 fi
-[ -z "${FAILED:-}" ] || fail "promises broken with the seeds$FAILED"
+[ -z "${FAILED:-}" ] || fail "guarantees violated with the seeds$FAILED"
 echo "passed"
