--- a/tests/processes/agent_killed_test.sh
+++ b/tests/processes/agent_killed_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a caller waits for a target that is gone, an order is carried out
-#   twice, or one that ran is said not to have.
-# Sequence: an agent is killed (kill -9) before, while and after it hands a
-#   request over to what it stands in front of, and starts again with an empty
-#   memory; orders are sent again under their ids.
-# Cause: the agent alone knew whether the request was handed over.
+# Guards against a killed agent (kill -9) leaving a caller without an answer,
+# running a non-idempotent request twice, or reporting one that ran as not run.
+# Only the agent knows whether it handed a request to its engine. It is killed
+# before, during and after the hand-over and restarts without memory; the
+# requests are resent under their ids.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -21,7 +20,8 @@
 wait_for_orders 1
 wait_until "entry 1 offers the engine" offers 1 drafter 1
 
-# "OUTCOME RUNS" of an order whose agent died; anything else is a lie or a loop.
+# Checks the outcome of an order whose agent was killed against its runs. All
+# other combinations are a wrong outcome or a repeated run.
 expect_honest() { # WHEN ID ANSWER
   local outcome seen
   outcome="$(echo "$3" | cut -d' ' -f2)"
@@ -32,7 +32,7 @@
   esac
 }
 
-# Idempotent: another target answers.
+# An idempotent request: another target answers.
 curl -sf -m 5 -X POST 127.0.0.1:${P}51/stall > /dev/null
 curl -s -m 45 127.0.0.1:${P}01/v1/completions -o "$RUN/moved.json" -w '%{http_code}' \
   -d '{"model":"drafter","prompt":"p","max_tokens":3}' -H 'Idempotency-Key: move-1' > "$RUN/moved.status" &
@@ -45,7 +45,7 @@
 expect "status of the request that moved" 200 "$(cat "$RUN/moved.status")"
 expect "runs on the other engine" 1 "$(runs 2 move-1)"
 
-# While: handed over, then killed.
+# Killed while the engine runs the order.
 curl -sf -m 5 -X POST 127.0.0.1:${P}53/stall > /dev/null
 dispatch 1 order-while > "$RUN/while.txt" &
 sent=$!
@@ -55,22 +55,23 @@
 expect "the order whose agent was killed" "unknown" "$(cut -d' ' -f2 "$RUN/while.txt")"
 curl -sf -m 5 -X POST 127.0.0.1:${P}53/resume > /dev/null
 
-# Before the entry has heard of it.
+# Killed, and the entry does not know it yet.
 expect_honest "sent to a dead agent" order-dead "$(dispatch 1 order-dead)"
 
 start_agent 3
-# One order may still go to the new agent under a token of the old one.
+# At most one order may be sent to the new agent with a token of the old one; its
+# outcome is unknown.
 recovers() {
   PROBES=$((${PROBES:-0} + 1))
   dispatch 1 "recover-$PROBES" | tee -a "$RUN/recovers.txt" | grep -q '^200 answered'
 }
 wait_until "the restarted agent serves" recovers
 doubts="$(grep -c ' unknown ' "$RUN/recovers.txt")"
-[ "$doubts" -le 1 ] || fail "$doubts orders in doubt after the agent's restart"
+[ "$doubts" -le 1 ] || fail "$doubts orders with an unknown outcome after the agent's restart, at most 1 expected"
 expect_honest "the resend after the agent's restart" order-while "$(dispatch 1 order-while)"
 expect "runs of the order" 1 "$(runs 3 order-while)"
 
-# Before: it lies in the agent's socket when the agent is killed.
+# Killed before it has read the order from its socket.
 freeze agent-3
 dispatch 1 order-before > "$RUN/before.txt" &
 sent=$!
@@ -81,7 +82,7 @@
 expect_honest "the order that was never read" order-before "$(cat "$RUN/before.txt")"
 expect "runs of the order that was never read" 0 "$(runs 3 order-before)"
 
-# After: answered, and the memory of the agent gone.
+# Killed after it has answered, so its record of the order is lost.
 start_agent 3
 wait_for_orders 1
 wait_until "the order is carried out" is_answered 1 order-after
--- a/tests/processes/all_entries_killed_test.sh
+++ b/tests/processes/all_entries_killed_test.sh
@@ -1,11 +1,10 @@
 #!/usr/bin/env bash
-# Symptom: after all entries died at once, an older configuration is served, or
-#   an order that ran before the restart runs again when its caller resends it.
-# Sequence: changes are accepted and an order runs; all entries are killed (kill
-#   -9) and started again on their folders, one first, which has no majority.
-# Cause: state that was answered for before it was synced, a replay of the log
-#   that serves its middle, or holders of claims that forgot their votes and
-#   take the replayed foundation of the group for a deployment that never ran.
+# Guards against the loss of state when all entries are killed at once (kill
+# -9): an older configuration is served, or a non-idempotent request runs again
+# when it is resent. Causes: state acknowledged before it was synced, a version
+# from the middle of the log's replay in force, or holders of claims that lost
+# their votes and take the replayed start of the log for a first start. One
+# entry starts alone first, without a majority.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -22,7 +21,7 @@
 expect "the order" "200 answered" "$(dispatch 1 order-1 | cut -d' ' -f1,2)"
 expect "runs of the order" 1 "$(runs 1 order-1)"
 
-# Whatever is shown from here on is never older than the twentieth change.
+# From here on, no older version than that of the twentieth change may be shown.
 watch_level() {
   while true; do
     for i in 1 2 3; do
--- a/tests/processes/control_replica_killed_test.sh
+++ b/tests/processes/control_replica_killed_test.sh
@@ -1,11 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: an operator whose answer is lost gives the change again, and it takes
-#   effect twice, or not at all, or differently on the replica that was killed.
-# Sequence: the leading control replica is killed (kill -9) while a change is on
-#   its way through another entry; the operator resends it under its command id;
-#   the killed one is started again on its folder.
-# Cause: a change that was accepted but not answered, and a restart of a replica
-#   whose log ends somewhere else than that of the others.
+# Guards against a change that takes effect twice, not at all, or differently on
+# the killed replica, when its answer is lost. The leading control replica is
+# killed (kill -9) while a change is submitted through another entry: the change
+# may be accepted but not answered, and the log of the killed replica may end
+# elsewhere than those of the others. The change is resent with its command id.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -16,7 +14,7 @@
 others="$(echo 1 2 3 | tr -d "$led")"
 read -r other _ <<< "$others"
 
-# Several changes in a row, so that the kill falls into the middle of one.
+# Submit several changes in a row, so that the kill happens during one.
 (
   for k in $(seq 6); do
     ENTRIES="$others" query "declare workspace w$k weight $k" --command_id="ops-$k" > "$RUN/first-$k.txt" 2>&1
--- a/tests/processes/deployment.sh
+++ b/tests/processes/deployment.sh
@@ -1,21 +1,21 @@
-# A small deployment of real processes for a test, to be sourced:
+# Starts a small deployment of real processes. To be sourced by a test:
 #
 #   BIN=build/bin . tests/processes/deployment.sh
 #
 # Three entries (callers ${P}0N, operators ${P}1N, peers ${P}2N), all control
-# replicas, each in a failure domain of its own; agents (${P}3N) with stand-ins
-# (${P}5N); relays (${P}7N, control ${P}8N). P is the first of 195 to 199 that no
-# other test on this machine has taken. Each process is known by name, and
-# ended by its id when the test ends, however it ends. Waits are bounded by a
-# generous limit that only ends a test that hangs; nothing depends on how long
-# a step takes.
+# replicas, each in its own failure domain; agents (${P}3N) with stand-ins for
+# engines (${P}5N); relays (${P}7N, control ${P}8N). P is the first of 195 to
+# 199 that no other test on this machine uses. Processes are started by name and
+# killed by their id when the test exits. The time limits of waits are generous
+# and only end a test that hangs; no result depends on how long a step takes. An
+# "order" in these tests is a non-idempotent request.
 
 set -u
 : "${BIN:?the folder of the binaries}"
 BIN="$(cd "$BIN" && pwd)"
 RUN="$(mktemp -d)"
 for P in 195 196 197 198 199 none; do
-  [ "$P" = none ] && echo "all ranges of ports are taken" && exit 1
+  [ "$P" = none ] && echo "all port ranges are in use" && exit 1
   exec 9> "${TMPDIR:-/tmp}/bilberryspool-ports-$P.lock"
   flock -n 9 && [ -z "$(ss -tlnH "( sport >= :${P}00 and sport <= :${P}99 )")" ] && break
 done
@@ -41,12 +41,12 @@
 }
 trap end_all EXIT
 
-# Waits until a command succeeds.
+# Waits until a command succeeds; fails the test after LIMIT_S seconds (40).
 wait_until() { # WHAT COMMAND...
   local what="$1" end=$((SECONDS + ${LIMIT_S:-40}))
   shift
   until "$@" > /dev/null 2>&1; do
-    [ "$SECONDS" -lt "$end" ] || fail "waited in vain until $what"
+    [ "$SECONDS" -lt "$end" ] || fail "timed out waiting until $what"
     sleep 0.1
   done
 }
@@ -73,7 +73,7 @@
 terminate() { kill -TERM "${PIDS[$1]}"; }
 is_running() { kill -0 "${PIDS[$1]}" 2> /dev/null; }
 has_ended() { ! is_running "$1"; }
-# The exit code of a process that ends by itself.
+# Waits for a process that exits by itself and sets EXIT_CODE.
 exit_code() { # NAME
   wait_until "$1 has ended" has_ended "$1"
   local code=0
@@ -117,11 +117,12 @@
 drain.grace_ms = 40000
 log.file = "$RUN/entry-$n.log"
 T
-  # An entry without initial members joins a group that runs already.
+  # An entry without initial members joins a running group.
   [ -z "$MEMBERS" ] || echo "control.initial_members = [$MEMBERS]" >> "$RUN/entry-$n.toml"
 }
 
-# All other processes reach the entries by relays 1 to 3, once those run.
+# Makes all other processes reach the entries through relays 1 to 3, which must be
+# running.
 use_relays() {
   MEMBERS="" SEEDS=""
   local i
@@ -169,11 +170,11 @@
     --to="127.0.0.1:$2" --control="127.0.0.1:${P}8$1"
   wait_until "relay $1 answers" curl -sf -m 2 "127.0.0.1:${P}8$1/"
 }
-tell_relay() { curl -sf -m 5 -X POST "127.0.0.1:${P}8$1/$2" > /dev/null || fail "relay $1 took no order"; }
+tell_relay() { curl -sf -m 5 -X POST "127.0.0.1:${P}8$1/$2" > /dev/null || fail "relay $1 did not accept the command $2"; }
 
 # --- operators
 
-# Asks the entries named by ENTRIES (digits), all by default.
+# Sends a statement to the entries listed in ENTRIES (digits), all by default.
 query() { # STATEMENT [FLAGS...]
   local statement="$1" addresses="" n
   shift
@@ -186,11 +187,11 @@
   shift
   query "$@"
 }
-shows() { # N STATEMENT TEXT: entry N answers the statement with the text in it
+shows() { # N STATEMENT TEXT: whether entry N's answer to the statement contains the text
   query_at "$1" "$2" 2>&1 | grep -qF -- "$3"
 }
 is_ready() { curl -s -m 2 "127.0.0.1:${P}0$1/healthz" | grep -qx ready; }
-# The entry that leads, or nothing.
+# Prints the number of the leading entry, or nothing.
 leader() {
   local n
   for n in 1 2 3; do
@@ -202,7 +203,7 @@
   done
   return 1
 }
-# How many targets entry N offers to a service.
+# Whether entry N offers COUNT targets for a service.
 offers() { # N SERVICE COUNT
   query_at "$1" "show services" --json |
     python3 -c 'import json, sys
@@ -227,43 +228,44 @@
     -w '%{http_code} %header{bilberryspool-outcome} %header{bilberryspool-reason}'
   echo " $(cat "$out")"
 }
-# Streams a completion of TOKENS tokens; prints all that came.
+# Streams a completion of TOKENS tokens; prints everything received.
 stream() { # N ID TOKENS [CURL_FLAGS...]
   local n="$1" id="$2" tokens="$3"
   shift 3
   curl -sN -m 45 "127.0.0.1:${P}0$n/v1/completions" -H "Idempotency-Key: $id" "$@" \
     -d "{\"model\":\"drafter\",\"prompt\":\"$id\",\"max_tokens\":$tokens,\"stream\":true}"
 }
-# How often the stand-in N ran the request.
+# Prints how often the stand-in N ran the request.
 runs() { # N ID
   curl -s -m 5 "127.0.0.1:${P}5$1/witness/$2" | sed 's/[^0-9]//g'
 }
 has_run() { [ "$(runs "$1" "$2")" = "${3:-1}" ]; }
-# An answer of `stream` in a file is whole: each token once, in order.
+# Checks that a file with an answer of `stream` is complete: each token once, in
+# order.
 expect_whole_stream() { # FILE TOKENS
   python3 -c 'import json, sys
 lines = [l[6:] for l in open(sys.argv[1]).read().split("\n") if l.startswith("data: ")]
 tokens = int(sys.argv[2])
-assert lines[-1:] == ["[DONE]"], "the end is missing"
+assert lines[-1:] == ["[DONE]"], "the final [DONE] is missing"
 positions = [json.loads(l)["position"] for l in lines[:-1]]
 assert positions == list(range(tokens)), positions[-3:]' "$1" "$2" ||
-    fail "the stream in ${1##*/} is not whole"
+    fail "the stream in ${1##*/} is incomplete"
 }
-is_answered() { # N ID: sends the order, again if need be
+is_answered() { # N ID: sends or resends the order; whether it was answered
   case "$(dispatch "$1" "$2")" in "200 answered "*) ;; *) return 1 ;; esac
 }
-# An id that once was in doubt stays so; each probe is an order of its own.
+# A probe uses a new id each time: an id whose outcome is unknown keeps it.
 carries_out_orders() { # N
   PROBES=$((${PROBES:-0} + 1))
   is_answered "$1" "probe-$PROBES"
 }
-# Non-idempotent work needs the roster of the holders of claims at the entries.
+# An entry can only run orders once it has the roster of the claim holders.
 wait_for_orders() { # N...
   local n
   for n in "$@"; do
     wait_until "entry $n carries out orders" carries_out_orders "$n"
   done
 }
-# What operators are shown may be ahead of what callers meet by a moment.
+# Operators may see a target shortly before requests are routed to it.
 is_streamed() { stream "$1" "probe-stream-$SECONDS" 1 | grep -q DONE; }
 wait_for_streams() { wait_until "entry $1 streams" is_streamed "$1"; } # N
--- a/tests/processes/domain_cut_off_test.sh
+++ b/tests/processes/domain_cut_off_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a failure domain that is cut off serves nothing, or accepts changes
-#   that the others never hear of, or comes back with an older configuration.
-# Sequence: the entries of the other two domains fall silent while their
-#   connections stay open (SIGSTOP); later they go on while the third is silent,
-#   and accept a change; then all are heard again.
-# Cause: nobody tells a process that it is cut off.
+# Guards against a failure domain that is cut off: it must still serve, accept
+# no change that the others don't receive, and not return with an older
+# configuration. No process is notified of a cut: connections stay open while
+# the other side is silent (SIGSTOP). First the other two domains are silent,
+# then the third one, while the others accept a change; then all run again.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -25,7 +24,7 @@
 query_at 3 "declare priority cut level 1" --command_id=cut > "$RUN/change.txt" 2>&1 &
 change=$!
 
-# "as of version N, vouched for by the leader S s ago"
+# The age in seconds, from "as of version N, vouched for by the leader S s ago".
 age() { query_at 3 "show version" | sed -n 's/.*vouched for by the leader \([0-9]*\).*/\1/p'; }
 is_stale() { [ "$(age)" -ge 5 ]; }
 version_at() { query_at "$1" "show version" | awk 'NR == 2 { print $1 }'; }
@@ -53,7 +52,8 @@
 wait_until "the majority accepts a change" query_at 1 "declare priority whole level 7" --command_id=whole
 thaw entry-3
 wait_until "entry 3 has the newest" shows 3 "show config" "priority whole level 7"
-# What was in doubt takes effect once, with one outcome, wherever it is asked.
+# The change with the unknown outcome takes effect once; all entries report the
+# same outcome.
 ENTRIES="3 1" query "declare priority cut level 1" --command_id=cut > "$RUN/1.txt" || fail "the resend: $(cat "$RUN/1.txt")"
 ENTRIES="2 1" query "declare priority cut level 1" --command_id=cut > "$RUN/2.txt" || fail "the resend: $(cat "$RUN/2.txt")"
 expect "the outcome of the change in doubt" "$(grep -o 'version [0-9]*' "$RUN/1.txt")" "$(grep -o 'version [0-9]*' "$RUN/2.txt")"
--- a/tests/processes/drain_test.sh
+++ b/tests/processes/drain_test.sh
@@ -1,13 +1,12 @@
 #!/usr/bin/env bash
-# Symptom: a target that is leaving still gets new work, or its leaving cuts a
-#   stream in progress.
-# Sequence: a target with streams in progress is drained by an operator, and
-#   later leaves by SIGTERM while its announcements reach no entry.
-# Cause: entries that go on by what they heard before; a stop that ends with the
-#   signal and not with the work.
+# Guards against a leaving target that gets new work, or whose streams are cut.
+# A target with running streams is drained by an operator, and later gets
+# SIGTERM while its announcements reach no entry. Causes: entries that use their
+# last state of the target, and an agent that exits at the signal instead of
+# after its last request.
 . "$(dirname "$0")/deployment.sh"
 
-# Until then the agent itself has closed its gate; see drain-grace-s.
+# Seconds after which the agent itself refuses new work; see drain-grace-s.
 GRACE_S=4
 
 use_relays
@@ -55,8 +54,8 @@
 expect "exit code of an idle agent" 0 "$EXIT_CODE"
 for i in 1 2 3; do wait_until "entry $i offers one engine" offers "$i" drafter 1; done
 
-# Nobody hears of this leaving: what is sent to the entries' peer addresses is
-# lost. Callers' requests and what the entries send to the agents still pass.
+# No entry learns that the target leaves: the relays drop everything sent to the
+# entries' peer addresses. Requests of callers and of entries to agents pass.
 streams=()
 start_streams signal 400
 start_agent 2
@@ -65,7 +64,7 @@
 terminate agent-1
 sleep "$GRACE_S"
 for i in 1 2 3; do
-  shows "$i" "why target t1" "not offered: leaving" && fail "entry $i has heard of the leaving"
+  shows "$i" "why target t1" "not offered: leaving" && fail "entry $i knows that the target is leaving"
 done
 expect_no_new_work unheard
 wait "${streams[@]}"
--- a/tests/processes/entry_killed_test.sh
+++ b/tests/processes/entry_killed_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: an order is carried out twice, or its caller waits for nothing.
-# Sequence: an entry forwards a non-idempotent request and is killed (kill -9);
-#   the caller sends it again under its Idempotency-Key through another entry,
-#   while it still runs and once it has ended.
-# Cause: whoever knew of the attempt is gone; the second entry has to learn of
-#   it from the holders of the claim and from the agent.
+# Guards against a non-idempotent request that runs twice, or whose caller gets
+# no answer, after its entry was killed (kill -9). The caller resends it with
+# its Idempotency-Key through another entry, while it runs and after it has
+# finished. That entry must learn of the first attempt from the claim holders
+# and the agent.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -15,7 +14,7 @@
 declare_services
 wait_for_orders 1 2
 
-# The service stands still, so that the order is surely running at the kill.
+# The engine is stalled, so that the order is still running at the kill.
 curl -sf -m 5 -X POST 127.0.0.1:${P}51/stall > /dev/null
 dispatch 1 order-1 > "$RUN/first.txt" &
 first=$!
@@ -33,7 +32,7 @@
 answer="$(dispatch 2 order-1)"
 case "$answer" in
   *'{"id":"order-1","runs":1,"echo":"work of order-1"}') ;;
-  *) fail "the answer is not the first one's: $answer" ;;
+  *) fail "the answer is not that of the first run: $answer" ;;
 esac
 expect "the resend with another body" "422" "$(dispatch 3 order-1 -d more | cut -c1-3)"
 expect "runs in the end" 1 "$(runs 1 order-1)"
--- a/tests/processes/entry_stopped_test.sh
+++ b/tests/processes/entry_stopped_test.sh
@@ -1,10 +1,8 @@
 #!/usr/bin/env bash
-# Symptom: a planned stop of an entry cuts answers, or callers are sent to an
-#   entry that no longer takes them.
-# Sequence: an entry with streams in progress and orders arriving gets SIGTERM;
-#   later, another stop is hurried by a second SIGTERM.
-# Cause: a stop that closes the door before the platform's balancer has seen the
-#   health call fail, or that ends before the work does.
+# Guards against a planned stop of an entry (SIGTERM) that cuts answers or
+# refuses callers. Causes: the entry closes its port before the load balancer in
+# front has seen the health check fail, or exits before its requests are done. A
+# second SIGTERM ends the stop early.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -28,7 +26,8 @@
 done
 for k in 1 2 3; do wait_until "stream $k runs" has_run 1 "stream-$k"; done
 
-# Orders go on arriving until the door is closed. "CURL_EXIT STATUS" a line.
+# Sends orders until the entry refuses connections. One line each: "CURL_EXIT
+# STATUS".
 (
   for k in $(seq 1000); do
     code=0
@@ -42,7 +41,7 @@
 terminate entry-1
 wait_until "the health call fails" says 1 draining
 wait "$load" "${streams[@]}"
-# 7: no connection; the balancer has taken the entry out long before.
+# 7: connection refused. By then the load balancer in front no longer uses it.
 expect "how the orders ended" "0 200,7 000" "$(sort -u "$RUN/load.txt" | paste -sd,)"
 for k in 1 2 3; do expect_whole_stream "$RUN/$k.stream" 300; done
 exit_code entry-1
@@ -62,6 +61,6 @@
 exit_code entry-1
 code=0
 wait "$cut" || code=$?
-[ "$code" != 0 ] || fail "the caller was not told that its stream is not whole"
+[ "$code" != 0 ] || fail "the caller got no error for its incomplete stream"
 grep -q DONE "$RUN/cut.stream" && fail "the entry did not end at the second signal"
 expect "exit code after a second signal" 0 "$EXIT_CODE"
--- a/tests/processes/frozen_entry_test.sh
+++ b/tests/processes/frozen_entry_test.sh
@@ -1,15 +1,13 @@
 #!/usr/bin/env bash
-# Symptom: an order runs a second time minutes later, or runs after its caller
-#   was told that it did not.
-# Sequence: an entry reads orders and is frozen (SIGSTOP) before it has the
-#   votes of the holders; a caller gives up and resends its order through another
-#   entry, which carries it out; the frozen entry goes on after the tokens that
-#   it holds have expired.
-# Cause: a process that stood still knows of nothing that happened meanwhile and
-#   sends what it was about to send.
+# Guards against a non-idempotent request that runs again minutes later, or
+# after its caller was told that it did not run. An entry is frozen (SIGSTOP)
+# after it has read requests and before it has the holders' votes; one is resent
+# and run through another entry. The frozen entry continues when its admission
+# tokens have expired, unaware of the stall, and sends what it was about to
+# send.
 . "$(dirname "$0")/deployment.sh"
 
-# An agent's token is good for 15 to 20 s; see attempts::AttemptGate.
+# Longer than an agent's token is valid, 15 to 20 s; see attempts::AttemptGate.
 FROZEN_S=21
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -20,7 +18,7 @@
 declare_services
 wait_for_orders 1 2
 
-has_read() { # COUNT: so many callers' connections at entry 1, all read empty
+has_read() { # COUNT: whether entry 1 has COUNT caller connections with nothing left to read
   [ "$(ss -tnH state established "( sport = :${P}01 )" | awk '$1 == 0' | wc -l)" -ge "$1" ]
 }
 freeze entry-2
@@ -33,7 +31,7 @@
 wait_until "entry 1 has read the orders" has_read 2
 freeze entry-1
 frozen_at=$SECONDS
-# One that it finds in its socket when it goes on.
+# An order that is still in its socket when it is thawed.
 dispatch 1 order-waiting > "$RUN/waiting.txt" &
 sent+=($!)
 thaw entry-2
--- a/tests/processes/member_replaced_test.sh
+++ b/tests/processes/member_replaced_test.sh
@@ -1,11 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: after the repair of a control replica the loss of another one stops
-#   all changes, or the replaced one disturbs the group when it comes back.
-# Sequence: a control replica is killed for good and replaced by a new process
-#   with an empty folder; as soon as that votes, a second one is lost; the
-#   replaced one is started again on its old folder.
-# Cause: a successor that is counted before it has caught up, or an old member
-#   that still believes that it votes.
+# Guards against a replaced control replica weakening the group. A replica is
+# killed and replaced by a new one with an empty folder; when that votes, a
+# second one is lost, and the replaced one restarts with its old folder. Changes
+# stop if the new member counts before it has caught up; the old one disturbs
+# the group if it still considers itself a voter.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -40,7 +38,7 @@
 stream 4 stream-1 5 > "$RUN/1.stream"
 expect_whole_stream "$RUN/1.stream" 5
 
-# The replaced one, on its old folder.
+# Start the replaced replica with its old folder.
 start_entry 3
 for k in 1 2 3; do
   ENTRIES="1 4" query "declare priority urgent level 8$k" --command_id="late-$k" > "$RUN/change.txt" 2>&1 || fail "change late-$k: $(cat "$RUN/change.txt")"
--- a/tests/processes/platform/deployment_on_platform.sh
+++ b/tests/processes/platform/deployment_on_platform.sh
@@ -1,6 +1,6 @@
-# Three control nodes (operators 127.0.0.N:${P}10, metrics 30) and two gateways
-# (callers ${P}4N, readiness 5N, metrics 6N) as on the users' platform, for a
-# test, to be sourced; all of deployment.sh with it.
+# Starts three control nodes (operators 127.0.0.N:${P}10, metrics 30) and two
+# gateways (callers ${P}4N, readiness 5N, metrics 6N) as on the users' platform.
+# To be sourced by a test; includes deployment.sh.
 . "$(dirname "${BASH_SOURCE[0]}")/../deployment.sh"
 
 GATEWAYS="1 2"
--- a/tests/processes/platform/ending_request_test.sh
+++ b/tests/processes/platform/ending_request_test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Guards against a request that ends each target that runs it being sent on and
-# on: callers repeat it at two gateways, through a gateway's restart, and what
-# others ask for meanwhile must be served.
+# Guards against a request that terminates each target running it being retried
+# on more targets: callers repeat it at two gateways, also after a restart of a
+# gateway, and other requests must be served meanwhile.
 . "$(dirname "$0")/deployment_on_platform.sh"
 
 TARGETS="0 1 2 3 4 5"
-supervise() { # N: starts a target again a second after it has ended
+supervise() { # N: restarts a target one second after it exited
   local n="$1" boot=0
   trap 'kill -KILL $(jobs -p) 2> /dev/null; exit 0' TERM
   while :; do
@@ -17,7 +17,7 @@
     sleep 1
   done
 }
-# A supervisor that is killed at once would leave its target behind.
+# Supervisors get SIGTERM first: one that is killed leaves its target running.
 end_supervised() {
   local n
   for n in $TARGETS; do kill -TERM "${PIDS[target-$n]}" 2> /dev/null; done
@@ -54,13 +54,14 @@
   sleep 0.5
 done
 LATER=$(($(ends) - AT_THREE))
-[ "$LATER" -le 3 ] || fail "a request that had ended $AT_THREE targets ended $LATER more"
+[ "$LATER" -le 3 ] || fail "a request that had terminated $AT_THREE targets terminated $LATER more"
 expect "the answer to one that is held back" 400 "$(tail -n 1 "$RUN/answers")"
 
-# Another body on the same path, and the same body of another caller, are others.
+# Another body on the same path, and the same body from another workspace, count
+# as other requests.
 expect "another body" 200 "$(call 1 /again/x other-1 -d "order" -o /dev/null -w '%{http_code}')"
 
-# A quarantine outlives all processes of the system.
+# A quarantine survives the restart of all processes of the system.
 is_saved() { grep -q 'The log holds refused requests. records=1' "$RUN"/control-*.out; }
 wait_until "the quarantine is saved" is_saved
 for i in $GATEWAYS; do kill_hard "gateway-$i"; done
@@ -77,11 +78,11 @@
 for round in 1 2 3; do repeat_request 1; repeat_request 2; done
 expect "targets that ended after the restart of all" "$BEFORE" "$(ends)"
 
-# An operator sees which request it is, and lets it pass: it counts anew.
+# An operator finds the request and releases it: counting starts again.
 CONTENT="$(curl -s "127.0.0.2:${P}30/quarantine" | python3 -c 'import json, sys
 refused = [r for r in json.load(sys.stdin) if r["verdict"] == "refused"]
 print(refused[0]["request"] if len(refused) == 1 else refused)')"
-grep -q "outcome=quarantined.*content=$CONTENT" "$RUN"/gateway-1.out || fail "no line tells of $CONTENT"
+grep -q "outcome=quarantined.*content=$CONTENT" "$RUN"/gateway-1.out || fail "no log line names $CONTENT"
 expect "the release" 200 "$(status -X DELETE "127.0.0.2:${P}30/quarantine/$CONTENT")"
 BEFORE="$(ends)"
 is_sent_again() { repeat_request 1; [ "$(ends)" -gt "$BEFORE" ]; }
--- a/tests/processes/platform/named_limit_test.sh
+++ b/tests/processes/platform/named_limit_test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Guards against a target that names a limit for all callers together getting
-# more: two gateways send, one target of three is limited to one a second.
+# Guards against a target getting more requests than the limit it names for all
+# callers together: two gateways send, and one of three targets names a limit of
+# one request per second.
 . "$(dirname "$0")/deployment_on_platform.sh"
 
 for i in $CONTROLS; do start_control "$i"; done
@@ -31,8 +32,8 @@
 done
 # shellcheck disable=SC2086
 wait $LOADS
-[ "$(wc -l < "$RUN/arrivals")" -gt "$BEGUN" ] || fail "the limited target got nothing, not even its share"
-# From 3 s after it first named its limit on.
+[ "$(wc -l < "$RUN/arrivals")" -gt "$BEGUN" ] || fail "the limited target got no requests, not even within its limit"
+# Counted from 3 s after it first named its limit.
 python3 - "$RUN/arrivals" << 'P' || fail "the limited target got more than its limit: $(tr '\n' ' ' < "$RUN/arrivals")"
 import sys
 at = sorted(int(line) for line in open(sys.argv[1]))
--- a/tests/processes/platform/platform_standin.cc
+++ b/tests/processes/platform/platform_standin.cc
@@ -1,6 +1,6 @@
-// Targets as the users' platform has them, for tests: they announce themselves
-// to control nodes, refuse what was meant for another, sign their answers and
-// stream events that can be resumed. Each counts the runs of each request id.
+// Stand-ins for the targets of the users' platform, for tests: they announce
+// themselves to control nodes, refuse requests for another target, sign their
+// answers and stream resumable events. Each counts the runs by request id.
 
 #include <gflags/gflags.h>
 
@@ -19,15 +19,21 @@
 
 DEFINE_string(listen, "127.0.0.1", "IP number of all targets");
 DEFINE_int32(first_port, 0, "port of the first target; the others follow");
-DEFINE_int32(count, 2, "targets");
-DEFINE_string(service, "model", "their service");
+DEFINE_int32(count, 2, "number of targets");
+DEFINE_string(service, "model", "service of the targets");
 DEFINE_string(control, "", "control nodes, IP:PORT, separated by commas");
 DEFINE_int32(event_ms, 20, "pause between the events of a stream");
-DEFINE_string(boot, "", "what tells the ids of this start from earlier ones");
-DEFINE_string(ends_on, "", "the process ends when it runs a body with this");
-DEFINE_string(limit, "", "requests a second that its answers name as limit");
-DEFINE_string(arrivals, "", "file that gets the time of each request, ms");
-DEFINE_string(record, "", "file that gets a line for each run of such a body");
+DEFINE_string(boot, "", "suffix of the target ids, different for each start");
+DEFINE_string(ends_on,
+              "",
+              "the process exits when it runs a body that contains this");
+DEFINE_string(limit,
+              "",
+              "requests a second that its answers name as the limit");
+DEFINE_string(arrivals, "", "file to append the time of each request to, ms");
+DEFINE_string(record,
+              "",
+              "file to append a line to for each run of such a body");
 
 namespace bilberryspool {
 namespace {
@@ -134,7 +140,7 @@
     Run(exchange);
   }
 
-  // As an engine that crashes a moment after it began to run the request.
+  // Simulates an engine that crashes shortly after it started a request.
   void Crash() {
     constexpr Duration kCrashDelay = Milliseconds(20);
     std::ofstream(FLAGS_record, std::ios::app) << id_ << "\n";
--- a/tests/processes/platform/platform_test.sh
+++ b/tests/processes/platform/platform_test.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# The whole path on the users' platform with real processes: operators number a
-# configuration, targets announce themselves, callers are served by gateways;
-# then a target leaves, the leading control node is killed, a control node loses
-# its folder, and a gateway is stopped while it streams.
+# Tests the whole request path on the users' platform with real processes:
+# operators submit numbered configurations, targets announce themselves,
+# gateways serve callers. Then a target leaves, the leading control node is
+# killed, a control node loses its folder, and a gateway is stopped during a
+# stream.
 . "$(dirname "$0")/deployment_on_platform.sh"
 
 for i in $CONTROLS; do start_control "$i"; done
@@ -25,11 +26,9 @@
 expect "a route that does not exist" 404 "$(call 1 /none/x n -o /dev/null -w '%{http_code}')"
 expect "a key that nobody holds" 401 "$(KEY=other call 1 /a/x n -o /dev/null -w '%{http_code}')"
 
-# Symptom: targets that announce themselves get no work, though an operator finds
-#   all control nodes well.
-# Sequence: there are more control nodes than voters; targets choose one that has
-#   no vote.
-# Cause: gateways asked the log's members alone.
+# Guards against targets getting no work although all control nodes are healthy:
+# with more control nodes than voters, a target may announce itself to one without
+# a vote. Gateways that only ask members of the log do not learn of it.
 sed -i 's/first_start = true/first_start = false/' "$RUN/control-4.toml"
 start_control 4
 start standin-extra "$BIN/platform_standin" --listen=127.0.0.9 --first_port="${P}80" --count=1 \
@@ -38,12 +37,12 @@
 expect "a change at a node without a vote" 200 "$(put_config 4 4 a)"
 wait_until "it reads back there" holds_version 4 4
 
-# A target leaves: what is sent later goes to the other one.
+# A target leaves: later requests go to the other one.
 curl -s -m 5 -X POST "127.0.0.9:${P}70/drain" > /dev/null
 gone_from() { ! (for k in 1 2 3 4 5 6; do call "$1" /a/x "d-$k-$SECONDS"; echo; done | grep -q '^i-0'); }
 for i in $GATEWAYS; do wait_until "gateway $i sends to the other target only" gone_from "$i"; done
 
-# The leading control node is killed: callers notice nothing, operators go on.
+# The leading control node is killed: calls are served, changes are accepted.
 wait_until "a leader is found" find_leader
 OLD="$LEADER"
 kill_hard "control-$OLD"
@@ -53,7 +52,7 @@
 for i in $GATEWAYS; do wait_until "gateway $i has the change" is_route "$i" b; done
 expect "the dropped route" 404 "$(call 1 /a/x n -o /dev/null -w '%{http_code}')"
 
-# It comes back with an empty folder and takes its own place again.
+# It restarts with an empty folder and resumes its own place as a member.
 rm -rf "$RUN/data-$OLD"
 sed -i 's/first_start = true/first_start = false/' "$RUN/control-$OLD.toml"
 start_control "$OLD"
@@ -66,7 +65,7 @@
 kill_hard "control-$LAST"
 wait_until "a change is accepted with the new folder and one other" is_accepted "$OTHER" 7 c
 
-# A planned stop of a gateway cuts nothing.
+# A planned stop of a gateway interrupts no stream.
 wait_until "gateway 2 has the change" is_route 2 c
 call 2 /stream/x stream-1 > "$RUN/stream" &
 STREAM=$!
@@ -77,5 +76,5 @@
 expect "the events of the stream" "20" "$(grep -c '^id: ' "$RUN/stream")"
 exit_code gateway-2
 expect "the exit code" 0 "$EXIT_CODE"
-grep -q 'id=order-1 outcome=served' "$RUN"/gateway-2.out || fail "no line tells of order-1"
+grep -q 'id=order-1 outcome=served' "$RUN"/gateway-2.out || fail "no log line of order-1"
 echo "passed"
--- a/tests/processes/ready_entry_test.sh
+++ b/tests/processes/ready_entry_test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Guards against an entry that says ready and refuses the orders that come at
-#   once, since it knows no target, no roster of holders or no holder that votes.
+# Guards against an entry that reports readiness and refuses the first
+# non-idempotent requests, since it knows no target, no roster of claim holders
+# or no holder that can vote.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
@@ -9,7 +10,7 @@
 start_standin 1
 start_standin 2
 
-# Sends an order as soon as the entry says ready; prints "STATUS OUTCOME".
+# Sends an order as soon as the entry is ready; prints "STATUS OUTCOME".
 first_order() { # N ID
   local end=$((SECONDS + 60))
   until is_ready "$1"; do
@@ -28,7 +29,8 @@
     expect "runs of the first order of entry $n ($row)" 1 "$(runs 2 "order-$row-$n")"
   done
 }
-# A deployment that has never run: agents would tell of the one before.
+# Each new deployment gets new agents: those of the previous one would report it
+# to the entries.
 start_agents() {
   start_agent 1
   start_agent 2
@@ -43,7 +45,7 @@
   start_agents
   for n in $order; do
     start_entry "$n"
-    sleep 0.2 # one after the other
+    sleep 0.2 # start the entries one after the other
   done
   declare_services &
   expect_first_orders "${order// /}" 1 2 3
@@ -51,13 +53,13 @@
   end_deployment
 done
 
-# A planned stop keeps the votes of a holder, a kill does not.
+# A holder keeps its votes over a planned stop, but not over a kill.
 stop_planned() { # N
   terminate "entry-$1"
   exit_code "entry-$1"
 }
 
-# An entry starts again, with all others there and with a failure domain gone.
+# An entry restarts while all others run, and with one failure domain down.
 start_agents
 start_entries 1 2 3
 declare_services
@@ -70,11 +72,11 @@
 start_entry 3
 expect_first_orders without-1 3
 
-# Too few holders vote: it serves what it can, and refuses an order at once.
+# Too few holders can vote: the entry serves streams and refuses orders at once.
 kill_hard entry-3
 start_entry 3
 wait_until "entry 3 is ready without votes" is_ready 3
 wait_for_streams 3
 began=$SECONDS
 expect "an order without votes" "503 not-run" "$(first_order 3 order-without-votes)"
-[ $((SECONDS - began)) -lt 10 ] || fail "an order without votes was held back"
+[ $((SECONDS - began)) -lt 10 ] || fail "an order without votes was not refused at once"
--- a/tests/processes/refused_resend_test.sh
+++ b/tests/processes/refused_resend_test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a caller is told that its order did not run, gives it anew under
-#   another id, and it runs twice.
-# Sequence: an order is carried out; its answer is lost; an operator's change or
-#   a limit makes the entry refuse the resend before it asks the holders.
-# Cause: a refusal of this send taken for a proof about the order.
+# Guards against a caller that is told that a request did not run although an
+# earlier send of it did, and then submits it under a new id. A request runs and
+# its answer is lost; a configuration change or a limit makes the entry refuse
+# the resend before it asks the claim holders. Such a refusal is no proof about
+# earlier sends.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
--- a/tests/processes/silent_connections_test.sh
+++ b/tests/processes/silent_connections_test.sh
@@ -1,11 +1,10 @@
 #!/usr/bin/env bash
-# Symptom: a caller hears nothing until its deadline, and so do later ones, while
-#   everything looks connected.
-# Sequence: with a stream and an order in progress the connections between entry
-#   and agents go silent for good, then those between the entries and from the
-#   agents to them; new ones work. Several times over.
-# Cause: something between the two ends has lost track of the connections: what
-#   is written is taken, nothing arrives, and neither end hears of a close.
+# Guards against connections that go silent: writes succeed, nothing arrives,
+# and neither end sees a close, as when a device between them has lost its
+# state. Callers must not wait until their deadlines. While a stream and a
+# non-idempotent request run, the connections between entry and agents go
+# silent, then those between entries and from agents to entries; new ones work.
+# Repeated.
 . "$(dirname "$0")/deployment.sh"
 
 use_relays
@@ -56,7 +55,7 @@
   query "declare priority urgent level $round" > "$RUN/change.txt" || fail "a change is not accepted: $(cat "$RUN/change.txt")"
 done
 
-# A leak of one a stream and round would be 24.
+# A leak of one descriptor for each stream in each round would be 24.
 is_bounded() { [ "$(count_descriptors "$1")" -le "$(($(cat "$RUN/$1.descriptors") + 16))" ]; }
 for name in $PROCESSES; do
   echo "$name: $(cat "$RUN/$name.descriptors") descriptors before, $(count_descriptors "$name") after"
--- a/tests/processes/wrong_key_test.sh
+++ b/tests/processes/wrong_key_test.sh
@@ -1,9 +1,7 @@
 #!/usr/bin/env bash
-# Symptom: a process of another deployment, or one without the key, is believed:
-#   its targets get callers' work, or it takes part in the control group.
-# Sequence: an agent with another key, an agent and an entry of another
-#   deployment's name are pointed at the entries.
-# Cause: a copied settings file; addresses that were given to other VMs.
+# Guards against processes with another link key or of another deployment (a
+# copied settings file, reassigned addresses) being trusted: their targets must
+# get no work, and they must not join the control group.
 . "$(dirname "$0")/deployment.sh"
 
 echo "another key, as long as the first" > "$RUN/other.key"
@@ -36,6 +34,6 @@
 expect "targets that entry 1 knows" 1 "$(query_at 1 "show targets" | grep -c '^t[0-9]')"
 is_ready 4 && fail "the entry of the other deployment serves"
 expect "services at the entry of the other deployment" 0 "$(query_at 4 "show config" 2> /dev/null | grep -c drafter)"
-# Nor does an agent take work from whoever connects.
+# An agent accepts no work from clients without the key.
 status="$(curl -s -m 5 -o /dev/null -w '%{http_code}' "127.0.0.1:${P}31/v1/completions" -H 'Bilberryspool-Start: {}' -d '{}')"
 expect "status of an attempt without the key" 401 "$status"
--- a/tests/scripts/lateness_test.sh
+++ b/tests/scripts/lateness_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# scripts/lateness on lines of each outcome, and on a file without any.
+# Tests scripts/lateness on log lines of each outcome, and on a file without any.
 set -eu
 lateness="$1"
 folder="$(mktemp -d)"
@@ -21,7 +21,7 @@
 "$lateness" --objective 1000 --pause 150 "$folder/gateway.log" | grep -q 'in_time=2'
 echo "nothing here" > "$folder/other.log"
 if "$lateness" "$folder/other.log" 2> "$folder/error"; then
-  echo "a file without request lines must be told of"
+  echo "a file without request lines must be reported as an error"
   exit 1
 fi
 grep -q 'no request lines' "$folder/error"
