--- a/src/libs/scenario/agent_node.h
+++ b/src/libs/scenario/agent_node.h
@@ -8,7 +8,7 @@
 
 #include "libs/attempts/attempt_gate.h"
 #include "libs/membership/announcer.h"
-#include "libs/scenario/request_book.h"
+#include "libs/scenario/request_registry.h"
 #include "libs/scenario/spread_host.h"
 
 namespace bilberryspool::scenario {
--- a/src/libs/scenario/request_host.h
+++ b/src/libs/scenario/request_host.h
@@ -13,7 +13,7 @@
 #include "libs/config/configuration.h"
 #include "libs/routing/router.h"
 #include "libs/scenario/fake_network.h"
-#include "libs/scenario/request_book.h"
+#include "libs/scenario/request_registry.h"
 
 namespace bilberryspool::scenario {
 
--- a/src/libs/scenario/request_book.cc
+++ b/src/libs/scenario/request_registry.cc
@@ -1,4 +1,4 @@
-#include "libs/scenario/request_book.h"
+#include "libs/scenario/request_registry.h"
 
 #include <algorithm>
 
--- a/src/libs/scenario/request_book.h
+++ b/src/libs/scenario/request_registry.h
@@ -1,5 +1,5 @@
-#ifndef LIBS_SCENARIO_REQUEST_BOOK_H_
-#define LIBS_SCENARIO_REQUEST_BOOK_H_
+#ifndef LIBS_SCENARIO_REQUEST_REGISTRY_H_
+#define LIBS_SCENARIO_REQUEST_REGISTRY_H_
 
 #include <map>
 #include <optional>
@@ -86,4 +86,4 @@
 
 }  // namespace bilberryspool::scenario
 
-#endif  // LIBS_SCENARIO_REQUEST_BOOK_H_
+#endif  // LIBS_SCENARIO_REQUEST_REGISTRY_H_
