--- a/tests/processes/all_entries_killed_test.sh
+++ b/tests/processes/all_entries_killed_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Guards against the loss of state when all entries are killed at once (kill
-# -9): an older configuration is served, or a non-idempotent request runs again
-# when it is resent. Causes: state acknowledged before it was synced, a version
-# from the middle of the log's replay in force, or holders of claims that lost
-# their votes and take the replayed start of the log for a first start. One
-# entry starts alone first, without a majority.
+# Guards against losing state when all entries are killed at once (kill -9): an
+# older configuration is served, or a resent non-idempotent request runs again.
+# Causes: state acknowledged before it was synced, a version from the middle of
+# the log's replay, or claim holders that lost their votes and take the replayed
+# log for a first start. One entry starts alone first, without a majority.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
--- a/tests/processes/entry_killed_test.sh
+++ b/tests/processes/entry_killed_test.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# Guards against a non-idempotent request that runs twice, or whose caller gets
-# no answer, after its entry was killed (kill -9). The caller resends it with
-# its Idempotency-Key through another entry, while it runs and after it has
-# finished. That entry must learn of the first attempt from the claim holders
-# and the agent.
+# Guards against a non-idempotent request that runs twice, or whose caller gets no
+# answer, after its entry was killed (kill -9). The caller resends it with its
+# Idempotency-Key through another entry, while it runs and after it has finished;
+# that entry must learn of the first attempt from the claim holders and the agent.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
--- a/tests/processes/frozen_entry_test.sh
+++ b/tests/processes/frozen_entry_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Guards against a non-idempotent request that runs again minutes later, or
-# after its caller was told that it did not run. An entry is frozen (SIGSTOP)
-# after it has read requests and before it has the holders' votes; one is resent
-# and run through another entry. The frozen entry continues when its admission
-# tokens have expired, unaware of the stall, and sends what it was about to
-# send.
+# Guards against a non-idempotent request that runs again minutes later, or after
+# its caller was told that it did not run. An entry is frozen (SIGSTOP) after it
+# has read requests and before it has the holders' votes; one of them runs through
+# another entry. When thawed, with its admission tokens expired, the entry is
+# unaware of the stall and sends what it was about to send.
 . "$(dirname "$0")/deployment.sh"
 
 # Longer than an agent's token is valid, 15 to 20 s; see attempts::AttemptGate.
--- a/tests/processes/member_replaced_test.sh
+++ b/tests/processes/member_replaced_test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # Guards against a replaced control replica weakening the group. A replica is
-# killed and replaced by a new one with an empty folder; when that votes, a
-# second one is lost, and the replaced one restarts with its old folder. Changes
-# stop if the new member counts before it has caught up; the old one disturbs
-# the group if it still considers itself a voter.
+# killed and replaced by a new one with an empty folder; once that votes, a second
+# one is lost, and the replaced one restarts with its old folder. Changes stop if
+# the new member counts before it has caught up; the old one disturbs the group if
+# it still considers itself a voter.
 . "$(dirname "$0")/deployment.sh"
 
 for i in 1 2 3; do write_entry "$i"; done
--- a/tests/processes/platform/platform_standin.cc
+++ b/tests/processes/platform/platform_standin.cc
@@ -19,7 +19,7 @@
 
 DEFINE_string(listen, "127.0.0.1", "IP number of all targets");
 DEFINE_int32(first_port, 0, "port of the first target; the others follow");
-DEFINE_int32(count, 2, "number of targets");
+DEFINE_int32(count, 2, "targets");
 DEFINE_string(service, "model", "service of the targets");
 DEFINE_string(control, "", "control nodes, IP:PORT, separated by commas");
 DEFINE_int32(event_ms, 20, "pause between the events of a stream");
--- a/tests/processes/refused_resend_test.sh
+++ b/tests/processes/refused_resend_test.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Guards against a caller that is told that a request did not run although an
-# earlier send of it did, and then submits it under a new id. A request runs and
-# its answer is lost; a configuration change or a limit makes the entry refuse
-# the resend before it asks the claim holders. Such a refusal is no proof about
+# earlier send of it did, and then submits it under a new id. The answer of the
+# first send is lost; a configuration change or a limit makes the entry refuse the
+# resend before it asks the claim holders. Such a refusal is no proof about
 # earlier sends.
 . "$(dirname "$0")/deployment.sh"
 
--- a/tests/processes/silent_connections_test.sh
+++ b/tests/processes/silent_connections_test.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Guards against connections that go silent: writes succeed, nothing arrives,
-# and neither end sees a close, as when a device between them has lost its
-# state. Callers must not wait until their deadlines. While a stream and a
-# non-idempotent request run, the connections between entry and agents go
-# silent, then those between entries and from agents to entries; new ones work.
-# Repeated.
+# Guards against callers that wait until their deadlines because connections have
+# gone silent: writes succeed, nothing arrives, neither end sees a close. While a
+# stream and a non-idempotent request run, this happens between entry and agents,
+# then between entries and from agents to entries; new connections work. Repeated
+# several times. A device between the two ends that lost its state causes it.
 . "$(dirname "$0")/deployment.sh"
 
 use_relays
