--- a/src/libs/scenario/agent_node.h
+++ b/src/libs/scenario/agent_node.h
@@ -8,12 +8,12 @@
 
 #include "libs/attempts/attempt_gate.h"
 #include "libs/membership/announcer.h"
-#include "libs/scenario/request_book.h"
+#include "libs/scenario/request_registry.h"
 #include "libs/scenario/spread_host.h"
 
 namespace bilberryspool::scenario {
 
-// One process of an agent, before an engine that remembers what it ran.
+// One process of an agent, with a fake engine whose runs are recorded.
 class AgentNode {
  public:
   struct Settings {
@@ -27,13 +27,13 @@
   AgentNode(FakeNetwork& network,
             Verdict& verdict,
             ConfigChecks& checks,
-            RequestBook& book,
+            RequestRegistry& request_registry,
             Settings settings);
 
   void Start();
   void Receive(const NodeId& from, const Frame& frame);
-  // A planned stop begins.
-  void Leave();
+  // Starts a planned stop: admits no new work and announces that it leaves.
+  void BeginPlannedStop();
 
   const config::Configuration& configuration() const {
     return spread_.configuration();
@@ -42,7 +42,7 @@
  private:
   struct Job {
     attempts::StartAttempt start;
-    // Who hears of it, from which offset on.
+    // Where the answer is streamed to, and from which byte offset on.
     SendId send;
     NodeId entry;
     std::uint64_t offset = 0;
@@ -74,7 +74,7 @@
 
   FakeNetwork& network_;
   Verdict& verdict_;
-  RequestBook& book_;
+  RequestRegistry& request_registry_;
   Settings settings_;
   TargetId target_;
   membership::Announcer announcer_;
--- a/src/libs/scenario/config_checks.h
+++ b/src/libs/scenario/config_checks.h
@@ -17,37 +17,40 @@
 
 namespace bilberryspool::scenario {
 
-// What must always hold of the accepted configuration, whatever happens:
+// Checks the invariants of the accepted configuration:
 // - a log index holds one entry, on every replica;
 // - a new leader has every entry that was committed before;
 // - one replica at a time acts as the leader;
-// - a command has one outcome, also when it is sent again;
+// - a command has one outcome, even when it is resent;
 // - a version has one content, on every node;
-// - what is in force on a node never goes back while the node runs.
+// - the version in force on a node never decreases while its process runs.
 class ConfigChecks {
  public:
   explicit ConfigChecks(Verdict& verdict) : verdict_(verdict) {}
 
-  void Committed(const NodeId& node, const consensus::LogEntry& entry);
-  void BecameLeader(const NodeId& node, LogIndex last_index);
-  // `leaders` act at the same moment.
-  void Leading(std::size_t leaders);
-  // An operator was told this of its order.
-  void Told(const config::Command& command, const config::Outcome& outcome);
-  void InForce(const NodeId& node,
-               Incarnation incarnation,
-               const config::Configuration& configuration);
-
-  // The highest version that an operator was told of; 0 before the first.
-  ConfigVersion latest_told() const { return latest_told_; }
+  void OnCommitted(const NodeId& node, const consensus::LogEntry& entry);
+  void OnBecameLeader(const NodeId& node, LogIndex last_index);
+  // `leaders` is the number of replicas that act as the leader now.
+  void OnLeaderCount(std::size_t leaders);
+  // An operator received this outcome of its command.
+  void OnOrderAnswered(const config::Command& command,
+                       const config::Outcome& outcome);
+  void OnInForce(const NodeId& node,
+                 Incarnation incarnation,
+                 const config::Configuration& configuration);
+
+  // The highest version that was reported to an operator; 0 before the first.
+  ConfigVersion latest_reported_version() const {
+    return latest_reported_version_;
+  }
 
  private:
   Verdict& verdict_;
   std::map<LogIndex, consensus::LogEntry> committed_;
-  std::vector<std::pair<config::Command, config::Outcome>> told_;
+  std::vector<std::pair<config::Command, config::Outcome>> reported_outcomes_;
   std::map<ConfigVersion, config::Digest> contents_;
   std::map<std::pair<NodeId, Incarnation>, ConfigVersion> in_force_;
-  ConfigVersion latest_told_;
+  ConfigVersion latest_reported_version_;
 };
 
 }  // namespace bilberryspool::scenario
--- a/src/libs/scenario/fake_network.h
+++ b/src/libs/scenario/fake_network.h
@@ -1,5 +1,6 @@
-// The clock of a run, the nodes' timers, and links that lose, double, delay
-// and cut. Everything random comes from the seed, so a run replays exactly.
+// The simulated clock of a run, the nodes' timers, and links that can lose,
+// duplicate and delay frames or be cut. All randomness comes from the seed, so
+// a run can be reproduced exactly.
 
 #ifndef LIBS_SCENARIO_FAKE_NETWORK_H_
 #define LIBS_SCENARIO_FAKE_NETWORK_H_
@@ -19,8 +20,8 @@
 namespace bilberryspool::scenario {
 
 struct LinkConditions {
-  Duration shortest_delay = Microseconds(200);
-  Duration longest_delay = Milliseconds(3);
+  Duration min_delay = Microseconds(200);
+  Duration max_delay = Milliseconds(3);
   double loss = 0;
   double duplication = 0;
 };
@@ -29,7 +30,7 @@
  public:
   using Deliver = std::function<
       void(const NodeId& from, const NodeId& to, const Frame& frame)>;
-  using Act = std::function<void()>;
+  using Task = std::function<void()>;
 
   FakeNetwork(std::uint64_t seed, Deliver deliver)
       : random_(seed), deliver_(std::move(deliver)) {}
@@ -39,47 +40,49 @@
   LinkConditions& conditions() { return conditions_; }
 
   void Send(const NodeId& from, const NodeId& to, const Frame& frame);
-  // A timer of a node; it dies with the process and waits while it is frozen.
-  void After(const NodeId& node, Duration delay, Act act);
-  // Something outside of all nodes.
-  void At(Duration delay, Act act);
-  // Runs the next thing that is due by `end`. False where there is none; then
-  // it is `end`.
+  // Runs the task on a node after the delay. Dropped if the node's process ends
+  // before, deferred while it is frozen.
+  void After(const NodeId& node, Duration delay, Task task);
+  // Runs a task that belongs to no node after the delay.
+  void At(Duration delay, Task task);
+  // Runs the next task that is due by `end`. If there is none, advances the
+  // clock to `end` and returns false.
   bool Step(TimePoint end);
 
-  // One direction.
+  // Drops all frames of one direction, also those in flight.
   void Cut(const NodeId& from, const NodeId& to) { cuts_.insert({from, to}); }
   void Heal() { cuts_.clear(); }
 
   void Start(const NodeId& node);
   void Kill(const NodeId& node);
-  // While frozen a node does nothing and its clock goes on; what arrives waits.
+  // A frozen node runs nothing while the clock advances. Its timers and
+  // received frames are deferred until it is thawed.
   void Freeze(const NodeId& node);
   void Thaw(const NodeId& node);
   bool alive(const NodeId& node) const { return State(node).alive; }
   bool frozen(const NodeId& node) const { return State(node).frozen; }
   // Counts the starts of the node's process.
   Incarnation incarnation(const NodeId& node) const {
-    return Incarnation(State(node).life);
+    return Incarnation(State(node).process_generation);
   }
 
  private:
   struct NodeState {
     bool alive = false;
     bool frozen = false;
-    std::uint64_t life = 0;
-    std::vector<Act> waiting;
+    std::uint64_t process_generation = 0;
+    std::vector<Task> deferred_tasks;
   };
 
   NodeState State(const NodeId& node) const;
-  void Arrive(const NodeId& node, const Act& act);
+  void RunOrDefer(const NodeId& node, const Task& task);
 
   Random random_;
   Deliver deliver_;
   LinkConditions conditions_;
   TimePoint now_;
   std::uint64_t sequence_ = 0;
-  std::map<std::pair<TimePoint, std::uint64_t>, Act> queue_;
+  std::map<std::pair<TimePoint, std::uint64_t>, Task> queue_;
   std::map<NodeId, NodeState> nodes_;
   std::set<std::pair<NodeId, NodeId>> cuts_;
 };
--- a/src/libs/scenario/grammar.cc
+++ b/src/libs/scenario/grammar.cc
@@ -18,8 +18,8 @@
 using language::internal::Token;
 using language::internal::Word;
 
-// Semantic actions, as in the operators' grammar: the attribute of the part
-// just read goes into the value of the rule that it stands in.
+// Semantic actions, as in the operators' grammar: each stores the attribute of
+// the parsed part in the value of the enclosing rule.
 
 template <auto Member>
 struct Set {
@@ -45,7 +45,7 @@
   }
 };
 
-// Empties a list that has a default, before the first name goes in.
+// Clears the default of a list before the first name is appended.
 template <auto Member>
 struct Clear {
   template <typename Context>
@@ -62,14 +62,14 @@
   }
 };
 
-// The rest of the line, for the operators' grammar.
+// Reads the rest of the line, which the operators' grammar parses.
 bool ReadRest(const char*& first, const char* last, std::string& value) {
   value = std::string(first, last);
   first = last;
   return !value.empty();
 }
 
-// A name without the colon that ends the operator's prefix.
+// Reads a name up to the colon that ends the operator's prefix.
 bool ReadPlainName(const char*& first, const char* last, std::string& value) {
   const char* end = first;
   while (end != last && *end != ':' &&
@@ -84,7 +84,7 @@
   return true;
 }
 
-// A number that a sign such as % may follow.
+// Reads a percentage from 0% to 100%.
 bool ReadPercent(const char*& first, const char* last, std::uint32_t& value) {
   const auto [end, error] = std::from_chars(first, last, value);
   const bool is_valid =
@@ -139,7 +139,7 @@
       Word("disk")[SetTo<&FaultNode::fault, NodeFault::kLoseDisk>()]) |
      Word("freeze")[SetTo<&FaultNode::fault, NodeFault::kFreeze>()] |
      Word("thaw")[SetTo<&FaultNode::fault, NodeFault::kThaw>()] |
-     Word("stop")[SetTo<&FaultNode::fault, NodeFault::kLeave>()]) >>
+     Word("stop")[SetTo<&FaultNode::fault, NodeFault::kPlannedStop>()]) >>
     kName[Set<&FaultNode::node>()];
 
 const auto kCut = x3::rule<struct CutTag, Cut>{"cut"} =
@@ -151,7 +151,7 @@
     Word("heal")[([](auto& context) { x3::_val(context) = Heal{}; })];
 
 const auto kDelay = x3::rule<struct DelayTag, SetDelay>{"delay"} =
-    Word("delay") >> kDuration[Set<&SetDelay::longest>()];
+    Word("delay") >> kDuration[Set<&SetDelay::max_delay>()];
 const auto kDuplication =
     x3::rule<struct DuplicationTag, SetDuplication>{"duplication"} =
         Word("duplicate") >> kPercent[Set<&SetDuplication::percent>()];
@@ -262,7 +262,7 @@
   return error;
 }
 
-// The operators' grammar has the last word on what operators type.
+// Checks an operator's statement with the operators' grammar.
 std::optional<language::ParseError> CheckOrder(Order& order,
                                                std::string_view line) {
   order.offset = line.size() - order.text.size();
--- a/src/libs/scenario/request_host.h
+++ b/src/libs/scenario/request_host.h
@@ -13,30 +13,31 @@
 #include "libs/config/configuration.h"
 #include "libs/routing/router.h"
 #include "libs/scenario/fake_network.h"
-#include "libs/scenario/request_book.h"
+#include "libs/scenario/request_registry.h"
 
 namespace bilberryspool::scenario {
 
-// The callers' side of an entry: its router, a machine for each request, and
-// its votes on claims.
+// The request handling of an entry: its router, a state machine for each
+// request, and its votes on claims.
 class RequestHost {
  public:
   struct Hooks {
-    // The targets as membership sees them.
+    // The targets as the membership directory lists them.
     std::function<std::vector<routing::TargetView>()> targets;
     std::function<const config::Configuration&()> configuration;
   };
 
   RequestHost(FakeNetwork& network,
               Verdict& verdict,
-              RequestBook& book,
+              RequestRegistry& request_registry,
               NodeId self,
               FailureDomain domain,
               Hooks hooks);
 
   void Start();
-  // The deployment has never run, so there is no vote to have forgotten.
-  void ForgetNothing();
+  // Called when the deployment starts for the first time: there are no earlier
+  // votes on claims that this process could have lost, so it may vote at once.
+  void MarkFirstStart();
   void Open(SendId send);
   // Whether new work may go to the target.
   bool offers(const TargetId& target) const;
@@ -52,43 +53,45 @@
     attempts::AdmissionToken token;
     TimePoint learned_at;
   };
-  // A choice of a target that waits for its token.
+  // A chosen target whose admission token was requested.
   struct PendingChoice {
     routing::RouteRequest request;
     TargetId target;
     std::size_t tries = 0;
   };
 
-  void KeepFeeding();
-  void FeedTargets();
-  void FeedPlacements();
-  void FeedRoster();
+  void UpdatePeriodically();
+  void UpdateTargets();
+  void UpdatePlacements();
+  void UpdateRoster();
   attempts::ClaimHolder MakeHolder(bool first_start) const;
   attempts::RequestSpec MakeSpec(SendId send);
   void Beat();
-  void NoteStall();
-  void Feed(SendId send, const attempts::RequestEvent& event);
+  void OnStallDetected();
+  void HandleEvent(SendId send, const attempts::RequestEvent& event);
   void ScheduleTick(SendId send);
   void Choose(SendId send, PendingChoice choice);
-  void ChooseAnother(SendId send, const TargetId& silent, std::size_t tries);
-  void EndOfAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
-  void NoteRouting(const attempts::RequestEvent& event);
+  void OnTokenTimeout(SendId send,
+                      const TargetId& unresponsive,
+                      std::size_t tries);
+  void FinishAttempt(const AttemptId& attempt, routing::AttemptOutcome outcome);
+  void UpdateRouter(const attempts::RequestEvent& event);
 
-  void Do(SendId send, const attempts::SendClaim& action);
-  void Do(SendId send, const attempts::Route& action);
-  void Do(SendId send, const attempts::SendAttempt& action);
-  void Do(SendId, const attempts::RelayHead&) {}
-  void Do(SendId send, const attempts::RelayChunk& action);
-  void Do(SendId send, const attempts::SendSettle& action);
-  void Do(SendId send, const attempts::ResumeAttempt& action);
-  void Do(SendId, const attempts::CancelAttempt&) {}
-  void Do(SendId send, const attempts::AnswerCaller& action);
-  void Do(SendId send, const attempts::SendRelease& action);
-  void Do(SendId send, const attempts::SendFinish& action);
+  void Execute(SendId send, const attempts::SendClaim& action);
+  void Execute(SendId send, const attempts::Route& action);
+  void Execute(SendId send, const attempts::SendAttempt& action);
+  void Execute(SendId, const attempts::RelayHead&) {}
+  void Execute(SendId send, const attempts::RelayChunk& action);
+  void Execute(SendId send, const attempts::SendSettle& action);
+  void Execute(SendId send, const attempts::ResumeAttempt& action);
+  void Execute(SendId, const attempts::CancelAttempt&) {}
+  void Execute(SendId send, const attempts::AnswerCaller& action);
+  void Execute(SendId send, const attempts::SendRelease& action);
+  void Execute(SendId send, const attempts::SendFinish& action);
 
   FakeNetwork& network_;
   Verdict& verdict_;
-  RequestBook& book_;
+  RequestRegistry& request_registry_;
   NodeId self_;
   FailureDomain domain_;
   Hooks hooks_;
@@ -100,7 +103,7 @@
   std::map<TargetId, KnownToken> tokens_;
   std::map<SendId, attempts::RequestMachine> machines_;
   std::map<SendId, PendingChoice> choices_;
-  // Attempts of each open send, for the router.
+  // Attempts of each open send, to be finished in the router.
   std::map<SendId, std::vector<AttemptId>> attempts_;
   bool was_founded_ = false;
 };
--- a/src/libs/scenario/spread_host.h
+++ b/src/libs/scenario/spread_host.h
@@ -10,8 +10,8 @@
 
 namespace bilberryspool::scenario {
 
-// What is in force on one node and how it gets there, joined as in the
-// program.
+// The configuration in force on one node, and the spreader that delivers it,
+// connected as in the program.
 class SpreadHost {
  public:
   using Topology = std::function<spread::TopologyChanged()>;
@@ -24,9 +24,9 @@
 
   void Start() { Run(); }
   void Handle(const spread::SpreaderEvent& event);
-  // The log of this node has committed these states.
-  void TakeStep(const config::Delta& delta, config::Digest from);
-  void TakeState(const config::Configuration& state);
+  // The log of this node has committed a change, or restored a whole state.
+  void OnStepCommitted(const config::Delta& delta, config::Digest from);
+  void OnStateAdopted(const config::Configuration& state);
 
   const config::Configuration& configuration() const {
     return applied_.configuration();
@@ -34,7 +34,7 @@
 
  private:
   void Run();
-  void Carry(const spread::SpreaderAction& action);
+  void Execute(const spread::SpreaderAction& action);
   void ApplySteps(const spread::ApplySteps& apply);
   void ApplyFull(const spread::ApplyFull& apply);
   void Report(config::ApplyResult result);
@@ -48,7 +48,7 @@
   Topology topology_;
   spread::Spreader spreader_;
   config::AppliedConfiguration applied_;
-  ConfigVersion noted_;
+  ConfigVersion noted_version_;
   TimePoint topology_due_;
 };
 
--- a/src/tools/soak/main.cc
+++ b/src/tools/soak/main.cc
@@ -1,6 +1,6 @@
-// A soak of real processes under faults: starts a small deployment on
-// loopback, strikes it by a plan drawn from a seed, and says which promises
-// were broken. Exit status 0: none; 1: some, or it could not be played.
+// Soak test of real processes under faults: starts a small deployment on
+// loopback, injects faults by a plan drawn from a seed, and reports violated
+// guarantees. Exit status 0: none; 1: some, or the run could not be executed.
 
 #include <gflags/gflags.h>
 
@@ -9,15 +9,17 @@
 
 #include "tools/soak/soak_run.h"
 
-DEFINE_uint64(seed, 1, "draws the faults, the callers and the changes");
-DEFINE_uint32(seconds, 30, "length of the series of faults");
-DEFINE_uint32(callers, 12, "callers that send one call after the other");
-DEFINE_string(binary, "", "the program");
+DEFINE_uint64(seed, 1, "seed of the faults, the calls and the changes");
+DEFINE_uint32(seconds, 30, "duration of the fault plan");
+DEFINE_uint32(callers,
+              12,
+              "number of callers that send one call after the other");
+DEFINE_string(binary, "", "path of the program");
 DEFINE_string(folder, "", "an empty folder for settings, logs and data");
 DEFINE_uint32(first_port,
               0,
               "first of 100 ports that are free on 127.0.0.0/24");
-DEFINE_bool(plan_only, false, "print the plan and end");
+DEFINE_bool(plan_only, false, "print the plan and exit");
 
 namespace bilberryspool::soak {
 namespace {
@@ -29,7 +31,7 @@
             << " broken " << totals.broken << " not_sent " << totals.not_sent
             << " left " << totals.left << " runs " << totals.runs << " changes "
             << totals.confirmed << "\n";
-  run.PrintPeaks(std::cout);
+  run.PrintPeakMemory(std::cout);
   for (const Violation& violation : violations) {
     std::cout << "BROKEN " << violation.promise << ": " << violation.what
               << "\n";
@@ -38,13 +40,13 @@
             << " broken promises\n";
 }
 
-int Play(const SoakOptions& options) {
+int Execute(const SoakOptions& options) {
   int status = 1;
   net::NetworkLoop loop;
   loop.Run([&] {
     SoakRun run(loop, options);
-    for (const Strike& strike : run.plan()) {
-      std::cout << "fault " << strike.ToText() << "\n";
+    for (const FaultEvent& fault_event : run.plan()) {
+      std::cout << "fault " << fault_event.ToText() << "\n";
     }
     std::cout << std::flush;
     if (FLAGS_plan_only) {
@@ -54,17 +56,17 @@
       run.EndAll();
       std::_Exit(1);
     });
-    const std::string error = run.Play();
+    const std::string error = run.Execute();
     if (!error.empty()) {
       std::cout << "soak: " << error << "\n";
     } else {
-      const std::vector<Violation> violations = run.ledger().Judge();
+      const std::vector<Violation> violations = run.ledger().FindViolations();
       Report(run, violations);
       status = violations.empty() ? 0 : 1;
     }
     std::cout << std::flush;
     run.EndAll();
-    // Fibers of targets and relays wait for good.
+    // Fibers of targets and relays never end.
     std::_Exit(status);
   });
   return status;
@@ -86,5 +88,5 @@
   options.deployment.folder = FLAGS_folder;
   options.deployment.first_port = static_cast<std::uint16_t>(FLAGS_first_port);
   options.callers = FLAGS_callers;
-  return bilberryspool::soak::Play(options);
+  return bilberryspool::soak::Execute(options);
 }
--- a/src/tools/soak/soak_run.h
+++ b/src/tools/soak/soak_run.h
@@ -1,5 +1,5 @@
-// One soak: a deployment of real processes under a plan of faults, with
-// callers, targets and operators at work, and the verdict on what they saw.
+// One soak run: a deployment of real processes under a plan of faults, with
+// simulated callers, targets and operators whose observations go to a ledger.
 
 #ifndef TOOLS_SOAK_SOAK_RUN_H_
 #define TOOLS_SOAK_SOAK_RUN_H_
@@ -33,47 +33,48 @@
  public:
   SoakRun(net::NetworkLoop& loop, SoakOptions options);
 
-  // Empty, or why it could not be played. Blocks the calling fiber.
-  std::string Play();
+  // Returns an error message if the run could not be executed, empty otherwise.
+  // Blocks the calling fiber.
+  std::string Execute();
   const Ledger& ledger() const { return ledger_; }
-  const std::vector<Strike>& plan() const { return plan_; }
-  // Ends the processes that it has started.
+  const std::vector<FaultEvent>& plan() const { return plan_; }
+  // Kills all processes that this run has started.
   void EndAll() { deployment_.processes().KillAll(); }
-  // Peak memory of the processes, a line each.
-  void PrintPeaks(std::ostream& out) const;
+  // Prints the peak memory of each process, one line each.
+  void PrintPeakMemory(std::ostream& out) const;
 
  private:
   std::string StartAll();
   std::string StartTargets();
-  bool WaitUntilServing(Duration patience);
-  void Play(const Strike& strike);
-  void Begin(const Strike& strike);
-  void Undo(const Strike& strike);
-  void BeginAtControl(const Strike& strike);
-  void UndoAtControl(const Strike& strike);
-  void BeginAtGateway(const Strike& strike);
-  void UndoAtGateway(const Strike& strike);
-  void BeginAtTarget(const Strike& strike);
-  void UndoAtTarget(const Strike& strike);
-  void ResetAgainAndAgain(SoakTarget& target, Duration length);
+  bool WaitUntilServing(Duration timeout);
+  void Execute(const FaultEvent& fault_event);
+  void Begin(const FaultEvent& fault_event);
+  void Undo(const FaultEvent& fault_event);
+  void BeginAtControl(const FaultEvent& fault_event);
+  void UndoAtControl(const FaultEvent& fault_event);
+  void BeginAtGateway(const FaultEvent& fault_event);
+  void UndoAtGateway(const FaultEvent& fault_event);
+  void BeginAtTarget(const FaultEvent& fault_event);
+  void UndoAtTarget(const FaultEvent& fault_event);
+  void ResetRepeatedly(SoakTarget& target, Duration length);
   void WatchProcesses();
   void Restart(const std::string& name);
-  void NotePeak(const std::string& name);
+  void RecordPeakMemory(const std::string& name);
 
   net::NetworkLoop& loop_;
   SoakOptions options_;
   traffic::HeaderNames dialect_;
-  std::vector<Strike> plan_;
+  std::vector<FaultEvent> plan_;
   Ledger ledger_;
   Deployment deployment_;
   net::HttpClient client_;
   std::vector<std::unique_ptr<SoakTarget>> targets_;
   std::unique_ptr<SoakCallers> callers_;
   std::unique_ptr<OperatorWork> operators_;
-  std::map<std::string, std::uint64_t> peaks_;
-  // Processes that are down because a fault says so.
-  std::set<std::string> down_;
-  std::uint32_t striking_ = 0;
+  std::map<std::string, std::uint64_t> peak_memory_kib_;
+  // Processes that are down because of a fault.
+  std::set<std::string> expected_down_;
+  std::uint32_t active_faults_ = 0;
   bool is_over_ = false;
 };
 
--- a/src/tools/soak/soak_target.h
+++ b/src/tools/soak/soak_target.h
@@ -1,5 +1,5 @@
-// A target inside the soak: it announces itself, runs requests behind a relay
-// and tells the ledger of each run. It restarts under another name.
+// A target inside the soak process: announces itself, runs requests behind a
+// relay and reports each run to the ledger. After a restart it has a new name.
 
 #ifndef TOOLS_SOAK_SOAK_TARGET_H_
 #define TOOLS_SOAK_SOAK_TARGET_H_
@@ -24,7 +24,7 @@
   ServiceId service;
   bool is_engine = false;  // streams events
   net::Endpoint listen;
-  net::Endpoint advertise;  // of the relay in front
+  net::Endpoint advertise;  // address of its relay
   std::vector<net::Endpoint> control;
   std::uint32_t events = 20;
   Duration event_gap = Milliseconds(25);
@@ -39,26 +39,27 @@
              const traffic::HeaderNames& dialect,
              Ledger& ledger);
 
-  // Empty, or what went wrong.
+  // Returns an error message, empty on success.
   std::string Start();
 
   blackhole::Relay& relay() { return relay_; }
-  // Falls dead without a word.
+  // Resets and refuses connections and stops announcing, without notice.
   void Crash();
-  // The next life, under another name.
+  // Starts the next incarnation, under a new name.
   void Restart();
-  // Tells that it leaves, goes on for the drain time once that is confirmed,
-  // and withdraws.
+  // Announces that it leaves, continues to serve for the drain time, and
+  // withdraws.
   void Drain();
 
  private:
-  void Beat();
-  // Whether a control node has taken it.
-  bool Tell(const net::HttpRequest& call);
+  void AnnouncePeriodically();
+  // Sends the call to a control node; whether it was accepted. After a failure
+  // the next call goes to the next node.
+  bool SendToControl(const net::HttpRequest& call);
   void Handle(net::HttpExchange& exchange);
   void Run(net::HttpExchange& exchange);
   net::HttpResponseHead SignedHead(const net::HttpRequest& request) const;
-  void StreamEvents(net::HttpExchange& exchange, std::uint32_t life);
+  void StreamEvents(net::HttpExchange& exchange, std::uint32_t incarnation);
 
   net::NetworkLoop& loop_;
   SoakTargetOptions options_;
@@ -67,9 +68,9 @@
   net::HttpClient client_;
   net::HttpServer server_;
   blackhole::Relay relay_;
-  traffic::TargetAnnouncement told_;
-  std::size_t control_at_ = 0;
-  std::uint32_t life_ = 0;
+  traffic::TargetAnnouncement announcement_;
+  std::size_t control_index_ = 0;
+  std::uint32_t incarnation_ = 0;
   bool is_alive_ = true;
 };
 
--- a/tests/processes/platform/platform_standin.cc
+++ b/tests/processes/platform/platform_standin.cc
@@ -1,6 +1,6 @@
-// Targets as the users' platform has them, for tests: they announce themselves
-// to control nodes, refuse what was meant for another, sign their answers and
-// stream events that can be resumed. Each counts the runs of each request id.
+// Stand-ins for the targets of the users' platform, for tests: they announce
+// themselves to control nodes, refuse requests for another target, sign their
+// answers and stream resumable events. Each counts the runs by request id.
 
 #include <gflags/gflags.h>
 
@@ -20,20 +20,26 @@
 DEFINE_string(listen, "127.0.0.1", "IP number of all targets");
 DEFINE_int32(first_port, 0, "port of the first target; the others follow");
 DEFINE_int32(count, 2, "targets");
-DEFINE_string(service, "model", "their service");
+DEFINE_string(service, "model", "service of the targets");
 DEFINE_string(control, "", "control nodes, IP:PORT, separated by commas");
 DEFINE_int32(event_ms, 20, "pause between the events of a stream");
-DEFINE_string(boot, "", "what tells the ids of this start from earlier ones");
-DEFINE_string(ends_on, "", "the process ends when it runs a body with this");
-DEFINE_string(limit, "", "requests a second that its answers name as limit");
-DEFINE_string(arrivals, "", "file that gets the time of each request, ms");
-DEFINE_string(record, "", "file that gets a line for each run of such a body");
+DEFINE_string(boot, "", "suffix of the target ids, different for each start");
+DEFINE_string(ends_on,
+              "",
+              "the process exits when it runs a body that contains this");
+DEFINE_string(limit,
+              "",
+              "requests a second that its answers name as the limit");
+DEFINE_string(arrivals, "", "file to append the time of each request to, ms");
+DEFINE_string(record,
+              "",
+              "file to append a line to for each run of such a body");
 
 namespace bilberryspool {
 namespace {
 
 constexpr int kEvents = 20;
-constexpr Duration kBeatInterval = Milliseconds(300);
+constexpr Duration kAnnounceInterval = Milliseconds(300);
 
 std::vector<net::Endpoint> ReadEndpoints(const std::string& text) {
   std::vector<net::Endpoint> endpoints;
@@ -62,12 +68,12 @@
         }) {}
 
   std::string Start() {
-    told_.target = TargetId(id_);
-    told_.service = ServiceId(FLAGS_service);
-    told_.address = endpoint_.ToString();
-    told_.domain = FailureDomain("z1");
-    told_.slots = 8;
-    loop_.Spawn([this] { Beat(); });
+    announcement_.target = TargetId(id_);
+    announcement_.service = ServiceId(FLAGS_service);
+    announcement_.address = endpoint_.ToString();
+    announcement_.domain = FailureDomain("z1");
+    announcement_.slots = 8;
+    loop_.Spawn([this] { AnnouncePeriodically(); });
     return server_.Start();
   }
 
@@ -78,18 +84,18 @@
     return options;
   }
 
-  void Beat() {
-    std::size_t at = 0;
+  void AnnouncePeriodically() {
+    std::size_t control_index = 0;
     while (true) {
-      ++told_.sequence;
-      const auto result =
-          client_.Send(control_[at % control_.size()],
-                       platform::AnnounceCall(told_), Milliseconds(1000));
+      ++announcement_.sequence;
+      const auto result = client_.Send(
+          control_[control_index % control_.size()],
+          platform::AnnounceCall(announcement_), Milliseconds(1000));
       const auto* response = std::get_if<net::HttpResponse>(&result);
       if (response == nullptr || response->head.status != 200) {
-        ++at;
+        ++control_index;
       }
-      loop_.SleepFor(kBeatInterval);
+      loop_.SleepFor(kAnnounceInterval);
     }
   }
 
@@ -123,7 +129,7 @@
       return;
     }
     if (request.target == "/drain") {
-      told_.standing = traffic::Standing::kLeaving;
+      announcement_.standing = traffic::Standing::kLeaving;
       Answer(exchange, 200, "");
       return;
     }
@@ -134,15 +140,15 @@
     Run(exchange);
   }
 
-  // As an engine that crashes a moment after it began to run the request.
-  void End() {
-    constexpr Duration kUntilEnd = Milliseconds(20);
+  // Simulates an engine that crashes shortly after it started a request.
+  void Crash() {
+    constexpr Duration kCrashDelay = Milliseconds(20);
     std::ofstream(FLAGS_record, std::ios::app) << id_ << "\n";
-    loop_.SleepFor(kUntilEnd);
+    loop_.SleepFor(kCrashDelay);
     std::_Exit(1);
   }
 
-  static void NoteArrival() {
+  static void RecordArrival() {
     using std::chrono::milliseconds;
     using std::chrono::steady_clock;
     if (!FLAGS_arrivals.empty()) {
@@ -153,11 +159,11 @@
   }
 
   void Run(net::HttpExchange& exchange) {
-    NoteArrival();
+    RecordArrival();
     const net::HttpRequest& request = exchange.request();
     if (!FLAGS_ends_on.empty() &&
         request.body.find(FLAGS_ends_on) != std::string::npos) {
-      End();
+      Crash();
     }
     ++runs_[std::string(
         request.headers.ValueOr("Bilberryspool-Attempt-Id", "none"))];
@@ -192,7 +198,7 @@
   std::string id_;
   net::Endpoint endpoint_;
   std::vector<net::Endpoint> control_;
-  traffic::TargetAnnouncement told_;
+  traffic::TargetAnnouncement announcement_;
   std::map<std::string, int> runs_;
   net::HttpClient client_;
   net::HttpServer server_;
--- a/tests/processes/silent_connections_test.sh
+++ b/tests/processes/silent_connections_test.sh
@@ -1,11 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a caller hears nothing until its deadline, and so do later ones, while
-#   everything looks connected.
-# Sequence: with a stream and an order in progress the connections between entry
-#   and agents go silent for good, then those between the entries and from the
-#   agents to them; new ones work. Several times over.
-# Cause: something between the two ends has lost track of the connections: what
-#   is written is taken, nothing arrives, and neither end hears of a close.
+# Guards against callers that wait until their deadlines because connections have
+# gone silent: writes succeed, nothing arrives, neither end sees a close. While a
+# stream and a non-idempotent request run, this happens between entry and agents,
+# then between entries and from agents to entries; new connections work. Repeated
+# several times. A device between the two ends that lost its state causes it.
 . "$(dirname "$0")/deployment.sh"
 
 use_relays
@@ -56,7 +54,7 @@
   query "declare priority urgent level $round" > "$RUN/change.txt" || fail "a change is not accepted: $(cat "$RUN/change.txt")"
 done
 
-# A leak of one a stream and round would be 24.
+# A leak of one descriptor for each stream in each round would be 24.
 is_bounded() { [ "$(count_descriptors "$1")" -le "$(($(cat "$RUN/$1.descriptors") + 16))" ]; }
 for name in $PROCESSES; do
   echo "$name: $(cat "$RUN/$name.descriptors") descriptors before, $(count_descriptors "$name") after"
