--- a/src/tools/routing_bench/batch_server.cc
+++ b/src/tools/routing_bench/batch_server.cc
@@ -7,12 +7,12 @@
 
 constexpr std::size_t kCachedPrefixes = 24;
 // Of the prefill, saved when the whole prompt prefix is cached.
-constexpr double kCacheSaving = 0.7;
-constexpr Duration kFailureTime = Milliseconds(5);
+constexpr double kCachedPrefillSaving = 0.7;
+constexpr Duration kFailureDelay = Milliseconds(5);
 
 // First tokens with and without a cached prefix differ by three times, which
 // is no sign of a queue.
-limits::AdaptiveLimitOptions AgentOptions() {
+limits::AdaptiveLimitOptions AgentLimitOptions() {
   limits::AdaptiveLimitOptions options;
   options.tolerance = 4.0;
   return options;
@@ -26,7 +26,7 @@
 }  // namespace
 
 BatchServer::BatchServer(EventLoop& loop, const ServiceModel& model)
-    : loop_(loop), model_(model), limit_(AgentOptions(), model.slots) {}
+    : loop_(loop), model_(model), limit_(AgentLimitOptions(), model.slots) {}
 
 void BatchServer::Submit(Job job) {
   if (dead_) {
@@ -37,7 +37,7 @@
     return;
   }
   agent_queue_.push_back(std::move(job));
-  HandOver();
+  FeedEngine();
 }
 
 void BatchServer::Cancel(const AttemptId& attempt) {
@@ -47,31 +47,31 @@
                  queue->end());
   }
   running_.erase(attempt);
-  handed_over_.erase(attempt);
+  engine_started_at_.erase(attempt);
   StartNext();
-  HandOver();
+  FeedEngine();
 }
 
 void BatchServer::set_dead(bool dead) {
   dead_ = dead;
   agent_queue_.clear();
   engine_queue_.clear();
-  handed_over_.clear();
+  engine_started_at_.clear();
   running_.clear();
   cached_.clear();
 }
 
 routing::LoadReport BatchServer::load() const {
   routing::LoadReport report;
-  report.running = static_cast<std::uint32_t>(handed_over_.size());
+  report.running = static_cast<std::uint32_t>(engine_started_at_.size());
   report.queued = static_cast<std::uint32_t>(agent_queue_.size());
   report.limit = static_cast<std::uint32_t>(limit_.limit());
   return report;
 }
 
-void BatchServer::HandOver() {
-  while (!agent_queue_.empty() && handed_over_.size() < limit_.limit()) {
-    handed_over_.emplace(agent_queue_.front().attempt, loop_.now());
+void BatchServer::FeedEngine() {
+  while (!agent_queue_.empty() && engine_started_at_.size() < limit_.limit()) {
+    engine_started_at_.emplace(agent_queue_.front().attempt, loop_.now());
     engine_queue_.push_back(std::move(agent_queue_.front()));
     agent_queue_.pop_front();
     StartNext();
@@ -86,13 +86,13 @@
   }
 }
 
-void BatchServer::FirstTokenOf(const AttemptId& attempt) {
+void BatchServer::OnFirstToken(const AttemptId& attempt) {
   const auto found = running_.find(attempt);
   if (found == running_.end()) {
     return;
   }
-  limit_.Observe(loop_.now() - handed_over_.at(attempt), handed_over_.size(),
-                 loop_.now());
+  limit_.Observe(loop_.now() - engine_started_at_.at(attempt),
+                 engine_started_at_.size(), loop_.now());
   found->second.on_first_token();
 }
 
@@ -100,15 +100,15 @@
   const AttemptId attempt = job.attempt;
   running_.emplace(attempt, job);
   if (failing_) {
-    loop_.After(kFailureTime, [this, attempt] {
+    loop_.After(kFailureDelay, [this, attempt] {
       End(attempt, routing::AttemptOutcome::kFailed);
     });
     return;
   }
-  const double saved = kCacheSaving * Touch(job.prefixes);
-  const Duration first = Scale(model_.prefill, (1.0 - saved) * slowness_);
-  const Duration decode = Scale(model_.per_token, job.tokens * slowness_);
-  loop_.After(first, [this, attempt] { FirstTokenOf(attempt); });
+  const double saved_share = kCachedPrefillSaving * Touch(job.prefixes);
+  const Duration first = Scale(model_.prefill, (1.0 - saved_share) * slowdown_);
+  const Duration decode = Scale(model_.per_token, job.tokens * slowdown_);
+  loop_.After(first, [this, attempt] { OnFirstToken(attempt); });
   loop_.After(first + decode, [this, attempt] {
     End(attempt, routing::AttemptOutcome::kSucceeded);
   });
@@ -122,18 +122,18 @@
   }
   const Job job = std::move(found->second);
   running_.erase(found);
-  handed_over_.erase(attempt);
+  engine_started_at_.erase(attempt);
   job.on_end(outcome);
   StartNext();
-  HandOver();
+  FeedEngine();
 }
 
 double BatchServer::Touch(const std::vector<std::uint64_t>& prefixes) {
-  double held = 0.0;
+  double hits = 0.0;
   for (const std::uint64_t prefix : prefixes) {
     const auto found = std::find(cached_.begin(), cached_.end(), prefix);
     if (found != cached_.end()) {
-      held += 1.0;
+      hits += 1.0;
       cached_.erase(found);
     }
     cached_.push_front(prefix);
@@ -141,7 +141,7 @@
   if (cached_.size() > kCachedPrefixes) {
     cached_.resize(kCachedPrefixes);
   }
-  return prefixes.empty() ? 0.0 : held / static_cast<double>(prefixes.size());
+  return prefixes.empty() ? 0.0 : hits / static_cast<double>(prefixes.size());
 }
 
 }  // namespace bilberryspool::routing_bench
--- a/src/tools/routing_bench/batch_server.h
+++ b/src/tools/routing_bench/batch_server.h
@@ -40,7 +40,7 @@
   void Cancel(const AttemptId& attempt);
 
   // How many times slower than its peers it is.
-  void set_slowness(double slowness) { slowness_ = slowness; }
+  void set_slowdown(double slowdown) { slowdown_ = slowdown; }
   // Whether each job fails a few milliseconds after its start.
   void set_failing(bool failing) { failing_ = failing; }
   // A dead one says nothing and forgets its jobs.
@@ -50,9 +50,9 @@
   bool dead() const { return dead_; }
 
  private:
-  void HandOver();
+  void FeedEngine();
   void StartNext();
-  void FirstTokenOf(const AttemptId& attempt);
+  void OnFirstToken(const AttemptId& attempt);
   void Start(const Job& job);
   void End(const AttemptId& attempt, routing::AttemptOutcome outcome);
   // Marks the prefixes as used; gives the share that was cached.
@@ -63,11 +63,11 @@
   limits::AdaptiveLimit limit_;
   std::deque<Job> agent_queue_;
   std::deque<Job> engine_queue_;
-  std::unordered_map<AttemptId, TimePoint> handed_over_;
+  std::unordered_map<AttemptId, TimePoint> engine_started_at_;
   std::unordered_map<AttemptId, Job> running_;
   // The latest used first.
   std::list<std::uint64_t> cached_;
-  double slowness_ = 1.0;
+  double slowdown_ = 1.0;
   bool failing_ = false;
   bool dead_ = false;
 };
--- a/src/tools/routing_bench/bench_entry.cc
+++ b/src/tools/routing_bench/bench_entry.cc
@@ -56,9 +56,9 @@
   return Workspace("w" + std::to_string(call.workspace));
 }
 
-void BenchEntry::Arrive(std::size_t index,
-                        std::uint64_t attempt,
-                        const Call& call) {
+void BenchEntry::AddRequest(std::size_t index,
+                            std::uint64_t attempt,
+                            const Call& call) {
   const limits::AdmissionId id(++ids_);
   requests_.emplace(id, Request{index, attempt, call});
   retry_budget_.OnFirstAttempt(WorkspaceOf(call), loop_.now());
@@ -69,19 +69,19 @@
     StartAttempt(id);
     return;
   }
-  Carry(admission_.Handle(
+  Execute(admission_.Handle(
       limits::RequestArrived{id, deployment_.services[call.service].id,
                              WorkspaceOf(call), call.priority, call.deadline,
                              call.tokens},
       loop_.now()));
 }
 
-void BenchEntry::OnRouting(const routing::RoutingEvent& event) {
+void BenchEntry::OnRoutingEvent(const routing::RoutingEvent& event) {
   router_.Handle(event, loop_.now());
 }
 
-void BenchEntry::OnPeer(const limits::AdmissionEvent& event) {
-  Carry(admission_.Handle(event, loop_.now()));
+void BenchEntry::OnAdmissionEvent(const limits::AdmissionEvent& event) {
+  Execute(admission_.Handle(event, loop_.now()));
 }
 
 std::vector<limits::WorkspaceDemand> BenchEntry::AnnounceDemand() {
@@ -92,7 +92,7 @@
   for (std::size_t i = 0; i < deployment_.services.size(); ++i) {
     const limits::CapacityChanged event{deployment_.services[i].id,
                                         Capacity(i)};
-    Carry(admission_.Handle(event, loop_.now()));
+    Execute(admission_.Handle(event, loop_.now()));
   }
 }
 
@@ -120,7 +120,7 @@
   }
 }
 
-void BenchEntry::Carry(const std::vector<limits::AdmissionAction>& actions) {
+void BenchEntry::Execute(const std::vector<limits::AdmissionAction>& actions) {
   for (const limits::AdmissionAction& action : actions) {
     std::visit(
         Overloaded{[&](const limits::Admit& admit) { StartAttempt(admit.id); },
@@ -147,7 +147,7 @@
   route.priority = request.call.priority;
   route.prefix_hashes = request.call.prefixes;
   route.expected_tokens = request.call.tokens;
-  route.excluded = request.tried;
+  route.excluded = request.tried_targets;
   route.deadline = request.call.deadline;
   route.own_domain = domain_;
   route.idempotent = request.call.idempotent;
@@ -228,12 +228,12 @@
     const Request copy = request;
     requests_.erase(found);
     callbacks_.answered(copy.index, copy.client_try);
-    Carry(admission_.Handle(limits::RequestFinished{id, copy.call.tokens},
-                            loop_.now()));
+    Execute(admission_.Handle(limits::RequestFinished{id, copy.call.tokens},
+                              loop_.now()));
     return;
   }
   if (MayRetry(request, outcome)) {
-    request.tried.push_back(request.target);
+    request.tried_targets.push_back(request.target);
     const Duration delay = limits::BackoffDelay(limits::BackoffOptions{},
                                                 request.retries++, random_);
     loop_.After(delay,
@@ -282,7 +282,7 @@
 
 void BenchEntry::Drop(limits::AdmissionId id) {
   requests_.erase(id);
-  Carry(admission_.Handle(limits::RequestAbandoned{id}, loop_.now()));
+  Execute(admission_.Handle(limits::RequestAbandoned{id}, loop_.now()));
 }
 
 void BenchEntry::ScheduleTick() {
@@ -292,7 +292,8 @@
   }
   next_tick_ = *next;
   loop_.After(std::max(Duration(1), *next - loop_.now()), [this] {
-    Deliver([this] { Carry(admission_.Handle(limits::Tick{}, loop_.now())); });
+    Deliver(
+        [this] { Execute(admission_.Handle(limits::Tick{}, loop_.now())); });
   });
 }
 
--- a/src/tools/routing_bench/bench_entry.h
+++ b/src/tools/routing_bench/bench_entry.h
@@ -56,9 +56,9 @@
   void set_dead(bool dead) { dead_ = dead; }
   bool reachable() const { return !dead_ && !frozen_; }
 
-  void Arrive(std::size_t index, std::uint64_t attempt, const Call& call);
-  void OnRouting(const routing::RoutingEvent& event);
-  void OnPeer(const limits::AdmissionEvent& event);
+  void AddRequest(std::size_t index, std::uint64_t attempt, const Call& call);
+  void OnRoutingEvent(const routing::RoutingEvent& event);
+  void OnAdmissionEvent(const limits::AdmissionEvent& event);
   // The link to a target carries nothing any more.
   void OnLinkDown(const TargetId& target);
   void RefreshCapacity();
@@ -73,14 +73,14 @@
     std::size_t index = 0;
     std::uint64_t client_try = 0;
     Call call;
-    std::vector<TargetId> tried;
+    std::vector<TargetId> tried_targets;
     std::optional<AttemptId> attempt;
     TargetId target;
     bool started = false;
     std::uint32_t retries = 0;
   };
 
-  void Carry(const std::vector<limits::AdmissionAction>& actions);
+  void Execute(const std::vector<limits::AdmissionAction>& actions);
   void StartAttempt(limits::AdmissionId id);
   void Send(limits::AdmissionId id, const TargetId& target);
   void OnFirstToken(limits::AdmissionId id, const AttemptId& attempt);
--- a/src/tools/routing_bench/choice_cost.cc
+++ b/src/tools/routing_bench/choice_cost.cc
@@ -17,7 +17,7 @@
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-double RoutedMicroseconds(std::uint32_t targets) {
+double MicrosecondsPerRoutedRequest(std::uint32_t targets) {
   const ServiceId service("drafter");
   routing::Router router(routing::RouterOptions{}, 1);
   TimePoint now = TimeAt(Seconds(1));
@@ -51,7 +51,7 @@
   return (CpuSeconds() - start) * 1e6 / kRequests;
 }
 
-double AdmittedMicroseconds() {
+double MicrosecondsPerAdmittedRequest() {
   const ServiceId service("drafter");
   limits::Admission admission(limits::AdmissionOptions{}, 1);
   TimePoint now = TimeAt(Seconds(1));
@@ -75,9 +75,9 @@
 void PrintChoiceCosts() {
   for (const std::uint32_t targets : {16U, 64U, 360U}) {
     std::printf("routed request, %u targets: %.2f us\n", targets,
-                RoutedMicroseconds(targets));
+                MicrosecondsPerRoutedRequest(targets));
   }
-  std::printf("admitted request: %.2f us\n", AdmittedMicroseconds());
+  std::printf("admitted request: %.2f us\n", MicrosecondsPerAdmittedRequest());
 }
 
 }  // namespace bilberryspool::routing_bench
--- a/src/tools/routing_bench/main.cc
+++ b/src/tools/routing_bench/main.cc
@@ -74,7 +74,7 @@
   options.deployment = FLAGS_deployment == "kalapuwa" ? Kalapuwa() : Qasr();
   options.deployment.entries *= static_cast<std::size_t>(FLAGS_scale);
   for (ServiceModel& service : options.deployment.services) {
-    service.runners *= static_cast<std::uint32_t>(FLAGS_scale);
+    service.target_count *= static_cast<std::uint32_t>(FLAGS_scale);
   }
   options.entry.router.policy = variant.policy;
   options.entry.router.report_half_life =
@@ -96,15 +96,16 @@
 // One column: a figure of each seed's results.
 struct Column {
   const char* title;
-  double (*of)(const PhaseResults&);
-  bool with_spread;
+  double (*value_of)(const PhaseResults&);
+  bool with_range;
 };
 
 const Column kColumns[] = {
     {"ft50", [](const PhaseResults& r) { return r.first_token.p50; }, false},
     {"ft95", [](const PhaseResults& r) { return r.first_token.p95; }, true},
     {"ft99", [](const PhaseResults& r) { return r.first_token.p99; }, false},
-    {"quiet95", [](const PhaseResults& r) { return r.silence.p95; }, false},
+    {"quiet95",
+     [](const PhaseResults& r) { return r.last_try_first_token.p95; }, false},
     {"tot50", [](const PhaseResults& r) { return r.total.p50; }, false},
     {"tot95", [](const PhaseResults& r) { return r.total.p95; }, false},
     {"tot99", [](const PhaseResults& r) { return r.total.p99; }, false},
@@ -118,15 +119,15 @@
 void PrintTitles() {
   std::printf("%-11s", "policy");
   for (const Column& column : kColumns) {
-    std::printf(column.with_spread ? " %20s" : " %7s", column.title);
+    std::printf(column.with_range ? " %20s" : " %7s", column.title);
   }
   std::printf(" recover s\n");
 }
 
-void PrintFigure(const Spread& spread, bool with_spread) {
-  std::printf(" %7.3f", spread.median);
-  if (with_spread) {
-    std::printf("[%.3f,%.3f]", spread.least, spread.largest);
+void PrintFigure(const SeedSummary& summary, bool with_range) {
+  std::printf(" %7.3f", summary.median);
+  if (with_range) {
+    std::printf("[%.3f,%.3f]", summary.min, summary.max);
   }
 }
 
@@ -143,13 +144,13 @@
     std::vector<double> values;
     values.reserve(figures.results.size());
     for (const PhaseResults& result : figures.results) {
-      values.push_back(column.of(result));
+      values.push_back(column.value_of(result));
     }
-    PrintFigure(SpreadOf(std::move(values)), column.with_spread);
+    PrintFigure(SummarizeSeeds(std::move(values)), column.with_range);
   }
-  const Spread recovery = SpreadOf(figures.recoveries);
-  std::printf(" %.0f[%.0f,%.0f] never %zu\n", recovery.median, recovery.least,
-              recovery.largest, figures.unrecovered);
+  const SeedSummary recovery = SummarizeSeeds(figures.recoveries);
+  std::printf(" %.0f[%.0f,%.0f] never %zu\n", recovery.median, recovery.min,
+              recovery.max, figures.unrecovered);
 }
 
 void Measure(const Variant& variant) {
@@ -159,7 +160,7 @@
     run.Run();
     services.resize(run.options().deployment.services.size());
     for (std::size_t i = 0; i < services.size(); ++i) {
-      services[i].results.push_back(Summarise(run, 1, i));
+      services[i].results.push_back(SummarizePhase(run, 1, i));
       const auto recovery = SecondsToRecover(run, i);
       if (recovery.has_value()) {
         services[i].recoveries.push_back(*recovery);
--- a/src/tools/routing_bench/results.cc
+++ b/src/tools/routing_bench/results.cc
@@ -6,11 +6,11 @@
 namespace bilberryspool::routing_bench {
 namespace {
 
-constexpr std::size_t kGoodSeconds = 3;
-constexpr double kAnsweredWhenWell = 0.95;
-constexpr double kSlowerWhenWell = 1.5;
+constexpr std::size_t kRecoverySeconds = 3;
+constexpr double kMinRecoveredShare = 0.95;
+constexpr double kMaxRecoveredSlowdown = 1.5;
 
-double At(const std::vector<double>& sorted, double share) {
+double ValueAt(const std::vector<double>& sorted, double share) {
   if (sorted.empty()) {
     return 0.0;
   }
@@ -21,31 +21,34 @@
 
 Percentiles PercentilesOf(std::vector<double> values) {
   std::sort(values.begin(), values.end());
-  return Percentiles{At(values, 0.5), At(values, 0.95), At(values, 0.99)};
+  return Percentiles{ValueAt(values, 0.5), ValueAt(values, 0.95),
+                     ValueAt(values, 0.99)};
 }
 
-bool InTime(const Call& call) {
+bool IsAnsweredInTime(const Call& call) {
   return call.answered_at.has_value() && *call.answered_at <= call.deadline;
 }
 
 // Splits `capacity` so that no workspace gets more than it asks for and the
 // rest is equal.
-std::vector<double> MaxMinFair(const std::vector<double>& asked,
+std::vector<double> MaxMinFair(const std::vector<double>& demand,
                                double capacity) {
-  std::vector<double> parts(asked.size(), 0.0);
-  std::vector<std::size_t> order(asked.size());
+  std::vector<double> shares(demand.size(), 0.0);
+  std::vector<std::size_t> order(demand.size());
   for (std::size_t i = 0; i < order.size(); ++i) {
     order[i] = i;
   }
-  std::sort(order.begin(), order.end(),
-            [&](std::size_t a, std::size_t b) { return asked[a] < asked[b]; });
-  double left = capacity;
+  std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
+    return demand[a] < demand[b];
+  });
+  double remaining = capacity;
   for (std::size_t i = 0; i < order.size(); ++i) {
-    const double equal = left / static_cast<double>(order.size() - i);
-    parts[order[i]] = std::min(asked[order[i]], equal);
-    left -= parts[order[i]];
+    const double equal_share =
+        remaining / static_cast<double>(order.size() - i);
+    shares[order[i]] = std::min(demand[order[i]], equal_share);
+    remaining -= shares[order[i]];
   }
-  return parts;
+  return shares;
 }
 
 double JainIndex(const std::vector<double>& values) {
@@ -59,15 +62,15 @@
   return squares > 0.0 ? sum * sum / (count * squares) : 1.0;
 }
 
-double Fairness(const std::vector<double>& asked,
+double Fairness(const std::vector<double>& demand,
                 const std::vector<double>& served) {
   double capacity = 0.0;
   for (const double part : served) {
     capacity += part;
   }
-  const std::vector<double> fair = MaxMinFair(asked, capacity);
+  const std::vector<double> fair = MaxMinFair(demand, capacity);
   std::vector<double> ratios;
-  for (std::size_t i = 0; i < asked.size(); ++i) {
+  for (std::size_t i = 0; i < demand.size(); ++i) {
     if (fair[i] > 0.0) {
       ratios.push_back(served[i] / fair[i]);
     }
@@ -77,18 +80,18 @@
 
 }  // namespace
 
-PhaseResults Summarise(const Simulation& run,
-                       std::size_t phase,
-                       std::size_t service) {
+PhaseResults SummarizePhase(const Simulation& run,
+                            std::size_t phase,
+                            std::size_t service) {
   const TimePoint start = run.PhaseStart(phase);
   const TimePoint end = run.PhaseStart(phase + 1);
   const Deployment& deployment = run.options().deployment;
   PhaseResults results;
   std::vector<double> first_tokens;
-  std::vector<double> silences;
+  std::vector<double> last_try_first_tokens;
   std::vector<double> totals;
   double answered = 0.0;
-  std::vector<double> asked(deployment.workspaces, 0.0);
+  std::vector<double> demand(deployment.workspaces, 0.0);
   std::vector<double> served(deployment.workspaces, 0.0);
   double refusals = 0.0;
   double tries = 0.0;
@@ -100,8 +103,8 @@
     ++results.calls;
     refusals += call.refusals;
     tries += call.tries;
-    asked[call.workspace] += 1.0;
-    if (!InTime(call)) {
+    demand[call.workspace] += 1.0;
+    if (!IsAnsweredInTime(call)) {
       continue;
     }
     served[call.workspace] += 1.0;
@@ -112,7 +115,8 @@
     }
     totals.push_back(ToSeconds(*call.answered_at - call.sent_at));
     first_tokens.push_back(ToSeconds(*call.first_token_at - call.sent_at));
-    silences.push_back(ToSeconds(*call.first_token_at - call.last_try_at));
+    last_try_first_tokens.push_back(
+        ToSeconds(*call.first_token_at - call.last_try_at));
   }
   const double calls =
       std::max<double>(1.0, static_cast<double>(results.calls));
@@ -122,9 +126,10 @@
   results.refusals_per_call = refusals / calls;
   results.tries_per_call = tries / calls;
   results.first_token = PercentilesOf(std::move(first_tokens));
-  results.silence = PercentilesOf(std::move(silences));
+  results.last_try_first_token =
+      PercentilesOf(std::move(last_try_first_tokens));
   results.total = PercentilesOf(std::move(totals));
-  results.fairness = Fairness(asked, served);
+  results.fairness = Fairness(demand, served);
   return results;
 }
 
@@ -132,7 +137,7 @@
                                        std::size_t service) {
   const std::size_t last = run.options().phases.size() - 1;
   const TimePoint start = run.PhaseStart(last);
-  const double well = Summarise(run, 0, service).first_token.p95;
+  const double baseline_p95 = SummarizePhase(run, 0, service).first_token.p95;
   const auto seconds =
       static_cast<std::size_t>(ToSeconds(run.PhaseStart(last + 1) - start));
   std::vector<std::vector<double>> first_tokens(seconds);
@@ -148,7 +153,7 @@
       continue;
     }
     calls[second] += 1.0;
-    if (InTime(call) && call.first_token_at.has_value()) {
+    if (IsAnsweredInTime(call) && call.first_token_at.has_value()) {
       first_tokens[second].push_back(
           ToSeconds(*call.first_token_at - call.sent_at));
     }
@@ -157,22 +162,22 @@
   for (std::size_t i = 0; i < seconds; ++i) {
     const double answered = static_cast<double>(first_tokens[i].size());
     const double p95 = PercentilesOf(first_tokens[i]).p95;
-    const bool is_good = answered >= kAnsweredWhenWell * calls[i] &&
-                         p95 <= kSlowerWhenWell * well;
+    const bool is_good = answered >= kMinRecoveredShare * calls[i] &&
+                         p95 <= kMaxRecoveredSlowdown * baseline_p95;
     good = is_good ? good + 1 : 0;
-    if (good == kGoodSeconds) {
-      return static_cast<double>(i + 1 - kGoodSeconds);
+    if (good == kRecoverySeconds) {
+      return static_cast<double>(i + 1 - kRecoverySeconds);
     }
   }
   return std::nullopt;
 }
 
-Spread SpreadOf(std::vector<double> values) {
+SeedSummary SummarizeSeeds(std::vector<double> values) {
   if (values.empty()) {
-    return Spread{};
+    return SeedSummary{};
   }
   std::sort(values.begin(), values.end());
-  return Spread{values[values.size() / 2], values.front(), values.back()};
+  return SeedSummary{values[values.size() / 2], values.front(), values.back()};
 }
 
 }  // namespace bilberryspool::routing_bench
--- a/src/tools/routing_bench/results.h
+++ b/src/tools/routing_bench/results.h
@@ -28,15 +28,15 @@
   Percentiles first_token;
   // The same from the try that was answered: how long that caller heard
   // nothing.
-  Percentiles silence;
+  Percentiles last_try_first_token;
   Percentiles total;
   // Jain's index over each workspace's answers against its max-min fair part.
   double fairness = 0.0;
 };
 
-PhaseResults Summarise(const Simulation& run,
-                       std::size_t phase,
-                       std::size_t service);
+PhaseResults SummarizePhase(const Simulation& run,
+                            std::size_t phase,
+                            std::size_t service);
 
 // Seconds from the start of the last phase until, for three seconds in a row,
 // 95% of the calls that aren't background are answered in time and their p95
@@ -45,13 +45,13 @@
 std::optional<double> SecondsToRecover(const Simulation& run,
                                        std::size_t service);
 
-struct Spread {
+struct SeedSummary {
   double median = 0.0;
-  double least = 0.0;
-  double largest = 0.0;
+  double min = 0.0;
+  double max = 0.0;
 };
 
-Spread SpreadOf(std::vector<double> values);
+SeedSummary SummarizeSeeds(std::vector<double> values);
 
 }  // namespace bilberryspool::routing_bench
 
--- a/src/tools/routing_bench/simulation.cc
+++ b/src/tools/routing_bench/simulation.cc
@@ -11,16 +11,16 @@
 constexpr Duration kReportInterval = Milliseconds(500);
 constexpr Duration kGossipInterval = Milliseconds(500);
 constexpr Duration kCapacityInterval = Milliseconds(200);
-constexpr Duration kLeastReportLag = Milliseconds(50);
-constexpr Duration kLargestReportLag = Milliseconds(400);
-constexpr Duration kWithinDomain = Microseconds(100);
+constexpr Duration kMinReportLag = Milliseconds(50);
+constexpr Duration kMaxReportLag = Milliseconds(400);
+constexpr Duration kIntraDomainDelay = Microseconds(100);
 // The balancer and membership notice a silent member after this time.
-constexpr Duration kNoticed = Seconds(3);
+constexpr Duration kDetectionDelay = Seconds(3);
 constexpr Duration kLinkTimeout = Seconds(1);
-constexpr Duration kCallerSilence = Seconds(2);
+constexpr Duration kCallerTimeout = Seconds(2);
 constexpr std::uint32_t kMaxTries = 6;
-constexpr std::uint32_t kMaxImpatientTries = 20;
-constexpr double kSlowness = 5.0;
+constexpr std::uint32_t kMaxTriesIgnoringRetryAfter = 20;
+constexpr double kSlowdown = 5.0;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
 void Simulation::BuildServers() {
   const Deployment& deployment = options_.deployment;
   for (const ServiceModel& service : deployment.services) {
-    for (std::uint32_t i = 0; i < service.runners; ++i) {
+    for (std::uint32_t i = 0; i < service.target_count; ++i) {
       Server server;
       server.view.target =
           TargetId(service.id.value() + "-" + std::to_string(i));
@@ -70,9 +70,9 @@
         loop_, options_.deployment,
         deployment.domains[i % deployment.domains.size()], options_.entry,
         MakeCallbacks(i), options_.seed * 1000 + i * 10));
-    entries_.back()->OnRouting(config);
+    entries_.back()->OnRoutingEvent(config);
     for (const auto& [target, server] : servers_) {
-      entries_.back()->OnRouting(routing::TargetSeen{server.view});
+      entries_.back()->OnRoutingEvent(routing::TargetSeen{server.view});
     }
     entries_.back()->RefreshCapacity();
   }
@@ -85,9 +85,10 @@
     return *servers_.at(target).server;
   };
   callbacks.delay_to = [this, entry](const TargetId& target) {
-    const bool own =
+    const bool is_same_domain =
         servers_.at(target).view.domain == entries_[entry]->domain();
-    return own ? kWithinDomain : options_.deployment.domain_delay;
+    return is_same_domain ? kIntraDomainDelay
+                          : options_.deployment.domain_delay;
   };
   callbacks.first_token = [this, delay](std::size_t index,
                                         std::uint64_t attempt) {
@@ -102,9 +103,9 @@
     }
   };
   callbacks.refused = [this, delay](std::size_t index, std::uint64_t attempt,
-                                    Duration hint) {
-    loop_.After(delay, [this, index, attempt, hint] {
-      OnRefused(index, attempt, hint);
+                                    Duration retry_after) {
+    loop_.After(delay, [this, index, attempt, retry_after] {
+      OnRefused(index, attempt, retry_after);
     });
   };
   callbacks.failed = [this](std::size_t index, std::uint64_t attempt) {
@@ -120,7 +121,7 @@
     ScheduleArrivals(i);
   }
   ReportLoads();
-  Gossip();
+  ExchangeDemand();
   if (options_.trace) {
     Trace();
   }
@@ -196,10 +197,10 @@
       if (IsCurrent(index, attempt)) {
         calls_[index].acknowledged = true;
       }
-      entry.Arrive(index, attempt, calls_[index]);
+      entry.AddRequest(index, attempt, calls_[index]);
     });
   });
-  loop_.After(kCallerSilence, [this, index, attempt] {
+  loop_.After(kCallerTimeout, [this, index, attempt] {
     const Call& silent = calls_[index];
     if (IsCurrent(index, attempt) && !silent.acknowledged &&
         loop_.now() < silent.deadline) {
@@ -214,17 +215,20 @@
 
 void Simulation::OnRefused(std::size_t index,
                            std::uint64_t attempt,
-                           Duration hint) {
+                           Duration retry_after) {
   if (!IsCurrent(index, attempt)) {
     return;
   }
   Call& call = calls_[index];
   ++call.refusals;
-  const bool patient = call.honours_retry_after;
+  const bool honours_retry_after_hint = call.honours_retry_after;
   const Duration wait =
-      patient ? hint : random_.Between(Milliseconds(100), Milliseconds(300));
-  const std::uint32_t most = patient ? kMaxTries : kMaxImpatientTries;
-  if (loop_.now() + wait >= call.deadline || call.tries >= most) {
+      honours_retry_after_hint
+          ? retry_after
+          : random_.Between(Milliseconds(100), Milliseconds(300));
+  const std::uint32_t max_tries =
+      honours_retry_after_hint ? kMaxTries : kMaxTriesIgnoringRetryAfter;
+  if (loop_.now() + wait >= call.deadline || call.tries >= max_tries) {
     call.ended = true;
     return;
   }
@@ -251,17 +255,17 @@
     }
     routing::LoadReported event{target, server.server->load()};
     for (const auto& entry : entries_) {
-      const Duration lag = random_.Between(kLeastReportLag, kLargestReportLag);
+      const Duration lag = random_.Between(kMinReportLag, kMaxReportLag);
       event.load.age = lag;
       loop_.After(lag, [entry = entry.get(), event] {
-        entry->Deliver([entry, event] { entry->OnRouting(event); });
+        entry->Deliver([entry, event] { entry->OnRoutingEvent(event); });
       });
     }
   }
   loop_.After(kReportInterval, [this] { ReportLoads(); });
 }
 
-void Simulation::Gossip() {
+void Simulation::ExchangeDemand() {
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     if (!entries_[i]->reachable()) {
       continue;
@@ -272,7 +276,7 @@
       BenchEntry* peer = entries_[j].get();
       if (i != j) {
         loop_.After(options_.deployment.domain_delay, [peer, event] {
-          peer->Deliver([peer, event] { peer->OnPeer(event); });
+          peer->Deliver([peer, event] { peer->OnAdmissionEvent(event); });
         });
       }
     }
@@ -281,7 +285,7 @@
     });
     entries_[i]->RefreshCapacity();
   }
-  loop_.After(kGossipInterval, [this] { Gossip(); });
+  loop_.After(kGossipInterval, [this] { ExchangeDemand(); });
 }
 
 void Simulation::StartTrouble() {
@@ -290,8 +294,8 @@
     case Trouble::kDrift:
       return;
     case Trouble::kSlowTarget:
-      servers_.begin()->second.server->set_slowness(kSlowness);
-      servers_.rbegin()->second.server->set_slowness(kSlowness);
+      servers_.begin()->second.server->set_slowdown(kSlowdown);
+      servers_.rbegin()->second.server->set_slowdown(kSlowdown);
       return;
     case Trouble::kFailingTarget:
       servers_.begin()->second.server->set_failing(true);
@@ -302,14 +306,14 @@
       return;
     case Trouble::kFrozenEntry:
       entries_[0]->set_frozen(true);
-      loop_.After(kNoticed, [this] { removed_[0] = true; });
+      loop_.After(kDetectionDelay, [this] { removed_[0] = true; });
       return;
   }
 }
 
 void Simulation::EndTrouble() {
-  servers_.begin()->second.server->set_slowness(1.0);
-  servers_.rbegin()->second.server->set_slowness(1.0);
+  servers_.begin()->second.server->set_slowdown(1.0);
+  servers_.rbegin()->second.server->set_slowdown(1.0);
   servers_.begin()->second.server->set_failing(false);
   servers_.rbegin()->second.server->set_failing(false);
   if (options_.trouble == Trouble::kLostDomain) {
@@ -321,9 +325,10 @@
   }
 }
 
-void Simulation::Announce(const routing::RoutingEvent& event) {
+void Simulation::BroadcastRoutingEvent(const routing::RoutingEvent& event) {
   for (const auto& entry : entries_) {
-    entry->Deliver([entry = entry.get(), event] { entry->OnRouting(event); });
+    entry->Deliver(
+        [entry = entry.get(), event] { entry->OnRoutingEvent(event); });
   }
 }
 
@@ -332,7 +337,7 @@
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     if (entries_[i]->domain() == lost) {
       entries_[i]->set_dead(true);
-      loop_.After(kNoticed, [this, i] { removed_[i] = true; });
+      loop_.After(kDetectionDelay, [this, i] { removed_[i] = true; });
     }
   }
   for (const auto& [target, server] : servers_) {
@@ -346,8 +351,8 @@
             [entry = entry.get(), target] { entry->OnLinkDown(target); });
       }
     });
-    loop_.After(kNoticed, [this, target = target] {
-      Announce(routing::TargetGone{target});
+    loop_.After(kDetectionDelay, [this, target = target] {
+      BroadcastRoutingEvent(routing::TargetGone{target});
     });
   }
 }
@@ -363,7 +368,7 @@
   for (const auto& [target, server] : servers_) {
     if (server.view.domain == lost) {
       server.server->set_dead(false);
-      Announce(routing::TargetSeen{server.view});
+      BroadcastRoutingEvent(routing::TargetSeen{server.view});
     }
   }
 }
--- a/src/tools/routing_bench/simulation.h
+++ b/src/tools/routing_bench/simulation.h
@@ -72,18 +72,20 @@
   double LoadAt(TimePoint now) const;
 
   void SendTry(std::size_t index);
-  void OnRefused(std::size_t index, std::uint64_t attempt, Duration hint);
+  void OnRefused(std::size_t index,
+                 std::uint64_t attempt,
+                 Duration retry_after);
   bool IsCurrent(std::size_t index, std::uint64_t attempt) const;
   std::size_t DrawEntry();
 
   void ReportLoads();
-  void Gossip();
+  void ExchangeDemand();
   void StartTrouble();
   void EndTrouble();
   void LoseDomain();
   void RestoreDomain();
   void Trace();
-  void Announce(const routing::RoutingEvent& event);
+  void BroadcastRoutingEvent(const routing::RoutingEvent& event);
 
   RunOptions options_;
   EventLoop loop_;
--- a/src/tools/routing_bench/workload.cc
+++ b/src/tools/routing_bench/workload.cc
@@ -24,7 +24,7 @@
 }
 
 double ServiceModel::Capacity() const {
-  return runners * slots / MeanRunSeconds();
+  return target_count * slots / MeanRunSeconds();
 }
 
 Deployment Qasr() {
@@ -81,12 +81,12 @@
   return (is_large ? deployment_.large_factor : 1.0) / total;
 }
 
-std::size_t Workload::DrawWorkspace(std::size_t turn) {
+std::size_t Workload::DrawWorkspace(std::size_t drift_steps) {
   double drawn = random_.Fraction();
   for (std::size_t i = 0; i < deployment_.workspaces; ++i) {
     drawn -= ShareOf(i);
     if (drawn < 0.0) {
-      return (i + turn) % deployment_.workspaces;
+      return (i + drift_steps) % deployment_.workspaces;
     }
   }
   return deployment_.workspaces - 1;
@@ -94,11 +94,11 @@
 
 Call Workload::Draw(std::size_t service, TimePoint now) {
   const ServiceModel& model = deployment_.services[service];
-  const auto turn = static_cast<std::size_t>(
+  const auto drift_steps = static_cast<std::size_t>(
       drift_ ? now.time_since_epoch() / kDriftStep : 0);
   Call call;
   call.service = service;
-  call.workspace = DrawWorkspace(turn);
+  call.workspace = DrawWorkspace(drift_steps);
   const double priority = random_.Fraction();
   if (priority < kBackgroundShare) {
     call.priority = limits::Priority::kBackground;
@@ -107,10 +107,10 @@
   }
   call.idempotent = !random_.Chance(model.non_idempotent_share);
   call.honours_retry_after = random_.Chance(honour_share_);
-  const double spread = -std::log(1.0 - random_.Fraction());
-  const double tokens = model.mean_tokens * (0.5 + 0.5 * spread);
+  const double exponential = -std::log(1.0 - random_.Fraction());
+  const double tokens = model.mean_tokens * (0.5 + 0.5 * exponential);
   call.tokens = static_cast<std::uint32_t>(std::max(1.0, tokens));
-  const std::size_t drawn = (DrawTemplate(random_) + turn);
+  const std::size_t drawn = (DrawTemplate(random_) + drift_steps);
   const std::uint64_t base = (service * 1000 + call.workspace) * 1000;
   call.prefixes = {base, base + 1 + drawn % kTemplatesPerWorkspace};
   call.sent_at = now;
--- a/src/tools/routing_bench/workload.h
+++ b/src/tools/routing_bench/workload.h
@@ -17,7 +17,7 @@
 // One service and the targets that serve it, spread over the domains.
 struct ServiceModel {
   ServiceId id;
-  std::uint32_t runners = 0;
+  std::uint32_t target_count = 0;
   std::uint32_t slots = 1;
   // Time to the first token of a prompt that isn't cached.
   Duration prefill{0};
@@ -85,7 +85,7 @@
   double ShareOf(std::size_t workspace) const;
 
  private:
-  std::size_t DrawWorkspace(std::size_t turn);
+  std::size_t DrawWorkspace(std::size_t drift_steps);
 
   const Deployment& deployment_;
   bool drift_;
