--- a/src/tools/placement_bench/load_model.cc
+++ b/src/tools/placement_bench/load_model.cc
@@ -42,8 +42,8 @@
     for (std::uint32_t i = 0; i < experts; ++i) {
       base_.push_back(std::pow(order[i] + 1.0, -kSkewExponent));
       phase_.push_back(random_.Fraction());
-      swing_.push_back(1.2 * random_.Fraction());
-      walk_.push_back(0);
+      amplitude_.push_back(1.2 * random_.Fraction());
+      random_walk_.push_back(0);
       topic_.push_back(static_cast<std::uint32_t>(random_.Below(kTopics)));
     }
   }
@@ -63,18 +63,19 @@
   const double day = ToSeconds(time) / kDaySeconds;
   switch (drift_) {
     case Drift::kDaily:
-      return std::exp(swing_[expert] *
+      return std::exp(amplitude_[expert] *
                       std::sin(2 * kPi * (day + phase_[expert])));
     case Drift::kProgrammes: {
       const auto hour = static_cast<std::uint64_t>(day * 24);
       const std::uint64_t slot = (hour % 24) / 2;
-      const bool on_air = (slot * 7 + slot / 3) % kTopics == topic_[expert];
-      return on_air ? 3 : 1;
+      const bool is_topic_active =
+          (slot * 7 + slot / 3) % kTopics == topic_[expert];
+      return is_topic_active ? 3 : 1;
     }
     case Drift::kJumps:
       return 1;
     case Drift::kWander:
-      return std::exp(walk_[expert]);
+      return std::exp(random_walk_[expert]);
   }
   return 1;
 }
@@ -89,8 +90,8 @@
     }
   }
   for (std::size_t i = 0; i < base_.size(); ++i) {
-    walk_[i] = walk_[i] * (1 - 0.02 * hours) +
-               0.15 * std::sqrt(hours) * normal(random_.engine());
+    random_walk_[i] = random_walk_[i] * (1 - 0.02 * hours) +
+                      0.15 * std::sqrt(hours) * normal(random_.engine());
     const double noise = std::exp(kNoise * normal(random_.engine()));
     loads_.values()[i] = base_[i] * Factor(i, time) * noise;
   }
--- a/src/tools/placement_bench/load_model.h
+++ b/src/tools/placement_bench/load_model.h
@@ -44,8 +44,8 @@
   Random random_;
   std::vector<double> base_;   // by layer, then expert
   std::vector<double> phase_;  // share of a day
-  std::vector<double> swing_;
-  std::vector<double> walk_;
+  std::vector<double> amplitude_;
+  std::vector<double> random_walk_;
   std::vector<std::uint32_t> topic_;
   placement::ExpertLoads loads_;
 };
--- a/src/tools/placement_bench/main.cc
+++ b/src/tools/placement_bench/main.cc
@@ -19,29 +19,29 @@
 // Of the timed decision.
 constexpr std::uint32_t kLayers = 58;
 constexpr std::uint32_t kExperts = 64;
-constexpr int kRuns = 21;
+constexpr int kTimedDecisions = 21;
 
-struct Named {
+struct NamedStrategy {
   std::string name;
   Strategy strategy;
 };
 
-std::vector<Named> AllStrategies() {
+std::vector<NamedStrategy> AllStrategies() {
   using placement::PlacementSettings;
   return {
-      {"never", Never{}},
+      {"never", NeverRebalance{}},
       {"repack-30", FullRepack{Seconds(1800)}},
       {"repack-120", FullRepack{Seconds(7200)}},
       {"greedy-10%", GreedyOnThreshold{0.1}},
-      {"qasr", Ours{PlacementSettings::Qasr(), false}},
-      {"qasr-ahead", Ours{PlacementSettings::Qasr(), true}},
-      {"kalapuwa", Ours{PlacementSettings::Kalapuwa(), false}},
-      {"kalapuwa-ahead", Ours{PlacementSettings::Kalapuwa(), true}},
+      {"qasr", PolicyStrategy{PlacementSettings::Qasr(), false}},
+      {"qasr-ahead", PolicyStrategy{PlacementSettings::Qasr(), true}},
+      {"kalapuwa", PolicyStrategy{PlacementSettings::Kalapuwa(), false}},
+      {"kalapuwa-ahead", PolicyStrategy{PlacementSettings::Kalapuwa(), true}},
   };
 }
 
 // Least, middle and most of the seeds.
-std::string Spread(std::vector<double> values, double scale) {
+std::string FormatRange(std::vector<double> values, double scale) {
   std::sort(values.begin(), values.end());
   char text[64];
   std::snprintf(text, sizeof text, "%6.1f [%.1f-%.1f]",
@@ -50,44 +50,45 @@
   return text;
 }
 
-std::string SpreadOf(const std::vector<Outcome>& outcomes,
-                     double Outcome::*field,
-                     double scale) {
+std::string FormatField(const std::vector<Outcome>& outcomes,
+                        double Outcome::*field,
+                        double scale) {
   std::vector<double> values;
   values.reserve(outcomes.size());
   for (const Outcome& outcome : outcomes) {
     values.push_back(outcome.*field);
   }
-  return Spread(std::move(values), scale);
+  return FormatRange(std::move(values), scale);
 }
 
 // Weighed seconds per day, as the presets weigh them.
-double WeighedSeconds(const Outcome& outcome,
-                      const placement::PlacementSettings& settings) {
-  return settings.skew_weight * outcome.seconds_lost +
-         settings.move_weight * outcome.fetching;
+double WeightedSeconds(const Outcome& outcome,
+                       const placement::PlacementSettings& settings) {
+  return settings.skew_weight * outcome.skew_lost_seconds +
+         settings.move_weight * outcome.fetch_seconds;
 }
 
-void PrintRow(const Named& named, const std::vector<Outcome>& outcomes) {
+void PrintRow(const NamedStrategy& named,
+              const std::vector<Outcome>& outcomes) {
   std::vector<double> qasr;
   std::vector<double> kalapuwa;
   for (const Outcome& outcome : outcomes) {
     qasr.push_back(
-        WeighedSeconds(outcome, placement::PlacementSettings::Qasr()));
+        WeightedSeconds(outcome, placement::PlacementSettings::Qasr()));
     kalapuwa.push_back(
-        WeighedSeconds(outcome, placement::PlacementSettings::Kalapuwa()));
+        WeightedSeconds(outcome, placement::PlacementSettings::Kalapuwa()));
   }
   std::printf("%-14s %s %s %s %s %s %s %s %s %s %s\n", named.name.c_str(),
-              SpreadOf(outcomes, &Outcome::skew_p50, 100).c_str(),
-              SpreadOf(outcomes, &Outcome::skew_p95, 100).c_str(),
-              SpreadOf(outcomes, &Outcome::lost, 100).c_str(),
-              SpreadOf(outcomes, &Outcome::least, 100).c_str(),
-              SpreadOf(outcomes, &Outcome::gap_p95, 100).c_str(),
-              SpreadOf(outcomes, &Outcome::gigabytes, 1).c_str(),
-              SpreadOf(outcomes, &Outcome::waited, 1).c_str(),
-              SpreadOf(outcomes, &Outcome::switches, 1).c_str(),
-              Spread(std::move(qasr), 0.001).c_str(),
-              Spread(std::move(kalapuwa), 0.001).c_str());
+              FormatField(outcomes, &Outcome::skew_p50, 100).c_str(),
+              FormatField(outcomes, &Outcome::skew_p95, 100).c_str(),
+              FormatField(outcomes, &Outcome::lost_share, 100).c_str(),
+              FormatField(outcomes, &Outcome::min_lost, 100).c_str(),
+              FormatField(outcomes, &Outcome::rank_gap_p95, 100).c_str(),
+              FormatField(outcomes, &Outcome::moved_gigabytes, 1).c_str(),
+              FormatField(outcomes, &Outcome::move_lost_seconds, 1).c_str(),
+              FormatField(outcomes, &Outcome::switches, 1).c_str(),
+              FormatRange(std::move(qasr), 0.001).c_str(),
+              FormatRange(std::move(kalapuwa), 0.001).c_str());
 }
 
 void Compare(Drift drift, std::uint32_t ranks, std::uint64_t seeds) {
@@ -97,7 +98,7 @@
       "rank gap p95 %%, GB moved/day, s waited/day, switches/day, "
       "weighed ks/day: qasr, kalapuwa\n",
       NameOf(drift), ranks, static_cast<unsigned long long>(seeds));
-  for (const Named& named : AllStrategies()) {
+  for (const NamedStrategy& named : AllStrategies()) {
     std::vector<Outcome> outcomes;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       SimulationOptions options;
@@ -121,7 +122,7 @@
   input.ranks.assign(ranks, placement::RankCapacity{1, slots, true});
   input.last_change = TimeAt(-Seconds(3600));
   std::vector<double> times;
-  for (int i = 0; i < kRuns; ++i) {
+  for (int i = 0; i < kTimedDecisions; ++i) {
     const auto start = std::chrono::steady_clock::now();
     const placement::Decision decision = placement::DecidePlacement(
         input, placement::PlacementSettings::Qasr(), TimeAt(Seconds(0)));
@@ -133,7 +134,7 @@
   }
   if (!times.empty()) {
     std::printf("one decision, %u ranks, 64 experts, 58 layers: %s ms\n", ranks,
-                Spread(std::move(times), 1).c_str());
+                FormatRange(std::move(times), 1).c_str());
   }
 }
 
@@ -146,14 +147,14 @@
 constexpr Drift kDrifts[] = {Drift::kDaily, Drift::kProgrammes, Drift::kJumps,
                              Drift::kWander};
 
-Arguments Parse(int count, char** words) {
+Arguments Parse(int argc, char** argv) {
   Arguments arguments;
   bool seeds_known = false;
-  for (int i = 1; i < count; ++i) {
-    const std::string word = words[i];
-    const unsigned long number = std::strtoul(words[i], nullptr, 10);
+  for (int i = 1; i < argc; ++i) {
+    const std::string argument = argv[i];
+    const unsigned long number = std::strtoul(argv[i], nullptr, 10);
     for (const Drift drift : kDrifts) {
-      if (word == NameOf(drift)) {
+      if (argument == NameOf(drift)) {
         arguments.drifts.push_back(drift);
       }
     }
@@ -177,8 +178,8 @@
   return arguments;
 }
 
-int Main(int count, char** words) {
-  const Arguments arguments = Parse(count, words);
+int Main(int argc, char** argv) {
+  const Arguments arguments = Parse(argc, argv);
   for (const std::uint32_t ranks : arguments.ranks) {
     TimeDecision(ranks);
   }
@@ -193,6 +194,6 @@
 }  // namespace
 }  // namespace bilberryspool::bench
 
-int main(int count, char** arguments) {
-  return bilberryspool::bench::Main(count, arguments);
+int main(int argc, char** argv) {
+  return bilberryspool::bench::Main(argc, argv);
 }
--- a/src/tools/placement_bench/simulation.cc
+++ b/src/tools/placement_bench/simulation.cc
@@ -18,17 +18,19 @@
 using placement::RankCapacity;
 
 constexpr Duration kTick = Seconds(60);
-constexpr Duration kDecideEvery = Seconds(300);
+constexpr Duration kDecisionInterval = Seconds(300);
 constexpr double kExpertGigabytes = 0.05;
 constexpr double kSecondsPerFetch = 0.05;
 // While weights are fetched, steps take this much longer.
 constexpr double kFetchSlowdown = 0.03;
 constexpr double kSwitchSeconds = 0.01;
-constexpr double kLostReports = 0.1;
-constexpr double kDoubledReports = 0.05;
+constexpr double kReportLossProbability = 0.1;
+constexpr double kReportDuplicationProbability = 0.05;
 constexpr double kSlowSpeed = 0.7;
 
-bool Within(Duration time, std::int64_t from_hour, std::int64_t until_hour) {
+bool IsWithinHours(Duration time,
+                   std::int64_t from_hour,
+                   std::int64_t until_hour) {
   return time >= Seconds(3600 * from_hour) && time < Seconds(3600 * until_hour);
 }
 
@@ -61,13 +63,13 @@
         random_(options.seed + 1000),
         model_(options.drift, options.layers, options.experts, options.seed),
         slots_((options.experts + options.ranks - 1) / options.ranks + 1),
-        chosen_(ExpertMap::RoundRobin(options.layers,
-                                      options.experts,
-                                      options.ranks,
-                                      slots_)),
-        map_(chosen_),
-        estimator_(EstimatorFor(options)),
-        speeds_(SpeedsFor(options)) {}
+        chosen_map_(ExpertMap::RoundRobin(options.layers,
+                                          options.experts,
+                                          options.ranks,
+                                          slots_)),
+        map_(chosen_map_),
+        estimator_(MakeEstimatorOptions(options)),
+        speeds_(MakeSpeedOptions(options)) {}
 
   Outcome Run() {
     const Duration end = Seconds(86400) * options_.days;
@@ -78,51 +80,53 @@
   }
 
  private:
-  struct Pending {
+  struct PendingMap {
     ExpertMap map;
     TimePoint ready;
   };
 
-  static placement::EstimatorOptions EstimatorFor(
+  static placement::EstimatorOptions MakeEstimatorOptions(
       const SimulationOptions& options) {
-    placement::EstimatorOptions made;
-    made.layers = options.layers;
-    made.experts = options.experts;
-    made.half_life = options.half_life;
-    return made;
+    placement::EstimatorOptions result;
+    result.layers = options.layers;
+    result.experts = options.experts;
+    result.half_life = options.half_life;
+    return result;
   }
 
-  static placement::SpeedOptions SpeedsFor(const SimulationOptions& options) {
-    placement::SpeedOptions made;
-    made.ranks = options.ranks;
-    return made;
+  static placement::SpeedOptions MakeSpeedOptions(
+      const SimulationOptions& options) {
+    placement::SpeedOptions result;
+    result.ranks = options.ranks;
+    return result;
   }
 
   void Step(Duration time) {
     now_ = TimeAt(time);
     const ExpertLoads& loads = model_.Advance(time, kTick);
-    TendLostRank(time);
-    if (pending_ && now_ >= pending_->ready) {
-      map_ = std::move(pending_->map);
-      pending_.reset();
+    UpdateLostRank(time);
+    if (pending_map_ && now_ >= pending_map_->ready) {
+      map_ = std::move(pending_map_->map);
+      pending_map_.reset();
       ++switches_;
     }
     Measure(time, loads);
-    Report(loads);
-    if (time % kDecideEvery == Duration::zero() && time >= kDecideEvery) {
+    DeliverReport(loads);
+    if (time % kDecisionInterval == Duration::zero() &&
+        time >= kDecisionInterval) {
       Decide(time);
     }
   }
 
   // One rank is lost on the third day, for two hours.
-  void TendLostRank(Duration time) {
-    const bool lost = Within(time, 50, 52);
+  void UpdateLostRank(Duration time) {
+    const bool lost = IsWithinHours(time, 50, 52);
     if (lost == lost_) {
       return;
     }
     lost_ = lost;
-    pending_.reset();
-    Switch(Repaired(chosen_));
+    pending_map_.reset();
+    Switch(Repaired(chosen_map_));
   }
 
   ExpertMap Repaired(const ExpertMap& map) const {
@@ -143,7 +147,7 @@
     const std::uint32_t fetches = FetchesBetween(map_, map);
     fetches_ += fetches;
     const auto wait = static_cast<std::int64_t>(fetches * kSecondsPerFetch);
-    pending_ = Pending{std::move(map), now_ + Seconds(wait)};
+    pending_map_ = PendingMap{std::move(map), now_ + Seconds(wait)};
     last_change_ = now_;
   }
 
@@ -151,7 +155,7 @@
   std::vector<RankCapacity> TrueRanks(Duration time) const {
     std::vector<RankCapacity> ranks(options_.ranks,
                                     RankCapacity{1, slots_, true});
-    if (Within(time, 30, 36)) {
+    if (IsWithinHours(time, 30, 36)) {
       ranks[1].speed = kSlowSpeed;
     }
     if (lost_) {
@@ -169,7 +173,7 @@
     lost_seconds_ += skew * busy;
     busy_seconds_ += busy;
     if (time % Seconds(1800) == Duration::zero()) {
-      least_.push_back(LeastSkew(loads, ranks));
+      min_skews_.push_back(MinSkew(loads, ranks));
     }
     MeasureRanks(map, loads, ranks);
   }
@@ -197,32 +201,33 @@
                       Microseconds(static_cast<std::int64_t>(seconds * 1e6)),
                       now_);
     }
-    const auto [least, most] = std::minmax_element(live.begin(), live.end());
-    gaps_.push_back((*most - *least) / *most);
+    const auto [shortest, longest] =
+        std::minmax_element(live.begin(), live.end());
+    rank_gaps_.push_back((*longest - *shortest) / *longest);
   }
 
   // Counts arrive a minute or two late, some never, some twice.
-  void Report(const ExpertLoads& loads) {
+  void DeliverReport(const ExpertLoads& loads) {
     placement::CountReport report;
     report.incarnation = Incarnation(1);
     report.number = ++reports_;
     report.from = now_ - kTick;
     report.until = now_;
     report.tokens = loads;
-    if (!random_.Chance(kLostReports)) {
-      late_.push_back(report);
+    if (!random_.Chance(kReportLossProbability)) {
+      delayed_reports_.push_back(report);
     }
-    if (random_.Chance(kDoubledReports)) {
-      late_.push_back(std::move(report));
+    if (random_.Chance(kReportDuplicationProbability)) {
+      delayed_reports_.push_back(std::move(report));
     }
-    while (late_.size() > 2) {
-      estimator_.Observe(late_.front(), now_);
-      late_.pop_front();
+    while (delayed_reports_.size() > 2) {
+      estimator_.Observe(delayed_reports_.front(), now_);
+      delayed_reports_.pop_front();
     }
   }
 
   void Decide(Duration time) {
-    if (pending_ || lost_) {
+    if (pending_map_ || lost_) {
       return;
     }
     const std::vector<RankCapacity> ranks = speeds_.Capacities(slots_, now_);
@@ -239,7 +244,7 @@
                               now_};
     std::optional<ExpertMap> next = NextMap(strategy_, situation);
     if (next && *next != map_) {
-      chosen_ = *next;
+      chosen_map_ = *next;
       Switch(std::move(*next));
     }
   }
@@ -249,17 +254,17 @@
     const double days = options_.days;
     outcome.skew_p50 = Percentile(skews_, 0.5);
     outcome.skew_p95 = Percentile(skews_, 0.95);
-    outcome.gap_p95 = Percentile(gaps_, 0.95);
-    outcome.lost = lost_seconds_ / busy_seconds_;
-    for (const double least : least_) {
-      outcome.least += least / static_cast<double>(least_.size());
+    outcome.rank_gap_p95 = Percentile(rank_gaps_, 0.95);
+    outcome.lost_share = lost_seconds_ / busy_seconds_;
+    for (const double min_skew : min_skews_) {
+      outcome.min_lost += min_skew / static_cast<double>(min_skews_.size());
     }
-    outcome.gigabytes = fetches_ * kExpertGigabytes / days;
-    outcome.fetching = fetches_ * kSecondsPerFetch / days;
+    outcome.moved_gigabytes = fetches_ * kExpertGigabytes / days;
+    outcome.fetch_seconds = fetches_ * kSecondsPerFetch / days;
     outcome.switches = switches_ / days;
-    outcome.waited =
-        outcome.fetching * kFetchSlowdown + outcome.switches * kSwitchSeconds;
-    outcome.seconds_lost = lost_seconds_ / days;
+    outcome.move_lost_seconds = outcome.fetch_seconds * kFetchSlowdown +
+                                outcome.switches * kSwitchSeconds;
+    outcome.skew_lost_seconds = lost_seconds_ / days;
     return outcome;
   }
 
@@ -268,19 +273,19 @@
   Random random_;
   LoadModel model_;
   std::uint32_t slots_;
-  ExpertMap chosen_;
+  ExpertMap chosen_map_;
   ExpertMap map_;
   placement::PopularityEstimator estimator_;
   placement::SpeedEstimator speeds_;
-  std::optional<Pending> pending_;
+  std::optional<PendingMap> pending_map_;
   TimePoint now_;
   TimePoint last_change_;
   bool lost_ = false;
   std::uint64_t reports_ = 0;
-  std::deque<placement::CountReport> late_;
+  std::deque<placement::CountReport> delayed_reports_;
   std::vector<double> skews_;
-  std::vector<double> gaps_;
-  std::vector<double> least_;
+  std::vector<double> rank_gaps_;
+  std::vector<double> min_skews_;
   double lost_seconds_ = 0;
   double busy_seconds_ = 0;
   double fetches_ = 0;
--- a/src/tools/placement_bench/simulation.h
+++ b/src/tools/placement_bench/simulation.h
@@ -24,14 +24,14 @@
 struct Outcome {
   double skew_p50 = 0;  // share of step time lost to waiting
   double skew_p95 = 0;
-  double lost = 0;          // the same over all busy time
-  double gap_p95 = 0;       // slowest less fastest rank, by the slowest
-  double least = 0;         // lower bound of `lost`
-  double gigabytes = 0;     // moved per day
-  double fetching = 0;      // seconds per day
-  double switches = 0;      // steps at which the map changed, per day
-  double waited = 0;        // seconds of step time lost by moving, per day
-  double seconds_lost = 0;  // by skew, per day
+  double lost_share = 0;         // the same over all busy time
+  double rank_gap_p95 = 0;       // slowest less fastest rank, by the slowest
+  double min_lost = 0;           // lower bound of `lost`
+  double moved_gigabytes = 0;    // moved per day
+  double fetch_seconds = 0;      // seconds per day
+  double switches = 0;           // steps at which the map changed, per day
+  double move_lost_seconds = 0;  // seconds of step time lost by moving, per day
+  double skew_lost_seconds = 0;  // by skew, per day
 };
 
 Outcome Simulate(const Strategy& strategy, const SimulationOptions& options);
--- a/src/tools/placement_bench/strategies.cc
+++ b/src/tools/placement_bench/strategies.cc
@@ -34,7 +34,7 @@
 std::optional<ExpertMap> Greedy(const GreedyOnThreshold& strategy,
                                 const Situation& situation) {
   if (placement::SkewOf(situation.map, situation.estimate, situation.ranks) <
-      strategy.skew) {
+      strategy.skew_threshold) {
     return std::nullopt;
   }
   ExpertMap map = situation.map;
@@ -53,17 +53,18 @@
   return map;
 }
 
-std::optional<ExpertMap> Decide(const Ours& ours, const Situation& situation) {
+std::optional<ExpertMap> Decide(const PolicyStrategy& policy,
+                                const Situation& situation) {
   PlacementInput input;
   input.map = situation.map;
-  input.loads = ours.forecast ? situation.forecast : situation.estimate;
+  input.loads = policy.forecast ? situation.forecast : situation.estimate;
   input.ranks = situation.ranks;
   input.seconds_per_fetch = situation.seconds_per_fetch;
   input.utilization = situation.utilization;
   input.last_change = situation.last_change;
   input.at_peak = situation.utilization > 0.85;
   const Decision decision =
-      placement::DecidePlacement(input, ours.settings, situation.now);
+      placement::DecidePlacement(input, policy.settings, situation.now);
   if (const auto* plan = std::get_if<MovePlan>(&decision)) {
     return plan->map;
   }
@@ -72,7 +73,7 @@
 
 }  // namespace
 
-ExpertMap PackAnew(const Situation& situation) {
+ExpertMap RepackAll(const Situation& situation) {
   const OperatorRules no_rules;
   ExpertMap map = situation.map;
   for (std::uint32_t i = 0; i < map.layers(); ++i) {
@@ -91,39 +92,43 @@
                                  const Situation& situation) {
   return std::visit(
       Overloaded{
-          [](const Never&) -> std::optional<ExpertMap> { return std::nullopt; },
+          [](const NeverRebalance&) -> std::optional<ExpertMap> {
+            return std::nullopt;
+          },
           [&](const FullRepack& repack) -> std::optional<ExpertMap> {
             if (situation.now - situation.last_change < repack.interval) {
               return std::nullopt;
             }
-            return PackAnew(situation);
+            return RepackAll(situation);
           },
           [&](const GreedyOnThreshold& greedy) {
             return Greedy(greedy, situation);
           },
-          [&](const Ours& ours) { return Decide(ours, situation); },
+          [&](const PolicyStrategy& policy) {
+            return Decide(policy, situation);
+          },
       },
       strategy);
 }
 
 // The work can't be spread thinner than evenly, nor can an expert's share be
 // smaller than the number of places allows.
-double LeastSkew(const ExpertLoads& loads,
-                 const std::vector<RankCapacity>& ranks) {
+double MinSkew(const ExpertLoads& loads,
+               const std::vector<RankCapacity>& ranks) {
   double speed = 0;
   double fastest = 0;
-  std::uint32_t places = 0;
+  std::uint32_t slot_count = 0;
   for (const RankCapacity& rank : ranks) {
     speed += rank.speed;
     fastest = std::max(fastest, rank.speed);
-    places += rank.slots;
+    slot_count += rank.slots;
   }
-  double ideal = 0;
-  double least = 0;
+  double ideal_time = 0;
+  double min_time = 0;
   for (std::uint32_t i = 0; i < loads.layers(); ++i) {
     const LayerIndex layer(i);
     const std::vector<std::uint32_t> copies = placement::CopyCounts(
-        loads, layer, places, static_cast<std::uint32_t>(ranks.size()));
+        loads, layer, slot_count, static_cast<std::uint32_t>(ranks.size()));
     double total = 0;
     double largest_share = 0;
     for (std::uint32_t j = 0; j < loads.experts(); ++j) {
@@ -131,10 +136,10 @@
       total += load;
       largest_share = std::max(largest_share, load / copies[j]);
     }
-    ideal += total / speed;
-    least += std::max(total / speed, largest_share / fastest);
+    ideal_time += total / speed;
+    min_time += std::max(total / speed, largest_share / fastest);
   }
-  return least > 0 ? 1 - ideal / least : 0;
+  return min_time > 0 ? 1 - ideal_time / min_time : 0;
 }
 
 }  // namespace bilberryspool::bench
--- a/src/tools/placement_bench/strategies.h
+++ b/src/tools/placement_bench/strategies.h
@@ -12,21 +12,22 @@
 
 namespace bilberryspool::bench {
 
-struct Never {};
+struct NeverRebalance {};
 // Packs all experts anew.
 struct FullRepack {
   Duration interval;
 };
 // Improves layers without regard to cost while the skew is above a threshold.
 struct GreedyOnThreshold {
-  double skew = 0.1;
+  double skew_threshold = 0.1;
 };
-struct Ours {
+struct PolicyStrategy {
   placement::PlacementSettings settings;
   bool forecast = false;
 };
 
-using Strategy = std::variant<Never, FullRepack, GreedyOnThreshold, Ours>;
+using Strategy =
+    std::variant<NeverRebalance, FullRepack, GreedyOnThreshold, PolicyStrategy>;
 
 struct Situation {
   const placement::ExpertMap& map;
@@ -44,11 +45,11 @@
                                             const Situation& situation);
 
 // Copies in proportion to load, heaviest first onto the emptiest rank.
-placement::ExpertMap PackAnew(const Situation& situation);
+placement::ExpertMap RepackAll(const Situation& situation);
 
 // No placement with these slots has a smaller skew.
-double LeastSkew(const placement::ExpertLoads& loads,
-                 const std::vector<placement::RankCapacity>& ranks);
+double MinSkew(const placement::ExpertLoads& loads,
+               const std::vector<placement::RankCapacity>& ranks);
 
 }  // namespace bilberryspool::bench
 
