--- a/src/tools/claims_bench/main.cc
+++ b/src/tools/claims_bench/main.cc
@@ -23,13 +23,13 @@
 const std::vector<NodeId> kHolders = {
     NodeId("entry-sahab-1"), NodeId("entry-marka-2"), NodeId("entry-abdali-3")};
 
-RequestKey Key(int number) {
+RequestKey MakeKey(int number) {
   return {Workspace("workspace-" + std::to_string(number % kWorkspaces)),
           RequestId(std::to_string(10000000 + number) + kUuidTail)};
 }
 
-RequestSpec Spec(int number) {
-  return {Key(number),
+RequestSpec MakeSpec(int number) {
+  return {MakeKey(number),
           Fingerprint(static_cast<std::uint64_t>(number)),
           {kHolders[0], Incarnation(3),
            ClaimNumber(static_cast<std::uint64_t>(number))},
@@ -56,7 +56,7 @@
 
 // Runs one request to its answer, with all holders granting.
 void RunRequest(int number, Traffic* traffic, bool count) {
-  RequestMachine machine({}, Spec(number));
+  RequestMachine machine({}, MakeSpec(number));
   machine.Handle(RequestStarted{}, TimeAt({}));
   const AdmissionToken token{Incarnation(1), TokenGeneration(0), Epoch(1)};
   const auto claims = machine.Handle(
@@ -95,8 +95,8 @@
 class Stopwatch {
  public:
   double MicrosecondsPer(int count) const {
-    const auto passed = std::chrono::steady_clock::now() - started_;
-    return std::chrono::duration<double, std::micro>(passed).count() / count;
+    const auto elapsed = std::chrono::steady_clock::now() - started_;
+    return std::chrono::duration<double, std::micro>(elapsed).count() / count;
   }
 
  private:
@@ -105,10 +105,10 @@
 };
 
 void MeasureEntry(Traffic* traffic) {
-  Traffic one;
-  RunRequest(0, &one, true);
-  std::printf("one request: %zu messages, %zu bytes of JSON\n", one.messages,
-              one.bytes);
+  Traffic single_request;
+  RunRequest(0, &single_request, true);
+  std::printf("one request: %zu messages, %zu bytes of JSON\n",
+              single_request.messages, single_request.bytes);
   const Stopwatch watch;
   for (int number = 0; number < kKeys; ++number) {
     RunRequest(number, traffic, false);
--- a/src/tools/config_bench/config_bench.cc
+++ b/src/tools/config_bench/config_bench.cc
@@ -32,7 +32,7 @@
       std::chrono::steady_clock::now();
 };
 
-Command CommandOf(std::uint64_t index, std::vector<Change> changes) {
+Command MakeCommand(std::uint64_t index, std::vector<Change> changes) {
   return {CommandId("bench-command-" + std::to_string(index)),
           OperatorId("bench"), std::nullopt, std::move(changes)};
 }
@@ -51,10 +51,10 @@
     changes.emplace_back(DeclareService{{service}});
     changes.emplace_back(Allow{{service, AnyTarget()}});
   }
-  machine.Apply(CommandOf(1, changes), LogIndex(1));
+  machine.Apply(MakeCommand(1, changes), LogIndex(1));
   for (std::uint64_t i = 0; i < workspaces; ++i) {
     const LogIndex index = machine.applied_index().Next();
-    machine.Apply(CommandOf(index.value(), {WorkspaceChange(i, 1)}), index);
+    machine.Apply(MakeCommand(index.value(), {WorkspaceChange(i, 1)}), index);
   }
   return machine;
 }
@@ -79,21 +79,21 @@
   node.Replace(machine.configuration());
   const std::uint64_t resident = ResidentKilobytes();
   double apply = 0;
-  double spread = 0;
+  double delta_apply = 0;
   std::size_t delta_bytes = 0;
   for (std::uint64_t i = 0; i < kChanges; ++i) {
     const LogIndex index = machine.applied_index().Next();
     const auto limit = static_cast<std::uint32_t>(2 + i);
     const Command command =
-        CommandOf(index.value(), {WorkspaceChange(i % workspaces, limit)});
+        MakeCommand(index.value(), {WorkspaceChange(i % workspaces, limit)});
     const Stopwatch apply_watch;
     machine.Apply(command, index);
     apply += apply_watch.Microseconds();
     const std::string bytes = ToBytes(*machine.DeltaFrom(node.version()));
     delta_bytes += bytes.size();
-    const Stopwatch spread_watch;
+    const Stopwatch delta_apply_watch;
     node.Apply(*DeltaFromBytes(bytes));
-    spread += spread_watch.Microseconds();
+    delta_apply += delta_apply_watch.Microseconds();
   }
   const Stopwatch write_watch;
   const std::string snapshot = WriteSnapshot(machine.state());
@@ -106,10 +106,10 @@
   const double copy_time = copy_watch.Microseconds();
   std::cout << workspaces << " workspaces: apply " << apply / kChanges
             << " us, delta " << delta_bytes / kChanges << " bytes, taken in "
-            << spread / kChanges << " us, full state " << ToBytes(copy).size()
-            << " bytes, copied in " << copy_time << " us, snapshot "
-            << snapshot.size() << " bytes, written in " << write
-            << " us, read in " << read_time
+            << delta_apply / kChanges << " us, full state "
+            << ToBytes(copy).size() << " bytes, copied in " << copy_time
+            << " us, snapshot " << snapshot.size() << " bytes, written in "
+            << write << " us, read in " << read_time
             << " us, process with machine and one node " << resident << " KB"
             << (read ? "" : " (NOT READ)") << "\n";
 }
--- a/src/tools/consensus_bench/main.cc
+++ b/src/tools/consensus_bench/main.cc
@@ -24,8 +24,8 @@
 constexpr int kCommands = 20000;
 constexpr int kIdleSeconds = 600;
 constexpr std::size_t kCommandBytes = 300;
-constexpr std::uint64_t kWrites = 2000;
-constexpr std::uint64_t kUnsynced = 50000;
+constexpr std::uint64_t kSyncedWrites = 2000;
+constexpr std::uint64_t kUnsyncedWrites = 50000;
 
 using Clock = std::chrono::steady_clock;
 using consensus::Message;
@@ -36,9 +36,9 @@
 }
 
 // Replicas that hear each other at once; writes count as synced at once.
-class Group {
+class ReplicaGroup {
  public:
-  explicit Group(int size) {
+  explicit ReplicaGroup(int size) {
     consensus::ReplicaOptions options;
     for (int i = 0; i < size; ++i) {
       options.initial_voters.emplace_back("entry-" + std::to_string(i));
@@ -60,7 +60,7 @@
           Handle(i, consensus::Tick{});
         }
       }
-      Settle();
+      DeliverMessages();
       now_ += Milliseconds(10);
     }
   }
@@ -71,17 +71,17 @@
         Handle(i, consensus::Propose{consensus::RequestTicket(1), bytes});
       }
     }
-    Settle();
+    DeliverMessages();
   }
 
   std::uint64_t messages() const { return messages_; }
   std::uint64_t bytes() const { return bytes_; }
 
  private:
-  void Settle() {
-    while (!waiting_.empty()) {
-      const Message message = std::move(waiting_.front());
-      waiting_.pop_front();
+  void DeliverMessages() {
+    while (!undelivered_.empty()) {
+      const Message message = std::move(undelivered_.front());
+      undelivered_.pop_front();
       for (std::size_t i = 0; i < replicas_.size(); ++i) {
         if (replicas_[i].self().node == message.to.node) {
           Handle(i, consensus::MessageReceived{message});
@@ -98,7 +98,7 @@
             boost::json::serialize(consensus::ToJson(send->message));
         bytes_ += text.size();
         const auto read = consensus::MessageFromJson(boost::json::parse(text));
-        waiting_.push_back(read.value());
+        undelivered_.push_back(read.value());
       } else if (const auto* persist =
                      std::get_if<consensus::Persist>(&action)) {
         Handle(index, consensus::Persisted{persist->ticket});
@@ -107,14 +107,14 @@
   }
 
   std::vector<Replica> replicas_;
-  std::deque<Message> waiting_;
+  std::deque<Message> undelivered_;
   TimePoint now_;
   std::uint64_t messages_ = 0;
   std::uint64_t bytes_ = 0;
 };
 
 void MeasureGroup(int size) {
-  Group group(size);
+  ReplicaGroup group(size);
   group.RunFor(Seconds(5));
   std::uint64_t messages = group.messages();
   std::uint64_t bytes = group.bytes();
@@ -155,19 +155,19 @@
     return folder->Write(persist);
   };
   auto start = Clock::now();
-  for (std::uint64_t i = 0; i < kWrites; ++i) {
+  for (std::uint64_t i = 0; i < kSyncedWrites; ++i) {
     BOOST_LEAF_CHECK(write());
     BOOST_LEAF_CHECK(folder->Sync());
   }
   std::cout << "write and sync of one entry: "
-            << SecondsSince(start) / kWrites * 1e6 << " us\n";
+            << SecondsSince(start) / kSyncedWrites * 1e6 << " us\n";
   start = Clock::now();
-  for (std::uint64_t i = 0; i < kUnsynced; ++i) {
+  for (std::uint64_t i = 0; i < kUnsyncedWrites; ++i) {
     BOOST_LEAF_CHECK(write());
   }
   BOOST_LEAF_CHECK(folder->Sync());
   std::cout << "write of one entry, one sync for all: "
-            << SecondsSince(start) / kUnsynced * 1e6 << " us\n";
+            << SecondsSince(start) / kUnsyncedWrites * 1e6 << " us\n";
   folder.reset();
   start = Clock::now();
   BOOST_LEAF_ASSIGN(folder, storage::DataFolder::Open(files, options));
--- a/src/tools/rpc_bench/main.cc
+++ b/src/tools/rpc_bench/main.cc
@@ -15,18 +15,18 @@
 
 constexpr int kDefaultCalls = 20'000;
 
-double MicrosecondsOfCall(const Caller& caller,
-                          const std::string& params,
-                          int calls) {
+double MicrosecondsPerCall(const Caller& caller,
+                           const std::string& params,
+                           int calls) {
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < calls; ++i) {
     if (std::holds_alternative<RpcError>(caller.Call("echo", params))) {
       return -1;
     }
   }
-  const std::chrono::duration<double, std::micro> took =
+  const std::chrono::duration<double, std::micro> elapsed =
       std::chrono::steady_clock::now() - start;
-  return took.count() / calls;
+  return elapsed.count() / calls;
 }
 
 void Run(int calls) {
@@ -43,7 +43,7 @@
     }
     params += "}";
     std::printf("%6zu bytes of parameters: %8.2f us a call\n", params.size(),
-                MicrosecondsOfCall(caller, params, calls));
+                MicrosecondsPerCall(caller, params, calls));
   }
 }
 
--- a/src/tools/spread_bench/main.cc
+++ b/src/tools/spread_bench/main.cc
@@ -3,7 +3,7 @@
 //   spread_bench DOMAINS ENTRIES AGENTS [LOSS]
 //
 // Bytes are those of the JSON messages, sent and received; what HTTP and TCP
-// add per message is shown apart, at kOverhead bytes each.
+// add per message is shown apart, at kOverheadBytes bytes each.
 
 #include <algorithm>
 #include <cstdlib>
@@ -16,27 +16,27 @@
 namespace bilberryspool::spread_bench {
 namespace {
 
-constexpr double kOverhead = 250;
+constexpr double kOverheadBytes = 250;
 constexpr Duration kWarmUp = Seconds(40);
 constexpr Duration kWindow = Seconds(15);
 constexpr int kChanges = 5;
 
-struct Row {
+struct PerNodeRate {
   double sum = 0;
-  double most = 0;
+  double max_value = 0;
 
   void Add(double value) {
     sum += value;
-    most = std::max(most, value);
+    max_value = std::max(max_value, value);
   }
 };
 
 void PrintRole(const Scenario& scenario, bool entries, Duration window) {
   const double seconds = ToSeconds(window);
-  Row messages;
-  Row membership;
-  Row spread;
-  Row total;
+  PerNodeRate messages;
+  PerNodeRate membership;
+  PerNodeRate spread;
+  PerNodeRate total;
   double events = 0;
   double processor = 0;
   int count = 0;
@@ -51,14 +51,14 @@
     messages.Add(sent / seconds);
     membership.Add(static_cast<double>(traffic.membership_bytes) / seconds);
     spread.Add(static_cast<double>(traffic.spread_bytes) / seconds);
-    total.Add((bytes + sent * kOverhead) / seconds);
+    total.Add((bytes + sent * kOverheadBytes) / seconds);
     events += static_cast<double>(traffic.events);
     processor += traffic.processor_seconds;
     ++count;
   }
-  const auto print = [&](const char* name, const Row& row) {
-    std::cout << "  " << name << ": mean " << row.sum / count << ", most "
-              << row.most << "\n";
+  const auto print = [&](const char* name, const PerNodeRate& rate) {
+    std::cout << "  " << name << ": mean " << rate.sum / count << ", most "
+              << rate.max_value << "\n";
   };
   std::cout << (entries ? "entries" : "agents") << " (" << count << ")\n";
   print("messages/s", messages);
@@ -96,8 +96,8 @@
   PrintRole(scenario, false, kWindow);
   std::vector<double> times;
   for (int i = 0; i < kChanges; ++i) {
-    const auto took = scenario.SpreadChange(Seconds(20));
-    times.push_back(took ? ToMilliseconds(*took) : 1e9);
+    const auto elapsed = scenario.SpreadChange(Seconds(20));
+    times.push_back(elapsed ? ToMilliseconds(*elapsed) : 1e9);
     scenario.Run(Seconds(2));
   }
   std::sort(times.begin(), times.end());
--- a/src/tools/spread_bench/scenario.cc
+++ b/src/tools/spread_bench/scenario.cc
@@ -12,8 +12,9 @@
 namespace bilberryspool::spread_bench {
 namespace {
 
-constexpr std::uint64_t kStart = 1764700000;  // incarnation of the first
-constexpr std::size_t kSeeds = 3;
+constexpr std::uint64_t kFirstIncarnation =
+    1764700000;  // incarnation of the first
+constexpr std::size_t kSeedCount = 3;
 
 }  // namespace
 
@@ -32,10 +33,10 @@
   traffic_.resize(nodes_.size());
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
     index_[nodes_[node].name] = node;
-    At(now_ + random_.Between(Duration(0), Milliseconds(500)),
-       [this, node] { Tick(node); });
+    ScheduleAt(now_ + random_.Between(Duration(0), Milliseconds(500)),
+               [this, node] { Tick(node); });
   }
-  Spreader(0, spread::LeadershipChanged{true});
+  HandleSpreaderEvent(0, spread::LeadershipChanged{true});
 }
 
 std::string Scenario::DomainName(int index) const {
@@ -47,18 +48,19 @@
   node.domain = FailureDomain(DomainName(index));
   node.name = node.domain.value() + "-e" + std::to_string(index);
   DirectoryOptions options;
-  options.self = {NodeId(node.name), node.domain, node.name,
-                  Incarnation(kStart + static_cast<std::uint64_t>(index))};
+  options.self = {
+      NodeId(node.name), node.domain, node.name,
+      Incarnation(kFirstIncarnation + static_cast<std::uint64_t>(index))};
   // As settings would: three entries of the own domain, three of others.
   std::vector<std::string>& own = domain_seeds_[node.domain.value()];
   own.push_back(node.name);
-  if (seeds_.size() < kSeeds) {
+  if (seeds_.size() < kSeedCount) {
     seeds_.push_back(node.name);
   }
   options.seeds = seeds_;
-  options.seeds.insert(
-      options.seeds.end(), own.begin(),
-      own.begin() + static_cast<std::ptrdiff_t>(std::min(kSeeds, own.size())));
+  options.seeds.insert(options.seeds.end(), own.begin(),
+                       own.begin() + static_cast<std::ptrdiff_t>(
+                                         std::min(kSeedCount, own.size())));
   node.directory =
       std::make_unique<membership::Directory>(options, random_.engine()());
   AddSpreader(&node, index < options_.control ? spread::SpreaderRole::kControl
@@ -99,7 +101,7 @@
       std::make_unique<spread::Spreader>(options, random_.engine()());
 }
 
-void Scenario::At(TimePoint at, std::function<void()> run) {
+void Scenario::ScheduleAt(TimePoint at, std::function<void()> run) {
   queue_.push(Event{at, ++order_, std::move(run)});
 }
 
@@ -126,15 +128,16 @@
   accepted_ = next;
   const TimePoint start = now_;
   for (std::size_t i = 0; i < static_cast<std::size_t>(options_.control); ++i) {
-    Spreader(i, spread::StepAccepted{step});
+    HandleSpreaderEvent(i, spread::StepAccepted{step});
   }
   while (now_ - start < limit) {
     Run(Milliseconds(1));
-    bool everywhere = true;
+    bool reached_all_nodes = true;
     for (const Node& node : nodes_) {
-      everywhere = everywhere && node.spreader->have() == accepted_;
+      reached_all_nodes =
+          reached_all_nodes && node.spreader->have() == accepted_;
     }
-    if (everywhere) {
+    if (reached_all_nodes) {
       return now_ - start;
     }
   }
@@ -154,40 +157,40 @@
 }
 
 void Scenario::Tick(std::size_t node) {
-  Node& here = nodes_[node];
-  if (now_ >= here.topology_at) {
-    here.topology_at = now_ + Seconds(1);
+  Node& current_node = nodes_[node];
+  if (now_ >= current_node.topology_due_at) {
+    current_node.topology_due_at = now_ + Seconds(1);
     UpdateTopology(node);
   }
-  if (here.directory) {
-    Directory(node, membership::DirectoryTick{}, "");
+  if (current_node.directory) {
+    HandleDirectoryEvent(node, membership::DirectoryTick{}, "");
   } else {
     const auto running = static_cast<std::uint32_t>(random_.Below(64));
-    Announcer(node, membership::LoadMeasured{
-                        {running, 3, 0.5, Microseconds(34000), {}}});
-    Announcer(node, membership::AnnouncerTick{});
+    HandleAnnouncerEvent(node, membership::LoadMeasured{
+                                   {running, 3, 0.5, Microseconds(34000), {}}});
+    HandleAnnouncerEvent(node, membership::AnnouncerTick{});
   }
-  Spreader(node, spread::SpreaderTick{});
-  At(now_ + Milliseconds(100), [this, node] { Tick(node); });
+  HandleSpreaderEvent(node, spread::SpreaderTick{});
+  ScheduleAt(now_ + Milliseconds(100), [this, node] { Tick(node); });
 }
 
 void Scenario::UpdateTopology(std::size_t node) {
-  const Node& here = nodes_[node];
+  const Node& current_node = nodes_[node];
   spread::TopologyChanged topology;
-  if (!here.directory) {
-    if (!here.parent.empty()) {
-      topology.parents.emplace_back(here.parent);
+  if (!current_node.directory) {
+    if (!current_node.parent.empty()) {
+      topology.parents.emplace_back(current_node.parent);
     }
-    Spreader(node, topology);
+    HandleSpreaderEvent(node, topology);
     return;
   }
   for (int d = 0; d < options_.domains; ++d) {
     const FailureDomain domain(DomainName(d));
-    for (const auto& entry : here.directory->contacts(domain, now_)) {
+    for (const auto& entry : current_node.directory->contacts(domain, now_)) {
       topology.entries[domain].push_back(entry.node);
     }
   }
-  for (const auto& view : here.directory->targets(now_)) {
+  for (const auto& view : current_node.directory->targets(now_)) {
     if (view.direct) {
       topology.agents.push_back(view.announcement->node);
     }
@@ -195,24 +198,24 @@
   for (std::size_t i = 0; i < static_cast<std::size_t>(options_.control); ++i) {
     topology.control.emplace_back(nodes_[i].name);
   }
-  Spreader(node, topology);
+  HandleSpreaderEvent(node, topology);
 }
 
 template <typename Machine, typename MachineEvent>
-auto Scenario::Timed(std::size_t node,
-                     Machine* machine,
-                     const MachineEvent& event) {
+auto Scenario::HandleTimed(std::size_t node,
+                           Machine* machine,
+                           const MachineEvent& event) {
   const auto start = std::chrono::steady_clock::now();
   auto actions = machine->Handle(event, now_);
-  const std::chrono::duration<double> took =
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
   ++traffic_[node].events;
-  traffic_[node].processor_seconds += took.count();
+  traffic_[node].processor_seconds += elapsed.count();
   return actions;
 }
 
 template <typename Message>
-std::size_t Scenario::SizeOf(const Message& message) const {
+std::size_t Scenario::JsonSizeOf(const Message& message) const {
   return counting_ ? boost::json::serialize(ToJson(message)).size() : 0;
 }
 
@@ -234,81 +237,89 @@
   if (random_.Chance(options_.loss)) {
     return;
   }
-  At(now_ + random_.Between(options_.least_delay, options_.most_delay),
-     [receiver, run = std::move(run)] { run(receiver); });
+  ScheduleAt(now_ + random_.Between(options_.min_delay, options_.max_delay),
+             [receiver, run = std::move(run)] { run(receiver); });
 }
 
-void Scenario::Directory(std::size_t node,
-                         const membership::DirectoryEvent& event,
-                         const std::string& from) {
+void Scenario::HandleDirectoryEvent(std::size_t node,
+                                    const membership::DirectoryEvent& event,
+                                    const std::string& from) {
   const std::string& name = nodes_[node].name;
-  for (const auto& action : Timed(node, nodes_[node].directory.get(), event)) {
+  for (const auto& action :
+       HandleTimed(node, nodes_[node].directory.get(), event)) {
     if (const auto* reply = std::get_if<membership::ReplyToAgent>(&action)) {
-      Deliver(node, from, SizeOf(reply->reply), true,
+      Deliver(node, from, JsonSizeOf(reply->reply), true,
               [this, received = membership::ReplyReceived{name, reply->reply}](
-                  std::size_t to) { Announcer(to, received); });
+                  std::size_t to) { HandleAnnouncerEvent(to, received); });
     }
     if (const auto* send = std::get_if<membership::SendToPeer>(&action)) {
-      Deliver(node, send->address, SizeOf(send->message), true,
-              [this, name,
-               received = membership::PeerMessageReceived{send->message}](
-                  std::size_t to) { Directory(to, received, name); });
+      Deliver(
+          node, send->address, JsonSizeOf(send->message), true,
+          [this, name,
+           received = membership::PeerMessageReceived{send->message}](
+              std::size_t to) { HandleDirectoryEvent(to, received, name); });
     }
   }
 }
 
-void Scenario::Announcer(std::size_t node,
-                         const membership::AnnouncerEvent& event) {
+void Scenario::HandleAnnouncerEvent(std::size_t node,
+                                    const membership::AnnouncerEvent& event) {
   const std::string& name = nodes_[node].name;
-  for (const auto& action : Timed(node, nodes_[node].announcer.get(), event)) {
+  for (const auto& action :
+       HandleTimed(node, nodes_[node].announcer.get(), event)) {
     if (const auto* send = std::get_if<membership::SendAnnouncement>(&action)) {
-      Deliver(node, send->entry, SizeOf(send->announcement), true,
-              [this, name,
-               received = membership::AnnouncementReceived{send->announcement}](
-                  std::size_t to) { Directory(to, received, name); });
+      Deliver(
+          node, send->entry, JsonSizeOf(send->announcement), true,
+          [this, name,
+           received = membership::AnnouncementReceived{send->announcement}](
+              std::size_t to) { HandleDirectoryEvent(to, received, name); });
     }
     if (const auto* send = std::get_if<membership::SendHeartbeat>(&action)) {
       nodes_[node].parent = send->entry;
-      Deliver(node, send->entry, SizeOf(send->heartbeat), true,
-              [this, name,
-               received = membership::HeartbeatReceived{send->heartbeat}](
-                  std::size_t to) { Directory(to, received, name); });
+      Deliver(
+          node, send->entry, JsonSizeOf(send->heartbeat), true,
+          [this, name,
+           received = membership::HeartbeatReceived{send->heartbeat}](
+              std::size_t to) { HandleDirectoryEvent(to, received, name); });
     }
   }
 }
 
-void Scenario::Spreader(std::size_t node, const spread::SpreaderEvent& event) {
-  for (const auto& action : Timed(node, nodes_[node].spreader.get(), event)) {
-    Carry(node, action);
+void Scenario::HandleSpreaderEvent(std::size_t node,
+                                   const spread::SpreaderEvent& event) {
+  for (const auto& action :
+       HandleTimed(node, nodes_[node].spreader.get(), event)) {
+    Execute(node, action);
   }
 }
 
-void Scenario::Carry(std::size_t node, const spread::SpreaderAction& action) {
+void Scenario::Execute(std::size_t node, const spread::SpreaderAction& action) {
   const auto send = [&](const NodeId& to, const auto& message, auto event) {
-    Deliver(node, to.value(), SizeOf(message), false,
-            [this, event = spread::SpreaderEvent(std::move(event))](
-                std::size_t receiver) { Spreader(receiver, event); });
+    Deliver(
+        node, to.value(), JsonSizeOf(message), false,
+        [this, event = spread::SpreaderEvent(std::move(event))](
+            std::size_t receiver) { HandleSpreaderEvent(receiver, event); });
   };
   std::visit(
-      Overloaded{[&](const spread::SendDelta& out) {
-                   send(out.to, out.message,
-                        spread::DeltaReceived{out.message});
-                 },
-                 [&](const spread::SendFull& out) {
-                   spread::FullMessage message = out.message;
-                   message.at = nodes_[node].spreader->have();
-                   send(out.to, message, spread::FullReceived{message});
-                 },
-                 [&](const spread::SendHave& out) {
-                   send(out.to, out.message, spread::HaveReceived{out.message});
-                 },
-                 [&](const spread::ApplySteps& apply) {
-                   Spreader(node, spread::Applied{apply.steps.back().to});
-                 },
-                 [&](const spread::ApplyFull& apply) {
-                   Spreader(node, spread::Applied{apply.at});
-                 },
-                 [](const spread::ReportDivergence&) {}},
+      Overloaded{
+          [&](const spread::SendDelta& out) {
+            send(out.to, out.message, spread::DeltaReceived{out.message});
+          },
+          [&](const spread::SendFull& out) {
+            spread::FullMessage message = out.message;
+            message.at = nodes_[node].spreader->have();
+            send(out.to, message, spread::FullReceived{message});
+          },
+          [&](const spread::SendHave& out) {
+            send(out.to, out.message, spread::HaveReceived{out.message});
+          },
+          [&](const spread::ApplySteps& apply) {
+            HandleSpreaderEvent(node, spread::Applied{apply.steps.back().to});
+          },
+          [&](const spread::ApplyFull& apply) {
+            HandleSpreaderEvent(node, spread::Applied{apply.at});
+          },
+          [](const spread::ReportDivergence&) {}},
       action);
 }
 
--- a/src/tools/spread_bench/scenario.h
+++ b/src/tools/spread_bench/scenario.h
@@ -25,8 +25,8 @@
   int services = 17;
   int control = 5;  // control VMs, the first leads
   double loss = 0.0;
-  Duration least_delay = Microseconds(500);
-  Duration most_delay = Milliseconds(5);
+  Duration min_delay = Microseconds(500);
+  Duration max_delay = Milliseconds(5);
   std::size_t delta_bytes = 300;
 };
 
@@ -67,7 +67,7 @@
     std::unique_ptr<membership::Announcer> announcer;
     std::unique_ptr<spread::Spreader> spreader;
     std::string parent;  // of an agent: the entry that it announces to
-    TimePoint topology_at;
+    TimePoint topology_due_at;
   };
   struct Event {
     TimePoint at;
@@ -82,7 +82,7 @@
   void AddAgent(int index);
   void AddSpreader(Node* node, spread::SpreaderRole role);
   std::string DomainName(int index) const;
-  void At(TimePoint at, std::function<void()> run);
+  void ScheduleAt(TimePoint at, std::function<void()> run);
   void Tick(std::size_t node);
   void UpdateTopology(std::size_t node);
   void Deliver(std::size_t from,
@@ -90,16 +90,20 @@
                std::size_t bytes,
                bool membership,
                std::function<void(std::size_t)> run);
-  void Directory(std::size_t node,
-                 const membership::DirectoryEvent& event,
-                 const std::string& from);
-  void Announcer(std::size_t node, const membership::AnnouncerEvent& event);
-  void Spreader(std::size_t node, const spread::SpreaderEvent& event);
-  void Carry(std::size_t node, const spread::SpreaderAction& action);
+  void HandleDirectoryEvent(std::size_t node,
+                            const membership::DirectoryEvent& event,
+                            const std::string& from);
+  void HandleAnnouncerEvent(std::size_t node,
+                            const membership::AnnouncerEvent& event);
+  void HandleSpreaderEvent(std::size_t node,
+                           const spread::SpreaderEvent& event);
+  void Execute(std::size_t node, const spread::SpreaderAction& action);
   template <typename Machine, typename MachineEvent>
-  auto Timed(std::size_t node, Machine* machine, const MachineEvent& event);
+  auto HandleTimed(std::size_t node,
+                   Machine* machine,
+                   const MachineEvent& event);
   template <typename Message>
-  std::size_t SizeOf(const Message& message) const;
+  std::size_t JsonSizeOf(const Message& message) const;
 
   ScenarioOptions options_;
   Random random_;
