--- a/src/tools/blackhole/main.cc
+++ b/src/tools/blackhole/main.cc
@@ -23,33 +23,34 @@
 namespace bilberryspool::blackhole {
 namespace {
 
-bool Obey(const std::string& order, Relay& relay) {
-  if (order == "/silence") {
-    relay.SilencePresent();
+bool ExecuteCommand(const std::string& command, Relay& relay) {
+  if (command == "/silence") {
+    relay.SilenceOpenConnections();
     return true;
   }
-  if (order == "/blackout") {
+  if (command == "/blackout") {
     relay.set_new_connections(NewConnections::kSilent);
-    relay.SilencePresent();
+    relay.SilenceOpenConnections();
     return true;
   }
-  if (order == "/cut") {
+  if (command == "/cut") {
     relay.set_new_connections(NewConnections::kRefused);
-    relay.CutPresent();
+    relay.CloseOpenConnections();
     return true;
   }
-  if (order == "/heal") {
+  if (command == "/heal") {
     relay.set_new_connections(NewConnections::kRelayed);
     return true;
   }
-  return order == "/";
+  return command == "/";
 }
 
-void Answer(net::HttpExchange& exchange, Relay& relay) {
+void HandleExchange(net::HttpExchange& exchange, Relay& relay) {
   constexpr int kOk = 200;
   constexpr int kNotFound = 404;
   net::HttpResponseHead head;
-  head.status = Obey(exchange.request().target, relay) ? kOk : kNotFound;
+  head.status =
+      ExecuteCommand(exchange.request().target, relay) ? kOk : kNotFound;
   const boost::json::object counts{{"open", relay.open_connections()},
                                    {"accepted", relay.accepted()}};
   exchange.Respond(std::move(head), boost::json::serialize(counts));
@@ -69,7 +70,7 @@
     net::HttpServerOptions options;
     options.listen = *control;
     net::HttpServer server(loop, options, [&](net::HttpExchange& exchange) {
-      Answer(exchange, relay);
+      HandleExchange(exchange, relay);
     });
     const std::string error = relay.Start() + server.Start();
     if (!error.empty()) {
--- a/src/tools/blackhole/relay.cc
+++ b/src/tools/blackhole/relay.cc
@@ -50,7 +50,7 @@
 
   void Silence() { is_silent_ = true; }
   // Answers get lost.
-  void SilenceAnswers() { is_unanswered_ = true; }
+  void DropAnswers() { drops_answers_ = true; }
 
   void Close() {
     if (std::exchange(is_closed_, true)) {
@@ -80,12 +80,12 @@
                                     self->OnEnd(side);
                                     return;
                                   }
-                                  self->Pass(side, size);
+                                  self->Forward(side, size);
                                 });
   }
 
-  void Pass(std::size_t side, std::size_t size) {
-    if (is_silent_ || (is_unanswered_ && side == 1)) {
+  void Forward(std::size_t side, std::size_t size) {
+    if (is_silent_ || (drops_answers_ && side == 1)) {
       Read(side);
       return;
     }
@@ -121,8 +121,8 @@
     end.has_ended = true;
     error_code ignored;
     end.socket.close(ignored);
-    const bool is_last = ends_[0].has_ended && ends_[1].has_ended;
-    if (!is_silent_ || is_last) {
+    const bool are_both_closed = ends_[0].has_ended && ends_[1].has_ended;
+    if (!is_silent_ || are_both_closed) {
       Close();
     }
   }
@@ -132,7 +132,7 @@
   std::array<boost::asio::steady_timer, 2> delay_timer_;
   std::function<void()> on_closed_;
   bool is_silent_ = false;
-  bool is_unanswered_ = false;
+  bool drops_answers_ = false;
   bool is_closed_ = false;
 };
 
@@ -166,13 +166,13 @@
 void Relay::Accept() {
   acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
     if (!error) {
-      Take(std::move(socket));
+      AddConnection(std::move(socket));
     }
     Accept();
   });
 }
 
-void Relay::Take(tcp::socket socket) {
+void Relay::AddConnection(tcp::socket socket) {
   ++accepted_;
   if (mode_ == NewConnections::kRefused) {
     return;
@@ -186,21 +186,21 @@
   if (mode_ == NewConnections::kSilent) {
     connection->Silence();
   } else if (mode_ == NewConnections::kUnanswered) {
-    connection->SilenceAnswers();
+    connection->DropAnswers();
   }
   connection->Start(ToTcp(to_));
 }
 
-void Relay::SilencePresent() {
+void Relay::SilenceOpenConnections() {
   for (const auto& connection : connections_) {
     connection->Silence();
   }
 }
 
-void Relay::CutPresent() {
+void Relay::CloseOpenConnections() {
   // Closing takes a connection off the set.
-  const auto present = connections_;
-  for (const auto& connection : present) {
+  const auto open_connections = connections_;
+  for (const auto& connection : open_connections) {
     connection->Close();
   }
 }
--- a/src/tools/blackhole/relay.h
+++ b/src/tools/blackhole/relay.h
@@ -35,9 +35,9 @@
 
   // The present connections carry nothing more, in either direction, and
   // neither end hears of the other's closing.
-  void SilencePresent();
+  void SilenceOpenConnections();
   // Breaks the present connections off.
-  void CutPresent();
+  void CloseOpenConnections();
   void set_new_connections(NewConnections mode) { mode_ = mode; }
   // How late each piece arrives from now on, in either direction.
   void set_delay(Duration delay) { delay_ = delay; }
@@ -48,7 +48,7 @@
 
  private:
   void Accept();
-  void Take(boost::asio::ip::tcp::socket socket);
+  void AddConnection(boost::asio::ip::tcp::socket socket);
 
   boost::asio::io_context& io_;
   net::Endpoint listen_;
--- a/src/tools/load/load_generator.cc
+++ b/src/tools/load/load_generator.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string PromptOf(std::uint64_t number) {
+std::string MakePrompt(std::uint64_t number) {
   return "prompt " + std::to_string(number);
 }
 
@@ -56,14 +56,14 @@
   request.headers.Add("Bilberryspool-Idempotent",
                       options_.is_idempotent ? "true" : "false");
   request.body = json::serialize(json::object{{"model", options_.model},
-                                              {"prompt", PromptOf(number)},
+                                              {"prompt", MakePrompt(number)},
                                               {"max_tokens", options_.tokens},
                                               {"stream", options_.is_stream}});
   return request;
 }
 
-bool LoadGenerator::IsWhole(const std::string& body,
-                            const std::string& prompt) const {
+bool LoadGenerator::IsComplete(const std::string& body,
+                               const std::string& prompt) const {
   std::size_t at = 0;
   for (std::int64_t i = 0; i < options_.tokens; ++i) {
     const std::string token =
@@ -83,7 +83,7 @@
   CallResult result;
   std::string body;
   while (true) {
-    net::StreamPiece piece = stream.Read(options_.patience);
+    net::StreamPiece piece = stream.Read(options_.timeout);
     if (auto* bytes = std::get_if<std::string>(&piece)) {
       if (body.empty()) {
         result.first_token = net::SteadyNow() - started;
@@ -108,7 +108,7 @@
   }
   result.outcome = "answered";
   result.tokens = static_cast<std::uint64_t>(options_.tokens);
-  result.is_correct = IsWhole(body, prompt);
+  result.is_correct = IsComplete(body, prompt);
   return result;
 }
 
@@ -116,7 +116,7 @@
   const TimePoint started = net::SteadyNow();
   const net::Endpoint& entry =
       options_.entries[number % options_.entries.size()];
-  auto opened = client_.Open(entry, MakeRequest(number), options_.patience);
+  auto opened = client_.Open(entry, MakeRequest(number), options_.timeout);
   if (auto* error = std::get_if<net::HttpError>(&opened)) {
     CallResult result;
     result.outcome = Describe(*error);
@@ -124,7 +124,7 @@
     return result;
   }
   auto& stream = std::get<std::unique_ptr<net::HttpClientStream>>(opened);
-  return ReadAnswer(*stream, PromptOf(number), started);
+  return ReadAnswer(*stream, MakePrompt(number), started);
 }
 
 LoadReport LoadGenerator::Run() {
@@ -153,9 +153,9 @@
       --in_progress;
     });
   }
-  constexpr Duration kPoll = Milliseconds(5);
+  constexpr Duration kPollInterval = Milliseconds(5);
   while (in_progress > 0) {
-    loop_.SleepFor(kPoll);
+    loop_.SleepFor(kPollInterval);
   }
   return report;
 }
--- a/src/tools/load/load_generator.h
+++ b/src/tools/load/load_generator.h
@@ -30,7 +30,7 @@
   bool is_stream = true;
   bool is_idempotent = true;
   std::uint32_t workspaces = 10;
-  Duration patience = Seconds(30);
+  Duration timeout = Seconds(30);
   std::uint64_t seed = 1;
 };
 
@@ -48,7 +48,7 @@
   CallResult ReadAnswer(net::HttpClientStream& stream,
                         const std::string& prompt,
                         TimePoint started);
-  bool IsWhole(const std::string& body, const std::string& prompt) const;
+  bool IsComplete(const std::string& body, const std::string& prompt) const;
 
   net::NetworkLoop& loop_;
   LoadOptions options_;
--- a/src/tools/load/load_report.cc
+++ b/src/tools/load/load_report.cc
@@ -38,7 +38,7 @@
     return;
   }
   if (!result.is_correct) {
-    ++wrong_;
+    ++wrong_answers_;
   }
   tokens_ += result.tokens;
   first_tokens_.push_back(result.first_token);
@@ -52,7 +52,7 @@
 
 void LoadReport::Print(std::ostream& out, Duration elapsed) const {
   const double seconds = std::max(ToSeconds(elapsed), 1e-6);
-  out << "requests " << total_ << ", wrong answers " << wrong_ << "\n";
+  out << "requests " << total_ << ", wrong answers " << wrong_answers_ << "\n";
   for (const auto& [name, count] : outcomes_) {
     out << "  " << name << " " << count << "\n";
   }
--- a/src/tools/load/load_report.h
+++ b/src/tools/load/load_report.h
@@ -29,7 +29,7 @@
   void Add(const CallResult& result);
 
   std::uint64_t total() const { return total_; }
-  std::uint64_t wrong() const { return wrong_; }
+  std::uint64_t wrong_answers() const { return wrong_answers_; }
   std::uint64_t outcome(const std::string& name) const;
 
   // A short table: outcomes, rate, latencies.
@@ -37,7 +37,7 @@
 
  private:
   std::uint64_t total_ = 0;
-  std::uint64_t wrong_ = 0;
+  std::uint64_t wrong_answers_ = 0;
   std::uint64_t tokens_ = 0;
   std::map<std::string, std::uint64_t> outcomes_;
   std::vector<Duration> first_tokens_;
--- a/src/tools/load/main.cc
+++ b/src/tools/load/main.cc
@@ -53,7 +53,7 @@
     load::LoadGenerator generator(loop, options);
     const load::LoadReport report = generator.Run();
     report.Print(std::cout, net::SteadyNow() - started);
-    status = report.wrong() == 0 ? 0 : 2;
+    status = report.wrong_answers() == 0 ? 0 : 2;
   });
   return status;
 }
--- a/src/tools/soak/soak_run.cc
+++ b/src/tools/soak/soak_run.cc
@@ -233,10 +233,10 @@
       break;
     case FaultKind::kCutControl:
       relay.set_new_connections(NewConnections::kSilent);
-      relay.SilencePresent();
+      relay.SilenceOpenConnections();
       break;
     case FaultKind::kSilenceControl:
-      relay.SilencePresent();
+      relay.SilenceOpenConnections();
       break;
     default:
       relay.set_delay(kLateness);
@@ -327,10 +327,10 @@
       break;
     case FaultKind::kCutTarget:
       target.relay().set_new_connections(NewConnections::kSilent);
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     case FaultKind::kSilenceTarget:
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     case FaultKind::kResetTarget:
       ResetAgainAndAgain(target, strike.length);
@@ -340,7 +340,7 @@
       break;
     case FaultKind::kOneWayTarget:
       target.relay().set_new_connections(NewConnections::kUnanswered);
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     default:
       target.Drain();
@@ -352,7 +352,7 @@
   constexpr Duration kBetween = Milliseconds(170);
   const TimePoint end = SteadyNow() + length;
   while (SteadyNow() < end) {
-    target.relay().CutPresent();
+    target.relay().CloseOpenConnections();
     loop_.SleepFor(kBetween);
   }
 }
--- a/src/tools/soak/soak_target.cc
+++ b/src/tools/soak/soak_target.cc
@@ -58,7 +58,7 @@
 void SoakTarget::Crash() {
   is_alive_ = false;
   relay_.set_new_connections(blackhole::NewConnections::kRefused);
-  relay_.CutPresent();
+  relay_.CloseOpenConnections();
 }
 
 void SoakTarget::Restart() {
--- a/src/tools/standin/engine_model.cc
+++ b/src/tools/standin/engine_model.cc
@@ -65,12 +65,12 @@
   constexpr std::uint64_t kOffset = 1469598103934665603ULL;
   constexpr std::uint64_t kPrime = 1099511628211ULL;
   std::uint64_t hash = kOffset;
-  for (const unsigned char letter : prompt) {
-    hash = (hash ^ letter) * kPrime;
+  for (const unsigned char byte : prompt) {
+    hash = (hash ^ byte) * kPrime;
   }
   hash = (hash ^ position) * kPrime;
-  constexpr std::uint64_t kWords = 10000;
-  return "w" + std::to_string(hash % kWords) + " ";
+  constexpr std::uint64_t kVocabularySize = 10000;
+  return "w" + std::to_string(hash % kVocabularySize) + " ";
 }
 
 }  // namespace bilberryspool::standin
--- a/src/tools/standin/lockstep_engine.cc
+++ b/src/tools/standin/lockstep_engine.cc
@@ -16,9 +16,9 @@
 constexpr Duration kPollInterval = Milliseconds(2);
 constexpr int kConflict = 409;
 // Tokens of a step that the most popular expert gets.
-constexpr std::uint64_t kHotTokens = 1000;
+constexpr std::uint64_t kHotExpertTokens = 1000;
 
-std::uint64_t NumberOf(const json::object& body, const char* key) {
+std::uint64_t NumberField(const json::object& body, const char* key) {
   const json::value* value = body.if_contains(key);
   return value != nullptr && value->is_int64()
              ? static_cast<std::uint64_t>(value->as_int64())
@@ -32,7 +32,7 @@
   exchange.Respond(std::move(head), json::serialize(body));
 }
 
-json::object BodyOf(HttpExchange& exchange) {
+json::object ParseBody(HttpExchange& exchange) {
   boost::system::error_code error;
   json::value value = json::parse(exchange.request().body, error);
   const bool is_object = !error && value.is_object();
@@ -51,29 +51,29 @@
   if (target == "/steps") {
     net::HttpResponseHead head;
     head.headers.Add("Content-Type", "text/plain");
-    exchange.Respond(std::move(head), steps_);
+    exchange.Respond(std::move(head), started_steps_);
     return true;
   }
   if (target == "/v1/reset") {
-    Reset(exchange, BodyOf(exchange));
+    Reset(exchange, ParseBody(exchange));
     return true;
   }
   if (target == "/v1/weights") {
-    Weights(exchange, BodyOf(exchange));
+    Weights(exchange, ParseBody(exchange));
     return true;
   }
   if (target == "/v1/steps") {
-    Step(exchange, BodyOf(exchange));
+    Step(exchange, ParseBody(exchange));
     return true;
   }
   if (target == "/v1/steps/abort") {
-    Abort(exchange, BodyOf(exchange));
+    Abort(exchange, ParseBody(exchange));
     return true;
   }
   return false;
 }
 
-void LockstepEngine::Pass(Duration duration) {
+void LockstepEngine::SleepThroughStall(Duration duration) {
   loop_.SleepFor(duration);
   while (model_.is_stalled()) {
     loop_.SleepFor(kPollInterval);
@@ -82,7 +82,7 @@
 
 bool LockstepEngine::IsStale(const json::object& body) const {
   return model_.options().checks_fencing &&
-         NumberOf(body, "incarnation") < incarnation_;
+         NumberField(body, "incarnation") < incarnation_;
 }
 
 void LockstepEngine::Reset(HttpExchange& exchange, const json::object& body) {
@@ -90,9 +90,9 @@
     RespondJson(exchange, kConflict, {{"accepted", false}});
     return;
   }
-  incarnation_ = NumberOf(body, "incarnation");
+  incarnation_ = NumberField(body, "incarnation");
   ++aborts_;
-  while (running_ > 0 || model_.is_stalled()) {
+  while (running_steps_ > 0 || model_.is_stalled()) {
     loop_.SleepFor(kPollInterval);
   }
   RespondJson(exchange, 200, {{"resident", json::array()}});
@@ -105,31 +105,31 @@
   }
   const json::value* action = body.if_contains("action");
   if (action != nullptr && *action == "fetch") {
-    Pass(options_.fetch_time);
+    SleepThroughStall(options_.fetch_time);
   }
   RespondJson(exchange, 200, {{"accepted", true}});
 }
 
 void LockstepEngine::Step(HttpExchange& exchange, const json::object& body) {
-  const std::uint64_t token = NumberOf(body, "token");
+  const std::uint64_t token = NumberField(body, "token");
   const bool is_refused = incarnation_ == 0 || IsStale(body) ||
                           !model_.AcceptOrder(FencingToken(token));
   if (is_refused) {
     RespondJson(exchange, kConflict, {{"accepted", false}});
     return;
   }
-  steps_ += std::to_string(token) + "." +
-            std::to_string(NumberOf(body, "sequence")) + "." +
-            std::to_string(NumberOf(body, "number")) + " " +
-            std::to_string(NumberOf(body, "map_version")) + "\n";
+  started_steps_ += std::to_string(token) + "." +
+                    std::to_string(NumberField(body, "sequence")) + "." +
+                    std::to_string(NumberField(body, "number")) + " " +
+                    std::to_string(NumberField(body, "map_version")) + "\n";
   const std::uint64_t aborts = aborts_;
   const TimePoint end = net::SteadyNow() + options_.step_time;
-  ++running_;
+  ++running_steps_;
   while (net::SteadyNow() < end && aborts == aborts_) {
-    Pass(kPollInterval);
+    SleepThroughStall(kPollInterval);
   }
-  --running_;
-  finished_ += aborts == aborts_ ? 1 : 0;
+  --running_steps_;
+  finished_steps_ += aborts == aborts_ ? 1 : 0;
   RespondJson(exchange, 200, {{"finished", aborts == aborts_}});
 }
 
@@ -139,10 +139,11 @@
   }
   json::array tokens;
   for (std::uint32_t i = 0; i < options_.layers * options_.experts; ++i) {
-    const std::uint32_t place =
+    const std::uint32_t popularity_rank =
         (i + options_.experts - options_.hot_expert % options_.experts) %
         options_.experts;
-    tokens.emplace_back(finished_ * (kHotTokens / (place + 1)));
+    tokens.emplace_back(finished_steps_ *
+                        (kHotExpertTokens / (popularity_rank + 1)));
   }
   return {{"layers", options_.layers},
           {"experts", options_.experts},
--- a/src/tools/standin/lockstep_engine.h
+++ b/src/tools/standin/lockstep_engine.h
@@ -56,16 +56,16 @@
   void Abort(net::HttpExchange& exchange, const boost::json::object& body);
   bool IsStale(const boost::json::object& body) const;
   // Sleeps, and then for as long as the engine is stalled.
-  void Pass(Duration duration);
+  void SleepThroughStall(Duration duration);
 
   net::NetworkLoop& loop_;
   EngineModel& model_;
   LockstepOptions options_;
   std::uint64_t incarnation_ = 0;  // of the last reset; 0: none yet
   std::uint64_t aborts_ = 0;
-  std::uint32_t running_ = 0;
-  std::string steps_;
-  std::uint64_t finished_ = 0;
+  std::uint32_t running_steps_ = 0;
+  std::string started_steps_;
+  std::uint64_t finished_steps_ = 0;
 };
 
 }  // namespace bilberryspool::standin
--- a/src/tools/standin/standin_server.cc
+++ b/src/tools/standin/standin_server.cc
@@ -17,7 +17,7 @@
 constexpr std::int64_t kDefaultTokens = 16;
 
 // One request for model work, as read from its body.
-struct Work {
+struct CompletionRequest {
   RequestId request;
   std::string prompt;
   std::int64_t tokens = kDefaultTokens;
@@ -34,27 +34,28 @@
   return std::move(value.as_object());
 }
 
-Work ReadWork(const net::HttpRequest& request) {
+CompletionRequest ReadCompletionRequest(const net::HttpRequest& request) {
   const json::object body = ParseObject(request.body);
-  Work work;
-  work.request =
+  CompletionRequest completion;
+  completion.request =
       RequestId(std::string(request.headers.ValueOr("X-Request-Id", "")));
   if (const auto* prompt = body.if_contains("prompt")) {
-    work.prompt = prompt->is_string() ? std::string(prompt->as_string())
-                                      : json::serialize(*prompt);
+    completion.prompt = prompt->is_string() ? std::string(prompt->as_string())
+                                            : json::serialize(*prompt);
   }
   if (const auto* messages = body.if_contains("messages")) {
-    work.prompt = json::serialize(*messages);
+    completion.prompt = json::serialize(*messages);
   }
   if (const auto* tokens = body.if_contains("max_tokens")) {
-    work.tokens = tokens->is_int64() ? tokens->as_int64() : kDefaultTokens;
+    completion.tokens =
+        tokens->is_int64() ? tokens->as_int64() : kDefaultTokens;
   }
   if (const auto* stream = body.if_contains("stream")) {
-    work.is_stream = stream->is_bool() && stream->as_bool();
+    completion.is_stream = stream->is_bool() && stream->as_bool();
   }
   const auto offset = request.headers.ValueOr("X-Resume-Offset", "0");
-  work.offset = std::strtoll(std::string(offset).c_str(), nullptr, 10);
-  return work;
+  completion.offset = std::strtoll(std::string(offset).c_str(), nullptr, 10);
+  return completion;
 }
 
 void RespondJson(HttpExchange& exchange, int status, const json::value& body) {
@@ -64,7 +65,7 @@
   exchange.Respond(std::move(head), json::serialize(body));
 }
 
-std::string EventOf(const std::string& token, std::uint64_t position) {
+std::string FormatEvent(const std::string& token, std::uint64_t position) {
   const json::object choice{{"index", 0}, {"text", token}};
   const json::object event{{"object", "text_completion"},
                            {"position", position},
@@ -89,15 +90,19 @@
   }
 
   void Handle(HttpExchange& exchange);
-  void HandleWork(HttpExchange& exchange);
-  void StreamWork(HttpExchange& exchange, const Work& work, const bool& left);
-  void AnswerWork(HttpExchange& exchange, const Work& work, const bool& left);
-  void HandlePlain(HttpExchange& exchange);
+  void HandleCompletion(HttpExchange& exchange);
+  void StreamCompletion(HttpExchange& exchange,
+                        const CompletionRequest& completion,
+                        const bool& is_caller_gone);
+  void SendCompletion(HttpExchange& exchange,
+                      const CompletionRequest& completion,
+                      const bool& is_caller_gone);
+  void HandlePlainCall(HttpExchange& exchange);
   void HandleOrder(HttpExchange& exchange);
   void HandleQuery(HttpExchange& exchange, const std::string& target);
   // False where the caller left meanwhile.
-  bool Wait(Duration duration, const bool& left);
-  bool WaitForSlot(const bool& left);
+  bool Wait(Duration duration, const bool& is_caller_gone);
+  bool WaitForSlot(const bool& is_caller_gone);
 
   net::NetworkLoop& loop;
   EngineModel model;
@@ -105,21 +110,22 @@
   std::unique_ptr<net::HttpServer> server;
 };
 
-bool StandinServer::Private::Wait(Duration duration, const bool& left) {
+bool StandinServer::Private::Wait(Duration duration,
+                                  const bool& is_caller_gone) {
   loop.SleepFor(duration);
-  while (model.is_stalled() && !left) {
+  while (model.is_stalled() && !is_caller_gone) {
     loop.SleepFor(kPollInterval);
   }
-  return !left;
+  return !is_caller_gone;
 }
 
-bool StandinServer::Private::WaitForSlot(const bool& left) {
+bool StandinServer::Private::WaitForSlot(const bool& is_caller_gone) {
   model.Enqueue();
-  while (!model.has_free_slot() && !left) {
+  while (!model.has_free_slot() && !is_caller_gone) {
     loop.SleepFor(kPollInterval);
   }
   model.Dequeue();
-  if (left) {
+  if (is_caller_gone) {
     return false;
   }
   model.TakeSlot();
@@ -128,10 +134,10 @@
 
 void StandinServer::Private::Handle(HttpExchange& exchange) {
   const std::string target = exchange.request().target;
-  const bool is_work =
+  const bool is_completion =
       target == "/v1/completions" || target == "/v1/chat/completions";
-  if (is_work) {
-    HandleWork(exchange);
+  if (is_completion) {
+    HandleCompletion(exchange);
     return;
   }
   if (target == "/v1/orders") {
@@ -150,7 +156,7 @@
     HandleQuery(exchange, target);
     return;
   }
-  HandlePlain(exchange);
+  HandlePlainCall(exchange);
 }
 
 void StandinServer::Private::HandleQuery(HttpExchange& exchange,
@@ -183,40 +189,42 @@
   RespondJson(exchange, is_health ? 200 : 404, json::object{{"ok", is_health}});
 }
 
-void StandinServer::Private::HandleWork(HttpExchange& exchange) {
-  const Work work = ReadWork(exchange.request());
+void StandinServer::Private::HandleCompletion(HttpExchange& exchange) {
+  const CompletionRequest completion =
+      ReadCompletionRequest(exchange.request());
   // Shared with the watcher, which may outlive this call.
-  auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
-  if (!WaitForSlot(*left)) {
+  auto is_caller_gone = std::make_shared<bool>(false);
+  exchange.WatchCaller([is_caller_gone] { *is_caller_gone = true; });
+  if (!WaitForSlot(*is_caller_gone)) {
     return;
   }
-  model.RecordRun(work.request);
-  const bool is_cached = model.TouchPrefix(work.prompt);
-  if (Wait(model.FirstTokenDelay(is_cached), *left)) {
-    if (work.is_stream) {
-      StreamWork(exchange, work, *left);
+  model.RecordRun(completion.request);
+  const bool is_cached = model.TouchPrefix(completion.prompt);
+  if (Wait(model.FirstTokenDelay(is_cached), *is_caller_gone)) {
+    if (completion.is_stream) {
+      StreamCompletion(exchange, completion, *is_caller_gone);
     } else {
-      AnswerWork(exchange, work, *left);
+      SendCompletion(exchange, completion, *is_caller_gone);
     }
   }
   model.FreeSlot();
 }
 
-void StandinServer::Private::StreamWork(HttpExchange& exchange,
-                                        const Work& work,
-                                        const bool& left) {
+void StandinServer::Private::StreamCompletion(
+    HttpExchange& exchange,
+    const CompletionRequest& completion,
+    const bool& is_caller_gone) {
   net::HttpResponseHead head;
   head.headers.Add("Content-Type", "text/event-stream");
   if (!exchange.BeginStream(std::move(head))) {
     return;
   }
-  for (std::int64_t i = work.offset; i < work.tokens; ++i) {
+  for (std::int64_t i = completion.offset; i < completion.tokens; ++i) {
     const auto position = static_cast<std::uint64_t>(i);
-    const std::string token = TokenAt(work.prompt, position);
+    const std::string token = TokenAt(completion.prompt, position);
     model.CountToken();
-    if (!exchange.WritePiece(EventOf(token, position)) ||
-        !Wait(model.TokenDelay(), left)) {
+    if (!exchange.WritePiece(FormatEvent(token, position)) ||
+        !Wait(model.TokenDelay(), is_caller_gone)) {
       exchange.AbortStream();
       return;
     }
@@ -225,36 +233,36 @@
   exchange.EndStream();
 }
 
-void StandinServer::Private::AnswerWork(HttpExchange& exchange,
-                                        const Work& work,
-                                        const bool& left) {
+void StandinServer::Private::SendCompletion(HttpExchange& exchange,
+                                            const CompletionRequest& completion,
+                                            const bool& is_caller_gone) {
   std::string text;
-  for (std::int64_t i = work.offset; i < work.tokens; ++i) {
-    text += TokenAt(work.prompt, static_cast<std::uint64_t>(i));
+  for (std::int64_t i = completion.offset; i < completion.tokens; ++i) {
+    text += TokenAt(completion.prompt, static_cast<std::uint64_t>(i));
     model.CountToken();
-    if (!Wait(model.TokenDelay(), left)) {
+    if (!Wait(model.TokenDelay(), is_caller_gone)) {
       return;
     }
   }
   const json::object choice{
       {"index", 0}, {"text", text}, {"finish_reason", "length"}};
   RespondJson(exchange, 200,
-              json::object{{"id", work.request.value()},
+              json::object{{"id", completion.request.value()},
                            {"object", "text_completion"},
                            {"model", model.options().model},
                            {"choices", json::array{choice}}});
 }
 
-void StandinServer::Private::HandlePlain(HttpExchange& exchange) {
-  auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
-  if (!WaitForSlot(*left)) {
+void StandinServer::Private::HandlePlainCall(HttpExchange& exchange) {
+  auto is_caller_gone = std::make_shared<bool>(false);
+  exchange.WatchCaller([is_caller_gone] { *is_caller_gone = true; });
+  if (!WaitForSlot(*is_caller_gone)) {
     return;
   }
   const RequestId request(
       std::string(exchange.request().headers.ValueOr("X-Request-Id", "")));
   model.RecordRun(request);
-  if (Wait(model.options().first_token, *left)) {
+  if (Wait(model.options().first_token, *is_caller_gone)) {
     RespondJson(exchange, 200,
                 json::object{{"id", request.value()},
                              {"runs", model.runs(request)},
