--- a/src/tools/routing_bench/batch_server.cc
+++ b/src/tools/routing_bench/batch_server.cc
@@ -6,12 +6,14 @@
 namespace {
 
 constexpr std::size_t kCachedPrefixes = 24;
-// Of the prefill, saved when the whole prompt prefix is cached.
+// Share of the prefill time that is saved when all of a prompt's prefixes are
+// cached.
 constexpr double kCachedPrefillSaving = 0.7;
 constexpr Duration kFailureDelay = Milliseconds(5);
 
-// First tokens with and without a cached prefix differ by three times, which
-// is no sign of a queue.
+// The time to the first token is about three times as long without a cached
+// prefix as with one. The tolerance is larger than that, so that the limit
+// doesn't take a cache miss for queueing.
 limits::AdaptiveLimitOptions AgentLimitOptions() {
   limits::AdaptiveLimitOptions options;
   options.tolerance = 4.0;
--- a/src/tools/routing_bench/batch_server.h
+++ b/src/tools/routing_bench/batch_server.h
@@ -18,7 +18,7 @@
 
 namespace bilberryspool::routing_bench {
 
-// One attempt at a target, with what is called when it gets on.
+// One attempt at a target, with the callbacks for its progress.
 struct Job {
   AttemptId attempt;
   std::uint32_t tokens = 0;
@@ -27,35 +27,38 @@
   std::function<void(routing::AttemptOutcome)> on_end;
 };
 
-// A target of the load model. The agent hands the engine as many jobs as its
-// AdaptiveLimit allows, keeps a short queue and answers "busy" above it; the
-// engine has slots that run jobs side by side, a FIFO queue that the agent
-// doesn't see, and a small prefix cache.
+// A target of the load model: an agent and its engine. The agent passes as many
+// jobs to the engine as its AdaptiveLimit allows, keeps a short queue and
+// answers "busy" when the queue is full. The engine runs one job per slot in
+// parallel and has a FIFO queue that the agent doesn't see and a small LRU
+// cache of prompt prefixes.
 class BatchServer {
  public:
   BatchServer(EventLoop& loop, const ServiceModel& model);
 
   void Submit(Job job);
-  // The caller is gone; frees the slot. Calls nothing back.
+  // Removes the attempt after its caller has gone and frees its slot. Calls
+  // neither callback.
   void Cancel(const AttemptId& attempt);
 
-  // How many times slower than its peers it is.
+  // Factor by which all service times are multiplied.
   void set_slowdown(double slowdown) { slowdown_ = slowdown; }
-  // Whether each job fails a few milliseconds after its start.
+  // While true, each job fails a few milliseconds after its start.
   void set_failing(bool failing) { failing_ = failing; }
-  // A dead one says nothing and forgets its jobs.
+  // A dead server drops its jobs and its cache and ignores new jobs.
   void set_dead(bool dead);
 
   routing::LoadReport load() const;
   bool dead() const { return dead_; }
 
  private:
+  // Moves jobs from the agent's queue to the engine's, up to the limit.
   void FeedEngine();
   void StartNext();
   void OnFirstToken(const AttemptId& attempt);
   void Start(const Job& job);
   void End(const AttemptId& attempt, routing::AttemptOutcome outcome);
-  // Marks the prefixes as used; gives the share that was cached.
+  // Marks the prefixes as used and returns the fraction that was cached.
   double Touch(const std::vector<std::uint64_t>& prefixes);
 
   EventLoop& loop_;
@@ -65,7 +68,7 @@
   std::deque<Job> engine_queue_;
   std::unordered_map<AttemptId, TimePoint> engine_started_at_;
   std::unordered_map<AttemptId, Job> running_;
-  // The latest used first.
+  // Prefixes, most recently used first.
   std::list<std::uint64_t> cached_;
   double slowdown_ = 1.0;
   bool failing_ = false;
--- a/src/tools/routing_bench/bench_entry.cc
+++ b/src/tools/routing_bench/bench_entry.cc
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kUnlimited = 1'000'000;
 constexpr std::uint32_t kMaxRetries = 3;
-// A broken link is noticed after this time.
+// An entry detects that a link is broken after this time.
 constexpr Duration kLinkTimeout = Seconds(1);
 
 }  // namespace
--- a/src/tools/routing_bench/bench_entry.h
+++ b/src/tools/routing_bench/bench_entry.h
@@ -21,7 +21,9 @@
 
 namespace bilberryspool::routing_bench {
 
-// What an entry tells the caller of a try, and how it reaches targets.
+// Connects an entry with the simulation: lookup of targets, and reports to the
+// caller. `call` is the index of the call, `attempt` the number of the caller's
+// try.
 struct EntryCallbacks {
   std::function<BatchServer&(const TargetId&)> server;
   std::function<Duration(const TargetId&)> delay_to;
@@ -35,12 +37,13 @@
 struct BenchEntryOptions {
   routing::RouterOptions router;
   limits::AdmissionOptions admission;
-  // Where false, everything is sent on at once and retried up to three times.
+  // False: no admission and no retry budget. Each request is sent on at once
+  // and retried up to three times.
   bool limited = true;
 };
 
-// An entry of the load model: Router, Admission and RetryBudget wired as in
-// the program, without sockets.
+// An entry of the load model: Router, Admission and RetryBudget connected as in
+// the gateway, without sockets.
 class BenchEntry {
  public:
   BenchEntry(EventLoop& loop,
@@ -50,16 +53,18 @@
              EntryCallbacks callbacks,
              std::uint64_t seed);
 
-  // Runs `event` now, or when the entry is thawed; never where it is dead.
+  // Runs `event` now, or on resume if the entry is frozen. Drops it if the
+  // entry is dead.
   void Deliver(EventLoop::Callback event);
   void set_frozen(bool frozen);
   void set_dead(bool dead) { dead_ = dead; }
   bool reachable() const { return !dead_ && !frozen_; }
 
+  // Accepts try number `attempt` of the call with this index.
   void AddRequest(std::size_t index, std::uint64_t attempt, const Call& call);
   void OnRoutingEvent(const routing::RoutingEvent& event);
   void OnAdmissionEvent(const limits::AdmissionEvent& event);
-  // The link to a target carries nothing any more.
+  // Ends all attempts at a target whose link is broken.
   void OnLinkDown(const TargetId& target);
   void RefreshCapacity();
   std::vector<limits::WorkspaceDemand> AnnounceDemand();
--- a/src/tools/routing_bench/choice_cost.h
+++ b/src/tools/routing_bench/choice_cost.h
@@ -4,7 +4,7 @@
 namespace bilberryspool::routing_bench {
 
 // Prints the processor time of one routed request (choice, start, first token,
-// end) and of one admitted request, by the number of targets.
+// end) for several numbers of targets, and that of one admitted request.
 void PrintChoiceCosts();
 
 }  // namespace bilberryspool::routing_bench
--- a/src/tools/routing_bench/event_loop.h
+++ b/src/tools/routing_bench/event_loop.h
@@ -11,8 +11,8 @@
 
 namespace bilberryspool::routing_bench {
 
-// Runs callbacks in the order of their model time; callbacks of the same time
-// in the order in which they were added.
+// Runs callbacks in order of simulated time; callbacks of the same time run in
+// the order in which they were added.
 class EventLoop {
  public:
   using Callback = std::function<void()>;
--- a/src/tools/routing_bench/main.cc
+++ b/src/tools/routing_bench/main.cc
@@ -1,11 +1,11 @@
-// routing_bench: measures the routing policies and the admission on a small
-// seeded load model of a deployment.
+// routing_bench: measures routing policies and admission in a seeded simulation
+// of a deployment.
 //
 //   routing_bench --deployment=qasr --trouble=slow --load=0.7 --seeds=5
 //
 // Each run has three phases: 0.7 of the capacity, then --load with --trouble,
-// then 0.7 again. One line for each policy and service, the median over the
-// seeds with the least and the largest.
+// then 0.7 again. Prints one line per policy and service: the median over the
+// seeds, for some columns with the minimum and the maximum.
 
 #include <gflags/gflags.h>
 
@@ -93,7 +93,7 @@
   return options;
 }
 
-// One column: a figure of each seed's results.
+// A column of the table; `value_of` reads its value from one seed's results.
 struct Column {
   const char* title;
   double (*value_of)(const PhaseResults&);
@@ -131,7 +131,7 @@
   }
 }
 
-// The figures of one service over the seeds.
+// Results of one service over all seeds.
 struct ServiceFigures {
   std::vector<PhaseResults> results;
   std::vector<double> recoveries;
--- a/src/tools/routing_bench/results.cc
+++ b/src/tools/routing_bench/results.cc
@@ -6,6 +6,9 @@
 namespace bilberryspool::routing_bench {
 namespace {
 
+// A service has recovered after this many consecutive good seconds: at least
+// this share of the calls answered in time, and a p95 first token of at most
+// this multiple of the first phase's.
 constexpr std::size_t kRecoverySeconds = 3;
 constexpr double kMinRecoveredShare = 0.95;
 constexpr double kMaxRecoveredSlowdown = 1.5;
@@ -29,8 +32,8 @@
   return call.answered_at.has_value() && *call.answered_at <= call.deadline;
 }
 
-// Splits `capacity` so that no workspace gets more than it asks for and the
-// rest is equal.
+// Splits `capacity` max-min fairly: no workspace gets more than its demand, and
+// those whose demand isn't met get equal shares.
 std::vector<double> MaxMinFair(const std::vector<double>& demand,
                                double capacity) {
   std::vector<double> shares(demand.size(), 0.0);
--- a/src/tools/routing_bench/simulation.cc
+++ b/src/tools/routing_bench/simulation.cc
@@ -14,9 +14,11 @@
 constexpr Duration kMinReportLag = Milliseconds(50);
 constexpr Duration kMaxReportLag = Milliseconds(400);
 constexpr Duration kIntraDomainDelay = Microseconds(100);
-// The balancer and membership notice a silent member after this time.
+// The platform's balancer and membership detect an unresponsive member after
+// this time.
 constexpr Duration kDetectionDelay = Seconds(3);
 constexpr Duration kLinkTimeout = Seconds(1);
+// A caller resends when an entry hasn't accepted its try within this time.
 constexpr Duration kCallerTimeout = Seconds(2);
 constexpr std::uint32_t kMaxTries = 6;
 constexpr std::uint32_t kMaxTriesIgnoringRetryAfter = 20;
@@ -127,7 +129,7 @@
   }
   loop_.After(PhaseStart(1) - loop_.now(), [this] { StartTrouble(); });
   loop_.After(PhaseStart(2) - loop_.now(), [this] { EndTrouble(); });
-  // Calls sent last still get their time.
+  // The extra time lets the calls that were sent last reach their deadlines.
   loop_.RunUntil(PhaseStart(options_.phases.size()) + Seconds(25));
 }
 
--- a/src/tools/routing_bench/simulation.h
+++ b/src/tools/routing_bench/simulation.h
@@ -18,7 +18,7 @@
 
 namespace bilberryspool::routing_bench {
 
-// What goes wrong during the second phase of a run.
+// The disturbance during the second phase of a run.
 enum class Trouble : std::uint8_t {
   kNone,
   kDrift,
@@ -30,7 +30,7 @@
 
 struct Phase {
   Duration length{0};
-  // Times the capacity of each service.
+  // Offered load as a multiple of each service's capacity.
   double load = 0.0;
 };
 
@@ -39,15 +39,16 @@
   BenchEntryOptions entry;
   std::vector<Phase> phases;
   Trouble trouble = Trouble::kNone;
-  // Share of the callers that keep to Retry-After.
+  // Share of the callers that honour Retry-After.
   double honour_share = 0.7;
   std::uint64_t seed = 1;
-  // Prints the state of the fleet every five seconds.
+  // Prints the totals of the entries and of the first service's targets every
+  // five seconds.
   bool trace = false;
 };
 
-// One run of the load model: callers, entries and targets. Callers resend
-// after a silence and after refusals, until their deadline.
+// One run of the load model: callers, entries and targets. A caller resends
+// until its deadline when an entry doesn't respond or refuses the call.
 class Simulation {
  public:
   explicit Simulation(RunOptions options);
@@ -56,7 +57,7 @@
 
   const std::deque<Call>& calls() const { return calls_; }
   const RunOptions& options() const { return options_; }
-  // When a phase begins; the end of the last one for their number.
+  // Start of a phase. Given the number of phases, the end of the last one.
   TimePoint PhaseStart(std::size_t phase) const;
 
  private:
@@ -93,7 +94,7 @@
   Workload workload_;
   std::map<TargetId, Server> servers_;
   std::vector<std::unique_ptr<BenchEntry>> entries_;
-  // Entries that the platform's balancer has taken out.
+  // Entries that the platform's balancer has removed, by index.
   std::vector<bool> removed_;
   std::deque<Call> calls_;
   std::uint64_t tries_ = 0;
--- a/src/tools/routing_bench/workload.cc
+++ b/src/tools/routing_bench/workload.cc
@@ -11,7 +11,7 @@
 constexpr double kBackgroundShare = 0.2;
 constexpr double kHighShare = 0.1;
 
-// Draws popular templates more often.
+// Draws a prompt template; those with lower numbers are more popular.
 std::size_t DrawTemplate(Random& random) {
   const double skewed = random.Fraction() * random.Fraction();
   return static_cast<std::size_t>(skewed * kTemplatesPerWorkspace);
--- a/src/tools/routing_bench/workload.h
+++ b/src/tools/routing_bench/workload.h
@@ -14,12 +14,12 @@
 
 namespace bilberryspool::routing_bench {
 
-// One service and the targets that serve it, spread over the domains.
+// A service and the targets that serve it, spread over the failure domains.
 struct ServiceModel {
   ServiceId id;
   std::uint32_t target_count = 0;
   std::uint32_t slots = 1;
-  // Time to the first token of a prompt that isn't cached.
+  // Time to the first token of a prompt without a cached prefix.
   Duration prefill{0};
   double mean_tokens = 1.0;
   Duration per_token{0};
@@ -27,10 +27,12 @@
   Duration deadline = Seconds(20);
 
   double MeanRunSeconds() const;
-  // Requests a second that all its runners carry when full.
+  // Requests per second that all its targets serve at full load.
   double Capacity() const;
 };
 
+// The simulated site. `domain_delay` and `client_delay` are one-way network
+// delays: between failure domains, and between callers and entries.
 struct Deployment {
   std::string name;
   std::vector<ServiceModel> services;
@@ -39,7 +41,7 @@
   Duration client_delay{0};
   std::size_t entries = 9;
   std::size_t workspaces = 10;
-  // Workspaces that ask for `large_factor` times as much as the others.
+  // Workspaces that send `large_factor` times as many calls as each other one.
   std::size_t large_workspaces = 3;
   double large_factor = 10.0;
 };
@@ -47,7 +49,7 @@
 Deployment Qasr();
 Deployment Kalapuwa();
 
-// One request of a caller, over all its tries.
+// One request of a caller, with all its tries.
 struct Call {
   std::size_t service = 0;
   std::size_t workspace = 0;
@@ -61,7 +63,7 @@
   std::uint32_t tries = 0;
   TimePoint last_try_at;
   std::uint32_t refusals = 0;
-  // The try that is under way; answers of earlier ones are ignored.
+  // The try in progress; answers to earlier tries are ignored.
   std::uint64_t current_try = 0;
   bool acknowledged = false;
   bool ended = false;
@@ -69,8 +71,8 @@
   std::optional<TimePoint> answered_at;
 };
 
-// Draws calls. With `drift`, the large workspaces and the popular prompt
-// prefixes move on every ten seconds.
+// Draws calls at random. With `drift`, the set of large workspaces and of
+// popular prompt prefixes rotates every ten seconds.
 class Workload {
  public:
   Workload(const Deployment& deployment,
@@ -81,7 +83,7 @@
   // Time to the next arrival of a service under `load` times its capacity.
   Duration NextGap(std::size_t service, double load);
   Call Draw(std::size_t service, TimePoint now);
-  // Share of all calls that the workspace sends (without drift).
+  // Fraction of all calls that the workspace sends, without drift.
   double ShareOf(std::size_t workspace) const;
 
  private:
