--- a/src/tools/placement_bench/load_model.cc
+++ b/src/tools/placement_bench/load_model.cc
@@ -49,7 +49,7 @@
   }
 }
 
-// Exchanges the popularity of a few experts.
+// Swaps the popularity of a few pairs of experts.
 void LoadModel::Jump(std::size_t layer) {
   const std::size_t first = layer * experts_;
   for (int i = 0; i < 6; ++i) {
--- a/src/tools/placement_bench/load_model.h
+++ b/src/tools/placement_bench/load_model.h
@@ -1,4 +1,4 @@
-// A seeded model of how popular experts are through the days.
+// A seeded model of the popularity of experts over several days.
 
 #ifndef TOOLS_PLACEMENT_BENCH_LOAD_MODEL_H_
 #define TOOLS_PLACEMENT_BENCH_LOAD_MODEL_H_
@@ -14,11 +14,11 @@
 namespace bilberryspool::bench {
 
 enum class Drift {
-  kDaily,       // each expert rises and falls with the hour; constants are
-                // chosen on this one
-  kProgrammes,  // held out: topics change with the programme, on the hour
-  kJumps,       // held out: sudden shifts at random times, kept for good
-  kWander,      // held out: a random walk without any daily shape
+  kDaily,       // tuning set, the only one for the policy's constants: each
+                // expert's load follows a daily sine
+  kProgrammes,  // held out: the topic changes with the programme, on the hour
+  kJumps,       // held out: sudden, lasting shifts at random times
+  kWander,      // held out: a random walk without a daily pattern
 };
 
 const char* NameOf(Drift drift);
@@ -30,9 +30,10 @@
             std::uint32_t experts,
             std::uint64_t seed);
 
-  // Goes on by `step` and returns the loads there; times rise.
+  // Advances the model by `step` to `time` and returns the loads there. Times
+  // must increase from call to call.
   const placement::ExpertLoads& Advance(Duration time, Duration step);
-  // Share of time in which the group is busy.
+  // Fraction of the time during which the group is busy.
   static double UtilizationAt(Duration time);
 
  private:
@@ -42,8 +43,9 @@
   Drift drift_;
   std::uint32_t experts_;
   Random random_;
-  std::vector<double> base_;   // by layer, then expert
-  std::vector<double> phase_;  // share of a day
+  // The vectors are indexed by layer, then expert.
+  std::vector<double> base_;
+  std::vector<double> phase_;  // fraction of a day
   std::vector<double> amplitude_;
   std::vector<double> random_walk_;
   std::vector<std::uint32_t> topic_;
--- a/src/tools/placement_bench/main.cc
+++ b/src/tools/placement_bench/main.cc
@@ -1,4 +1,5 @@
-// Compares placement strategies on the load model, and times one decision.
+// Compares placement strategies on the load model, and measures the time of one
+// decision.
 //
 //   placement_bench [DRIFT ...] [SEEDS [RANKS ...]]
 
@@ -16,7 +17,7 @@
 namespace bilberryspool::bench {
 namespace {
 
-// Of the timed decision.
+// Size of the model and number of runs for the timed decision.
 constexpr std::uint32_t kLayers = 58;
 constexpr std::uint32_t kExperts = 64;
 constexpr int kTimedDecisions = 21;
@@ -40,7 +41,7 @@
   };
 }
 
-// Least, middle and most of the seeds.
+// The median over the seeds with the minimum and the maximum, as text.
 std::string FormatRange(std::vector<double> values, double scale) {
   std::sort(values.begin(), values.end());
   char text[64];
@@ -61,7 +62,7 @@
   return FormatRange(std::move(values), scale);
 }
 
-// Weighed seconds per day, as the presets weigh them.
+// Cost in seconds per day, weighted as in the preset.
 double WeightedSeconds(const Outcome& outcome,
                        const placement::PlacementSettings& settings) {
   return settings.skew_weight * outcome.skew_lost_seconds +
@@ -112,7 +113,8 @@
   }
 }
 
-// A decision at the largest size, with a map that has to be improved.
+// Measures one decision with the layers and experts of the largest model, from
+// a map that has to be improved.
 void TimeDecision(std::uint32_t ranks) {
   LoadModel model(Drift::kDaily, kLayers, kExperts, 1);
   placement::PlacementInput input;
--- a/src/tools/placement_bench/simulation.cc
+++ b/src/tools/placement_bench/simulation.cc
@@ -21,7 +21,7 @@
 constexpr Duration kDecisionInterval = Seconds(300);
 constexpr double kExpertGigabytes = 0.05;
 constexpr double kSecondsPerFetch = 0.05;
-// While weights are fetched, steps take this much longer.
+// Fraction by which steps take longer while weights are fetched.
 constexpr double kFetchSlowdown = 0.03;
 constexpr double kSwitchSeconds = 0.01;
 constexpr double kReportLossProbability = 0.1;
@@ -41,7 +41,7 @@
   return values[static_cast<std::size_t>(position)];
 }
 
-// Copies that are in `after` and not in `before`.
+// Number of copies that are in `after` but not in `before`.
 std::uint32_t FetchesBetween(const ExpertMap& before, const ExpertMap& after) {
   std::uint32_t fetches = 0;
   for (std::uint32_t layer = 0; layer < after.layers(); ++layer) {
@@ -118,7 +118,7 @@
     }
   }
 
-  // One rank is lost on the third day, for two hours.
+  // One rank is lost for two hours of the third day.
   void UpdateLostRank(Duration time) {
     const bool lost = IsWithinHours(time, 50, 52);
     if (lost == lost_) {
@@ -151,7 +151,9 @@
     last_change_ = now_;
   }
 
-  // Without this, skew while a rank is lost would count its lost work twice.
+  // The real speeds of the ranks, one of them slow for six hours. A lost rank
+  // gets almost no speed; at full speed its lost work would count twice in
+  // the skew.
   std::vector<RankCapacity> TrueRanks(Duration time) const {
     std::vector<RankCapacity> ranks(options_.ranks,
                                     RankCapacity{1, slots_, true});
@@ -206,7 +208,8 @@
     rank_gaps_.push_back((*longest - *shortest) / *longest);
   }
 
-  // Counts arrive a minute or two late, some never, some twice.
+  // Reports of expert counts arrive one or two minutes late; some are lost,
+  // some are duplicated.
   void DeliverReport(const ExpertLoads& loads) {
     placement::CountReport report;
     report.incarnation = Incarnation(1);
--- a/src/tools/placement_bench/simulation.h
+++ b/src/tools/placement_bench/simulation.h
@@ -1,4 +1,4 @@
-// Runs one strategy through some days of the load model.
+// Simulates a strategy over several days of the load model.
 
 #ifndef TOOLS_PLACEMENT_BENCH_SIMULATION_H_
 #define TOOLS_PLACEMENT_BENCH_SIMULATION_H_
@@ -17,21 +17,21 @@
   std::uint32_t ranks = 16;
   std::uint64_t seed = 1;
   int days = 3;
-  Duration half_life = Seconds(600);   // of the estimate
-  Duration look_ahead = Seconds(600);  // of the forecast
+  Duration half_life = Seconds(600);   // of the popularity estimate
+  Duration look_ahead = Seconds(600);  // horizon of the forecast
 };
 
 struct Outcome {
-  double skew_p50 = 0;  // share of step time lost to waiting
+  double skew_p50 = 0;  // fraction of step time lost to waiting
   double skew_p95 = 0;
-  double lost_share = 0;         // the same over all busy time
-  double rank_gap_p95 = 0;       // slowest less fastest rank, by the slowest
-  double min_lost = 0;           // lower bound of `lost`
-  double moved_gigabytes = 0;    // moved per day
-  double fetch_seconds = 0;      // seconds per day
-  double switches = 0;           // steps at which the map changed, per day
-  double move_lost_seconds = 0;  // seconds of step time lost by moving, per day
-  double skew_lost_seconds = 0;  // by skew, per day
+  double lost_share = 0;         // the same, over all busy time
+  double rank_gap_p95 = 0;       // (slowest - fastest) / slowest rank
+  double min_lost = 0;           // lower bound of `lost_share`
+  double moved_gigabytes = 0;    // per day
+  double fetch_seconds = 0;      // time to fetch experts, per day
+  double switches = 0;           // changes of the map, per day
+  double move_lost_seconds = 0;  // step time lost to moves, per day
+  double skew_lost_seconds = 0;  // step time lost to skew, per day
 };
 
 Outcome Simulate(const Strategy& strategy, const SimulationOptions& options);
--- a/src/tools/placement_bench/strategies.cc
+++ b/src/tools/placement_bench/strategies.cc
@@ -111,8 +111,9 @@
       strategy);
 }
 
-// The work can't be spread thinner than evenly, nor can an expert's share be
-// smaller than the number of places allows.
+// A layer takes at least the time of an even split of its work over all ranks,
+// and at least that of its largest share per copy on the fastest rank; the
+// number of slots limits the copies of an expert.
 double MinSkew(const ExpertLoads& loads,
                const std::vector<RankCapacity>& ranks) {
   double speed = 0;
--- a/src/tools/placement_bench/strategies.h
+++ b/src/tools/placement_bench/strategies.h
@@ -1,4 +1,4 @@
-// The ways of rebalancing that are compared.
+// The rebalancing strategies that are compared.
 
 #ifndef TOOLS_PLACEMENT_BENCH_STRATEGIES_H_
 #define TOOLS_PLACEMENT_BENCH_STRATEGIES_H_
@@ -13,14 +13,15 @@
 namespace bilberryspool::bench {
 
 struct NeverRebalance {};
-// Packs all experts anew.
+// Packs all experts again at a fixed interval.
 struct FullRepack {
   Duration interval;
 };
-// Improves layers without regard to cost while the skew is above a threshold.
+// Improves each layer, regardless of cost, while the skew is above a threshold.
 struct GreedyOnThreshold {
   double skew_threshold = 0.1;
 };
+// The cost-aware policy of libs/placement, on estimated or forecast loads.
 struct PolicyStrategy {
   placement::PlacementSettings settings;
   bool forecast = false;
@@ -29,6 +30,7 @@
 using Strategy =
     std::variant<NeverRebalance, FullRepack, GreedyOnThreshold, PolicyStrategy>;
 
+// What a strategy knows when it decides.
 struct Situation {
   const placement::ExpertMap& map;
   const placement::ExpertLoads& estimate;
@@ -40,14 +42,15 @@
   TimePoint now;
 };
 
-// The next map, or nothing.
+// The map to change to, or nothing if the present one stays.
 std::optional<placement::ExpertMap> NextMap(const Strategy& strategy,
                                             const Situation& situation);
 
-// Copies in proportion to load, heaviest first onto the emptiest rank.
+// Assigns copies in proportion to load and places the heaviest first, each on
+// the least loaded rank.
 placement::ExpertMap RepackAll(const Situation& situation);
 
-// No placement with these slots has a smaller skew.
+// Lower bound of the skew of any placement with these slots.
 double MinSkew(const placement::ExpertLoads& loads,
                const std::vector<placement::RankCapacity>& ranks);
 
