--- a/src/tools/spread_bench/main.cc
+++ b/src/tools/spread_bench/main.cc
@@ -1,9 +1,10 @@
-// Prints what membership and spread cost each node, in scenario time.
+// Prints the cost of membership and of configuration spreading for each node,
+// in simulated time.
 //
 //   spread_bench DOMAINS ENTRIES AGENTS [LOSS]
 //
-// Bytes are those of the JSON messages, sent and received; what HTTP and TCP
-// add per message is shown apart, at kOverheadBytes bytes each.
+// Counts the bytes of the JSON messages sent and received. The overhead of HTTP
+// and TCP is in a line of its own, at kOverheadBytes per message.
 
 #include <algorithm>
 #include <cstdlib>
@@ -21,6 +22,7 @@
 constexpr Duration kWindow = Seconds(15);
 constexpr int kChanges = 5;
 
+// Sum and maximum of a rate over the nodes of one role.
 struct PerNodeRate {
   double sum = 0;
   double max_value = 0;
--- a/src/tools/spread_bench/scenario.cc
+++ b/src/tools/spread_bench/scenario.cc
@@ -12,8 +12,8 @@
 namespace bilberryspool::spread_bench {
 namespace {
 
-constexpr std::uint64_t kFirstIncarnation =
-    1764700000;  // incarnation of the first
+constexpr std::uint64_t kFirstIncarnation = 1764700000;  // of the first entry
+// Maximum number of seed entries, in the own failure domain and of all.
 constexpr std::size_t kSeedCount = 3;
 
 }  // namespace
@@ -51,7 +51,8 @@
   options.self = {
       NodeId(node.name), node.domain, node.name,
       Incarnation(kFirstIncarnation + static_cast<std::uint64_t>(index))};
-  // As settings would: three entries of the own domain, three of others.
+  // As in the settings of a deployment: three entries of the own failure domain
+  // and the first three of all.
   std::vector<std::string>& own = domain_seeds_[node.domain.value()];
   own.push_back(node.name);
   if (seeds_.size() < kSeedCount) {
--- a/src/tools/spread_bench/scenario.h
+++ b/src/tools/spread_bench/scenario.h
@@ -1,5 +1,5 @@
-// Thousands of entries and agents in one process, in scenario time, to
-// measure what membership and spread cost each node.
+// Simulates thousands of entries and agents in one process, to measure the cost
+// of membership and configuration spreading for each node.
 
 #ifndef TOOLS_SPREAD_BENCH_SCENARIO_H_
 #define TOOLS_SPREAD_BENCH_SCENARIO_H_
@@ -23,14 +23,15 @@
   int entries = 360;  // over all domains
   int agents = 6200;  // over all domains
   int services = 17;
-  int control = 5;  // control VMs, the first leads
-  double loss = 0.0;
+  int control = 5;    // control nodes, the first of them leads
+  double loss = 0.0;  // probability that a message is lost
   Duration min_delay = Microseconds(500);
   Duration max_delay = Milliseconds(5);
   std::size_t delta_bytes = 300;
 };
 
-// What one node sent and received.
+// Messages and bytes that one node sent and received, the events it handled and
+// the processor time for them.
 struct Traffic {
   std::uint64_t messages = 0;
   std::uint64_t membership_bytes = 0;
@@ -44,17 +45,18 @@
   Scenario(ScenarioOptions options, std::uint64_t seed);
 
   void Run(Duration duration);
-  // Counts traffic from here on; sizes are those of the JSON form.
+  // Resets the counters and counts the sizes of messages, as JSON, from now on.
   void StartCounting();
-  // Accepts one change; returns how long it took to reach every node, or
-  // nothing where `limit` passed first.
+  // Accepts one change and runs until every node has it. Returns the time this
+  // took, or nothing if `limit` passed first.
   std::optional<Duration> SpreadChange(Duration limit);
 
   const std::vector<Traffic>& traffic() const { return traffic_; }
   bool IsEntry(std::size_t node) const { return node < entry_count_; }
   std::size_t size() const { return nodes_.size(); }
   TimePoint now() const { return now_; }
-  // Targets that the first entry knows one by one, and entries it hears.
+  // Number of targets that the first entry knows individually, and of entries
+  // that it considers live.
   std::size_t targets_in_detail() const;
   std::size_t live_entries() const;
   spread::Coverage coverage() const;
@@ -66,7 +68,7 @@
     std::unique_ptr<membership::Directory> directory;
     std::unique_ptr<membership::Announcer> announcer;
     std::unique_ptr<spread::Spreader> spreader;
-    std::string parent;  // of an agent: the entry that it announces to
+    std::string parent;  // of an agent: the entry that it sends heartbeats to
     TimePoint topology_due_at;
   };
   struct Event {
@@ -90,6 +92,8 @@
                std::size_t bytes,
                bool membership,
                std::function<void(std::size_t)> run);
+  // Pass an event to the node's state machine and execute the resulting
+  // actions.
   void HandleDirectoryEvent(std::size_t node,
                             const membership::DirectoryEvent& event,
                             const std::string& from);
