--- a/src/tools/consensus_bench/main.cc
+++ b/src/tools/consensus_bench/main.cc
@@ -1,8 +1,8 @@
-// Measures what the replicated log costs: processor time a command and an idle
-// second for three and five replicas in one process, bytes on the wire, and
-// the data folder's writes, syncs and reading back on the disk at hand.
+// Measures the cost of the replicated log: processor time and bytes on the wire
+// per command and per idle second, for three and five replicas in one process;
+// and the times of writing, syncing and reading back a data folder on disk.
 //
-//   consensus_bench FOLDER      (the folder is made, and left behind)
+//   consensus_bench FOLDER      (the folder is created and not removed)
 
 #include <chrono>
 #include <deque>
@@ -35,7 +35,8 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-// Replicas that hear each other at once; writes count as synced at once.
+// A group of replicas in one process. Messages arrive without delay, and writes
+// are reported as synced immediately.
 class ReplicaGroup {
  public:
   explicit ReplicaGroup(int size) {
