--- a/src/tools/claims_bench/main.cc
+++ b/src/tools/claims_bench/main.cc
@@ -1,5 +1,6 @@
-// Measures what at-most-once costs: messages of one request, processor time
-// per claim at an entry and at a holder, and memory per key of a full ledger.
+// Measures the cost of at-most-once execution: messages of one request,
+// processor time per request at an entry and per claim at a holder, and memory
+// per key of a full ledger.
 
 #include <malloc.h>
 
@@ -18,7 +19,7 @@
 
 constexpr int kKeys = 20000;
 constexpr int kWorkspaces = 10;
-// The rest of an id as callers make them.
+// Fills a number up to the length of a UUID, the usual form of callers' ids.
 constexpr char kUuidTail[] = "-4f3c-9a1b-27d6c0e8b5f4";
 const std::vector<NodeId> kHolders = {
     NodeId("entry-sahab-1"), NodeId("entry-marka-2"), NodeId("entry-abdali-3")};
@@ -40,7 +41,7 @@
           {{RosterVersion(1), kHolders}}};
 }
 
-// What all requests together sent.
+// Totals of the messages counted, and the claims and finishes of all requests.
 struct Traffic {
   std::size_t messages = 0;
   std::size_t bytes = 0;
@@ -54,7 +55,8 @@
   }
 };
 
-// Runs one request to its answer, with all holders granting.
+// Runs one request until it is answered; all holders grant its claim. The
+// messages are counted only if `count` is set.
 void RunRequest(int number, Traffic* traffic, bool count) {
   RequestMachine machine({}, MakeSpec(number));
   machine.Handle(RequestStarted{}, TimeAt({}));
@@ -116,7 +118,7 @@
   std::printf("entry: %.2f us a request\n", watch.MicrosecondsPer(kKeys));
 }
 
-// One holder takes every key, as if each were its own.
+// Sends the claims of all keys to one holder, as if it were a holder of each.
 void MeasureHolder(const Traffic& traffic) {
   const std::size_t before = HeapBytes();
   ClaimHolder holder({}, kHolders[0], Incarnation(1), true, TimeAt({}));
