--- a/src/tools/rpc_bench/main.cc
+++ b/src/tools/rpc_bench/main.cc
@@ -1,6 +1,8 @@
-// Measures what one call of libs/rpc costs with both ends in one thread and no
-// transport between: rpc_bench [CALLS]. Prints a line for each size of the
+// Measures the time of one call of libs/rpc, with caller and dispatcher in one
+// thread and no transport between them. Prints a line for each size of the
 // parameters.
+//
+//   rpc_bench [CALLS]
 
 #include <chrono>
 #include <cstdio>
