--- a/src/tools/load/load_generator.h
+++ b/src/tools/load/load_generator.h
@@ -1,5 +1,5 @@
-// An open-loop load: requests arrive at a set rate, whatever the answers do,
-// up to a bound on those in progress.
+// An open-loop load generator: sends requests at a fixed mean rate, independent
+// of the answers, up to a maximum number in progress.
 
 #ifndef TOOLS_LOAD_LOAD_GENERATOR_H_
 #define TOOLS_LOAD_LOAD_GENERATOR_H_
@@ -19,6 +19,8 @@
 
 namespace bilberryspool::load {
 
+// `tokens` is the length of each answer, `timeout` the maximum wait for an
+// answer to start and for each of its pieces.
 struct LoadOptions {
   std::vector<net::Endpoint> entries;
   std::string path = "/v1/completions";
@@ -38,8 +40,8 @@
  public:
   LoadGenerator(net::NetworkLoop& loop, LoadOptions options);
 
-  // Sends for the whole duration, waits for the rest and reports. Runs in a
-  // fiber.
+  // Sends requests for the configured duration, waits for those in progress and
+  // returns the report. Must run in a fiber.
   LoadReport Run();
 
  private:
@@ -48,6 +50,7 @@
   CallResult ReadAnswer(net::HttpClientStream& stream,
                         const std::string& prompt,
                         TimePoint started);
+  // Whether the body holds all tokens of the answer to `prompt`, in order.
   bool IsComplete(const std::string& body, const std::string& prompt) const;
 
   net::NetworkLoop& loop_;
--- a/src/tools/load/load_report.h
+++ b/src/tools/load/load_report.h
@@ -1,4 +1,4 @@
-// What a load run saw, and how it is printed.
+// Collects and prints the results of a load run.
 
 #ifndef TOOLS_LOAD_LOAD_REPORT_H_
 #define TOOLS_LOAD_LOAD_REPORT_H_
@@ -13,11 +13,12 @@
 
 namespace bilberryspool::load {
 
-// One finished request as the caller saw it.
+// One finished request, as seen by the caller.
 struct CallResult {
-  // "answered", "not-run", "unknown", or "broken" with the reason.
+  // "answered", "not-run", "unknown", "status" with the HTTP status, "broken"
+  // with the reason, or that the request was not sent.
   std::string outcome;
-  // The answer was whole and that of its own request.
+  // Whether the answer was complete and belonged to this request.
   bool is_correct = false;
   std::uint64_t tokens = 0;
   Duration first_token{};
@@ -32,7 +33,7 @@
   std::uint64_t wrong_answers() const { return wrong_answers_; }
   std::uint64_t outcome(const std::string& name) const;
 
-  // A short table: outcomes, rate, latencies.
+  // Prints a short table of outcomes, rates and latencies.
   void Print(std::ostream& out, Duration elapsed) const;
 
  private:
--- a/src/tools/load/main.cc
+++ b/src/tools/load/main.cc
@@ -1,4 +1,5 @@
-// Load on loopback for the demo and the bench; bounded in rate and time.
+// Load generator for the demo and the benchmark on loopback, with a limited
+// rate and duration.
 
 #include <gflags/gflags.h>
 
