--- a/src/tools/standin/engine_model.h
+++ b/src/tools/standin/engine_model.h
@@ -1,5 +1,5 @@
-// What a stand-in engine or plain service knows: slots, a bounded prefix
-// cache, fencing, and the witness of what it ran.
+// State of a stand-in for an engine or a plain service: slots, a bounded prefix
+// cache, the fencing token, and the number of runs of each request.
 
 #ifndef TOOLS_STANDIN_ENGINE_MODEL_H_
 #define TOOLS_STANDIN_ENGINE_MODEL_H_
@@ -21,11 +21,11 @@
   std::uint32_t slots = 8;
   Duration first_token = Milliseconds(40);
   Duration between_tokens = Milliseconds(5);
-  // Share by which a step slows for each further running stream.
+  // Fraction by which the time between tokens grows with each running stream.
   double slowdown_per_stream = 0.02;
   std::size_t cached_prefixes = 64;
   bool checks_fencing = true;
-  // Reports show the load as it was this long ago.
+  // Age of the load in reports.
   Duration report_lag = Milliseconds(500);
 };
 
@@ -36,14 +36,15 @@
   std::uint64_t tokens = 0;
 };
 
-// Counts the runs by request id: the witness for "ran once" and "did not run".
+// Counts the runs of each request by its id (the witness), so that tests can
+// prove that a request ran once or did not run.
 class EngineModel {
  public:
   explicit EngineModel(EngineOptions options);
 
   const EngineOptions& options() const { return options_; }
 
-  // Notes that the work of `request` begins.
+  // Counts the start of a run of `request`.
   void RecordRun(const RequestId& request);
   std::uint64_t runs(const RequestId& request) const;
   const std::map<RequestId, std::uint64_t>& all_runs() const { return runs_; }
@@ -55,19 +56,20 @@
   void Dequeue() { --queued_; }
   void CountToken() { ++tokens_; }
 
-  // Looks the prompt's prefix up and remembers it, oldest out first.
+  // Returns whether the prefix is cached and marks it as used; the least
+  // recently used prefix is evicted.
   bool TouchPrefix(const std::string& prefix);
 
-  // Time to the first token, and from one token to the next, at this load.
+  // Time to the first token, and between tokens at the present load.
   Duration FirstTokenDelay(bool is_cached) const;
   Duration TokenDelay() const;
 
-  // Accepts an order with this fencing token; a lower one than seen before is
-  // refused where the engine checks.
+  // Accepts an order with this fencing token. Refuses it if a higher token was
+  // seen before and `checks_fencing` is set.
   bool AcceptOrder(FencingToken token);
 
   LoadReport CurrentLoad() const;
-  // The load as reported: late by the lag.
+  // The load as reported, `report_lag` old.
   LoadReport ReportedLoad(TimePoint now);
 
   void set_stalled(bool is_stalled) { is_stalled_ = is_stalled; }
@@ -90,8 +92,9 @@
   std::deque<Sample> samples_;
 };
 
-// The token at `position` of the answer to `prompt`: made from both, so that
-// whoever checks an answer can tell that it is whole and the right one.
+// The token at `position` of the answer to `prompt`. It is computed from both,
+// so that a caller can check that an answer is complete and belongs to its
+// request.
 std::string TokenAt(const std::string& prompt, std::uint64_t position);
 
 }  // namespace bilberryspool::standin
--- a/src/tools/standin/lockstep_engine.cc
+++ b/src/tools/standin/lockstep_engine.cc
@@ -15,7 +15,7 @@
 
 constexpr Duration kPollInterval = Milliseconds(2);
 constexpr int kConflict = 409;
-// Tokens of a step that the most popular expert gets.
+// Tokens per step of the most popular expert.
 constexpr std::uint64_t kHotExpertTokens = 1000;
 
 std::uint64_t NumberField(const json::object& body, const char* key) {
--- a/src/tools/standin/lockstep_engine.h
+++ b/src/tools/standin/lockstep_engine.h
@@ -1,5 +1,5 @@
-// The face of a stand-in engine that is a rank of a group: lock-step steps,
-// weights, reset, and the witness of the steps that it started.
+// HTTP interface of a stand-in engine that is a rank of a group: lock-step
+// steps, weights, reset, and the log of the steps that it started.
 
 #ifndef TOOLS_STANDIN_LOCKSTEP_ENGINE_H_
 #define TOOLS_STANDIN_LOCKSTEP_ENGINE_H_
@@ -20,10 +20,11 @@
 struct LockstepOptions {
   Duration step_time = Milliseconds(20);
   Duration fetch_time = Milliseconds(5);
-  // Of the model; 0: no expert counts in load reports.
+  // Layers and experts of the model; 0: no expert counts in load reports.
   std::uint32_t layers = 0;
   std::uint32_t experts = 0;
-  // The most popular expert of each layer; those after it are less and less so.
+  // The most popular expert of each layer; popularity falls with each expert
+  // after it.
   std::uint32_t hot_expert = 0;
 };
 
@@ -34,19 +35,19 @@
 //        "map_version"}: answers {"finished": true|false} when it ends
 //   POST /v1/steps/abort  {"incarnation"}
 //   GET  /steps           "TOKEN.SEQUENCE.NUMBER MAP_VERSION" a line
-// A stale incarnation or token is refused with 409 where the engine checks
-// fencing; a step before any reset always is.
+// A stale incarnation or token is refused with 409 if the engine checks
+// fencing; a step before the first reset is always refused.
 class LockstepEngine {
  public:
   LockstepEngine(net::NetworkLoop& loop,
                  EngineModel& model,
                  LockstepOptions options);
 
-  // False where the path is none of the above.
+  // Returns false if the path is none of the above.
   bool Handle(net::HttpExchange& exchange);
 
-  // {"layers", "experts", "tokens": running totals} for load reports; empty
-  // without a model.
+  // {"layers", "experts", "tokens": running totals} for load reports; empty if
+  // the options have no layers or experts.
   boost::json::object ExpertTotals() const;
 
  private:
@@ -55,7 +56,7 @@
   void Step(net::HttpExchange& exchange, const boost::json::object& body);
   void Abort(net::HttpExchange& exchange, const boost::json::object& body);
   bool IsStale(const boost::json::object& body) const;
-  // Sleeps, and then for as long as the engine is stalled.
+  // Sleeps for `duration`, and then until the engine isn't stalled.
   void SleepThroughStall(Duration duration);
 
   net::NetworkLoop& loop_;
--- a/src/tools/standin/main.cc
+++ b/src/tools/standin/main.cc
@@ -1,4 +1,4 @@
-// A stand-in for a model engine or a plain service, for the demo, the bench
+// A stand-in for a model engine or a plain service, for the demo, the benchmark
 // and tests with real processes.
 
 #include <gflags/gflags.h>
@@ -60,6 +60,7 @@
     loop.WaitForStop();
     server.Drain();
   });
-  // Streams in progress end with the process, as a killed engine's would.
+  // Exits without closing streams in progress: they break off as with a killed
+  // engine.
   std::_Exit(status);
 }
--- a/src/tools/standin/standin_server.cc
+++ b/src/tools/standin/standin_server.cc
@@ -16,7 +16,7 @@
 constexpr Duration kPollInterval = Milliseconds(2);
 constexpr std::int64_t kDefaultTokens = 16;
 
-// One request for model work, as read from its body.
+// A completion request, as read from headers and body.
 struct CompletionRequest {
   RequestId request;
   std::string prompt;
@@ -100,7 +100,7 @@
   void HandlePlainCall(HttpExchange& exchange);
   void HandleOrder(HttpExchange& exchange);
   void HandleQuery(HttpExchange& exchange, const std::string& target);
-  // False where the caller left meanwhile.
+  // These return false if the caller disconnected meanwhile.
   bool Wait(Duration duration, const bool& is_caller_gone);
   bool WaitForSlot(const bool& is_caller_gone);
 
@@ -192,7 +192,7 @@
 void StandinServer::Private::HandleCompletion(HttpExchange& exchange) {
   const CompletionRequest completion =
       ReadCompletionRequest(exchange.request());
-  // Shared with the watcher, which may outlive this call.
+  // Shared with the callback, which may outlive this call.
   auto is_caller_gone = std::make_shared<bool>(false);
   exchange.WatchCaller([is_caller_gone] { *is_caller_gone = true; });
   if (!WaitForSlot(*is_caller_gone)) {
--- a/src/tools/standin/standin_server.h
+++ b/src/tools/standin/standin_server.h
@@ -1,5 +1,5 @@
-// The HTTP face of a stand-in: completions (whole and streamed), plain calls,
-// load reports, orders, and the witness.
+// HTTP interface of a stand-in: completions (in one piece or streamed), plain
+// calls, load reports, orders, and the witness (the runs of each request).
 
 #ifndef TOOLS_STANDIN_STANDIN_SERVER_H_
 #define TOOLS_STANDIN_STANDIN_SERVER_H_
@@ -17,10 +17,10 @@
 namespace bilberryspool::standin {
 
 // Paths:
-//   POST /v1/completions, /v1/chat/completions   model work; X-Request-Id is
-//        the witness's key, X-Resume-Offset skips that many tokens
+//   POST /v1/completions, /v1/chat/completions   model work; the witness counts
+//        by X-Request-Id, X-Resume-Offset is the number of tokens to skip
 //   POST /v1/orders       {"fencing": N, ...}; 409 for a stale token
-//   GET  /load            what the engine reports, late
+//   GET  /load            the load report, late by report_lag
 //   GET  /witness         {"id": runs, ...}; /witness/ID for one
 //   POST /stall, /resume  stops and resumes all progress
 //   GET  /health
@@ -34,7 +34,7 @@
                 LockstepOptions lockstep = {});
   ~StandinServer();
 
-  // Empty, or what went wrong.
+  // Returns an empty string, or an error message.
   std::string Start();
   void Drain();
   std::uint16_t port() const;
