--- a/src/tools/blackhole/main.cc
+++ b/src/tools/blackhole/main.cc
@@ -1,9 +1,9 @@
-// A TCP relay for tests with real processes, told by HTTP what to lose:
-//   POST /silence   the present connections go silent, new ones work
-//   POST /blackout  present and new connections are silent until /heal
-//   POST /cut       present ones break off, new ones are closed until /heal
+// A TCP relay for tests with real processes. Faults are injected over HTTP:
+//   POST /silence   drops all data of the open connections; new ones work
+//   POST /blackout  drops all data of open and new connections until /heal
+//   POST /cut       closes the open connections, and new ones until /heal
 //   POST /heal      new connections work again
-//   GET  /          counts
+//   GET  /          numbers of open and of accepted connections
 
 #include <gflags/gflags.h>
 
--- a/src/tools/blackhole/relay.cc
+++ b/src/tools/blackhole/relay.cc
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-// Two sockets, and what is on its way between them.
+// Two sockets, and the data in transit between them. End 0 is the caller's, end
+// 1 leads to the destination.
 class RelayedConnection
     : public std::enable_shared_from_this<RelayedConnection> {
  public:
@@ -48,8 +49,10 @@
     Read(0);
   }
 
+  // Drops all data in both directions; an end that closes stays unnoticed by
+  // the other one.
   void Silence() { is_silent_ = true; }
-  // Answers get lost.
+  // Drops all data from the destination to the caller.
   void DropAnswers() { drops_answers_ = true; }
 
   void Close() {
@@ -198,7 +201,7 @@
 }
 
 void Relay::CloseOpenConnections() {
-  // Closing takes a connection off the set.
+  // Iterates over a copy, as closing a connection removes it from the set.
   const auto open_connections = connections_;
   for (const auto& connection : open_connections) {
     connection->Close();
--- a/src/tools/blackhole/relay.h
+++ b/src/tools/blackhole/relay.h
@@ -1,5 +1,5 @@
-// A TCP relay that can lose track of its connections, as a firewall or address
-// translator does: the ends stay open and nothing passes any more.
+// A TCP relay that can drop the state of its connections, as a firewall or a
+// NAT gateway does: both ends stay open, but no data passes any more.
 
 #ifndef TOOLS_BLACKHOLE_RELAY_H_
 #define TOOLS_BLACKHOLE_RELAY_H_
@@ -18,11 +18,11 @@
 
 class RelayedConnection;
 
-// What becomes of a connection that arrives.
-// kUnanswered: what the caller sends arrives, no answer comes back.
+// Handling of new connections. kUnanswered: data from the caller is relayed,
+// data to the caller is dropped.
 enum class NewConnections { kRelayed, kSilent, kRefused, kUnanswered };
 
-// Belongs to the thread that runs `io`.
+// Must only be used in the thread that runs `io`.
 class Relay {
  public:
   Relay(boost::asio::io_context& io, net::Endpoint listen, net::Endpoint to);
@@ -30,16 +30,16 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // Empty, or what went wrong.
+  // Returns an empty string, or an error message.
   std::string Start();
 
-  // The present connections carry nothing more, in either direction, and
-  // neither end hears of the other's closing.
+  // Drops all further data of the open connections, in both directions. Neither
+  // end notices when the other one closes.
   void SilenceOpenConnections();
-  // Breaks the present connections off.
+  // Closes all open connections.
   void CloseOpenConnections();
   void set_new_connections(NewConnections mode) { mode_ = mode; }
-  // How late each piece arrives from now on, in either direction.
+  // Delays each piece of data from now on, in both directions.
   void set_delay(Duration delay) { delay_ = delay; }
   Duration delay() const { return delay_; }
 
