--- a/src/tools/blackhole/relay.h
+++ b/src/tools/blackhole/relay.h
@@ -1,5 +1,5 @@
 // A TCP relay that can drop the state of its connections, as a firewall or a
-// NAT gateway does: both ends stay open, but no data passes any more.
+// NAT device does: both ends stay open, but no data passes any more.
 
 #ifndef TOOLS_BLACKHOLE_RELAY_H_
 #define TOOLS_BLACKHOLE_RELAY_H_
