--- a/src/tools/claims_bench/main.cc
+++ b/src/tools/claims_bench/main.cc
@@ -1,5 +1,6 @@
-// Measures what at-most-once costs: messages of one request, processor time
-// per claim at an entry and at a holder, and memory per key of a full ledger.
+// Measures the cost of at-most-once execution: messages of one request,
+// processor time per request at an entry and per claim at a holder, and memory
+// per key of a full ledger.
 
 #include <malloc.h>
 
@@ -18,18 +19,18 @@
 
 constexpr int kKeys = 20000;
 constexpr int kWorkspaces = 10;
-// The rest of an id as callers make them.
+// Fills a number up to the length of a UUID, the usual form of callers' ids.
 constexpr char kUuidTail[] = "-4f3c-9a1b-27d6c0e8b5f4";
 const std::vector<NodeId> kHolders = {
     NodeId("entry-sahab-1"), NodeId("entry-marka-2"), NodeId("entry-abdali-3")};
 
-RequestKey Key(int number) {
+RequestKey MakeKey(int number) {
   return {Workspace("workspace-" + std::to_string(number % kWorkspaces)),
           RequestId(std::to_string(10000000 + number) + kUuidTail)};
 }
 
-RequestSpec Spec(int number) {
-  return {Key(number),
+RequestSpec MakeSpec(int number) {
+  return {MakeKey(number),
           Fingerprint(static_cast<std::uint64_t>(number)),
           {kHolders[0], Incarnation(3),
            ClaimNumber(static_cast<std::uint64_t>(number))},
@@ -40,7 +41,7 @@
           {{RosterVersion(1), kHolders}}};
 }
 
-// What all requests together sent.
+// Totals of the messages counted, and the claims and finishes of all requests.
 struct Traffic {
   std::size_t messages = 0;
   std::size_t bytes = 0;
@@ -54,9 +55,10 @@
   }
 };
 
-// Runs one request to its answer, with all holders granting.
+// Runs one request until it is answered; all holders grant its claim. The
+// messages are counted only if `count` is set.
 void RunRequest(int number, Traffic* traffic, bool count) {
-  RequestMachine machine({}, Spec(number));
+  RequestMachine machine({}, MakeSpec(number));
   machine.Handle(RequestStarted{}, TimeAt({}));
   const AdmissionToken token{Incarnation(1), TokenGeneration(0), Epoch(1)};
   const auto claims = machine.Handle(
@@ -95,8 +97,8 @@
 class Stopwatch {
  public:
   double MicrosecondsPer(int count) const {
-    const auto passed = std::chrono::steady_clock::now() - started_;
-    return std::chrono::duration<double, std::micro>(passed).count() / count;
+    const auto elapsed = std::chrono::steady_clock::now() - started_;
+    return std::chrono::duration<double, std::micro>(elapsed).count() / count;
   }
 
  private:
@@ -105,10 +107,10 @@
 };
 
 void MeasureEntry(Traffic* traffic) {
-  Traffic one;
-  RunRequest(0, &one, true);
-  std::printf("one request: %zu messages, %zu bytes of JSON\n", one.messages,
-              one.bytes);
+  Traffic single_request;
+  RunRequest(0, &single_request, true);
+  std::printf("one request: %zu messages, %zu bytes of JSON\n",
+              single_request.messages, single_request.bytes);
   const Stopwatch watch;
   for (int number = 0; number < kKeys; ++number) {
     RunRequest(number, traffic, false);
@@ -116,7 +118,7 @@
   std::printf("entry: %.2f us a request\n", watch.MicrosecondsPer(kKeys));
 }
 
-// One holder takes every key, as if each were its own.
+// Sends the claims of all keys to one holder, as if it were a holder of each.
 void MeasureHolder(const Traffic& traffic) {
   const std::size_t before = HeapBytes();
   ClaimHolder holder({}, kHolders[0], Incarnation(1), true, TimeAt({}));
--- a/src/tools/load/main.cc
+++ b/src/tools/load/main.cc
@@ -1,4 +1,5 @@
-// Load on loopback for the demo and the bench; bounded in rate and time.
+// Load generator for the demo and the benchmark on loopback, with a limited
+// rate and duration.
 
 #include <gflags/gflags.h>
 
@@ -53,7 +54,7 @@
     load::LoadGenerator generator(loop, options);
     const load::LoadReport report = generator.Run();
     report.Print(std::cout, net::SteadyNow() - started);
-    status = report.wrong() == 0 ? 0 : 2;
+    status = report.wrong_answers() == 0 ? 0 : 2;
   });
   return status;
 }
--- a/src/tools/rpc_bench/main.cc
+++ b/src/tools/rpc_bench/main.cc
@@ -1,6 +1,8 @@
-// Measures what one call of libs/rpc costs with both ends in one thread and no
-// transport between: rpc_bench [CALLS]. Prints a line for each size of the
+// Measures the time of one call of libs/rpc, with caller and dispatcher in one
+// thread and no transport between them. Prints a line for each size of the
 // parameters.
+//
+//   rpc_bench [CALLS]
 
 #include <chrono>
 #include <cstdio>
@@ -15,18 +17,18 @@
 
 constexpr int kDefaultCalls = 20'000;
 
-double MicrosecondsOfCall(const Caller& caller,
-                          const std::string& params,
-                          int calls) {
+double MicrosecondsPerCall(const Caller& caller,
+                           const std::string& params,
+                           int calls) {
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < calls; ++i) {
     if (std::holds_alternative<RpcError>(caller.Call("echo", params))) {
       return -1;
     }
   }
-  const std::chrono::duration<double, std::micro> took =
+  const std::chrono::duration<double, std::micro> elapsed =
       std::chrono::steady_clock::now() - start;
-  return took.count() / calls;
+  return elapsed.count() / calls;
 }
 
 void Run(int calls) {
@@ -43,7 +45,7 @@
     }
     params += "}";
     std::printf("%6zu bytes of parameters: %8.2f us a call\n", params.size(),
-                MicrosecondsOfCall(caller, params, calls));
+                MicrosecondsPerCall(caller, params, calls));
   }
 }
 
--- a/src/tools/soak/soak_run.cc
+++ b/src/tools/soak/soak_run.cc
@@ -236,10 +236,10 @@
       break;
     case FaultKind::kCutControl:
       relay.set_new_connections(NewConnections::kSilent);
-      relay.SilencePresent();
+      relay.SilenceOpenConnections();
       break;
     case FaultKind::kSilenceControl:
-      relay.SilencePresent();
+      relay.SilenceOpenConnections();
       break;
     default:
       relay.set_delay(kRelayDelay);
@@ -330,10 +330,10 @@
       break;
     case FaultKind::kCutTarget:
       target.relay().set_new_connections(NewConnections::kSilent);
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     case FaultKind::kSilenceTarget:
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     case FaultKind::kResetTarget:
       ResetRepeatedly(target, fault_event.length);
@@ -343,7 +343,7 @@
       break;
     case FaultKind::kOneWayTarget:
       target.relay().set_new_connections(NewConnections::kUnanswered);
-      target.relay().SilencePresent();
+      target.relay().SilenceOpenConnections();
       break;
     default:
       target.Drain();
@@ -355,7 +355,7 @@
   constexpr Duration kBetween = Milliseconds(170);
   const TimePoint end = SteadyNow() + length;
   while (SteadyNow() < end) {
-    target.relay().CutPresent();
+    target.relay().CloseOpenConnections();
     loop_.SleepFor(kBetween);
   }
 }
