--- a/src/libs/storage/data_folder.cc
+++ b/src/libs/storage/data_folder.cc
@@ -29,7 +29,7 @@
   return boost::leaf::new_error(StorageError{kind, path, detail});
 }
 
-bool Has(const std::vector<std::string>& names, const std::string& name) {
+bool Contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
@@ -77,7 +77,7 @@
   BOOST_LEAF_CHECK(files_.MakeFolder(options_.path));
   BOOST_LEAF_ASSIGN(lock_, files_.Lock(PathOf(kLockName)));
   BOOST_LEAF_AUTO(names, files_.List(options_.path));
-  if (Has(names, kUnusableName)) {
+  if (Contains(names, kUnusableName)) {
     return Fail(StorageErrorKind::kUnusable, PathOf(kUnusableName),
                 "put the folder aside and admit the replica anew");
   }
@@ -87,7 +87,7 @@
     }
   }
   recovered_.self.node = options_.node;
-  is_new_ = !Has(names, kIdentityName);
+  is_new_ = !Contains(names, kIdentityName);
   if (!is_new_) {
     BOOST_LEAF_CHECK(LoadIdentity());
   }
@@ -106,11 +106,11 @@
                                  {"node", options_.node.value()},
                                  {"identity", options_.new_identity.value()}};
   recovered_.self.identity = options_.new_identity;
-  return WriteWhole(kIdentityName, json::serialize(identity));
+  return WriteFileAtomically(kIdentityName, json::serialize(identity));
 }
 
 Result<void> DataFolder::LoadIdentity() {
-  BOOST_LEAF_AUTO(bytes, ReadWhole(kIdentityName));
+  BOOST_LEAF_AUTO(bytes, ReadCheckedFile(kIdentityName));
   const std::string path = PathOf(kIdentityName);
   json::error_code error;
   const json::value parsed = json::parse(bytes, error);
@@ -144,7 +144,7 @@
   if (snapshots.empty()) {
     return {};
   }
-  BOOST_LEAF_AUTO(bytes, ReadWhole(snapshots.back()));
+  BOOST_LEAF_AUTO(bytes, ReadCheckedFile(snapshots.back()));
   json::error_code error;
   auto snapshot = consensus::SnapshotFromJson(json::parse(bytes, error));
   if (error || !snapshot) {
@@ -174,7 +174,7 @@
                   "the log's records do not follow each other");
     }
   }
-  if (!replay.FitTo(recovered_.snapshot.get(), must_reset)) {
+  if (!replay.AlignWithSnapshot(recovered_.snapshot.get(), must_reset)) {
     return Fail(StorageErrorKind::kCorrupt, options_.path,
                 "entries are missing between the snapshot and the log");
   }
@@ -195,8 +195,8 @@
   return {};
 }
 
-Result<void> DataFolder::WriteWhole(const std::string& name,
-                                    const std::string& payload) {
+Result<void> DataFolder::WriteFileAtomically(const std::string& name,
+                                             const std::string& payload) {
   const std::string path = PathOf(name);
   const std::string temporary = path + std::string(kTemporarySuffix);
   {
@@ -208,7 +208,7 @@
   return files_.SyncFolder(options_.path);
 }
 
-Result<std::string> DataFolder::ReadWhole(const std::string& name) {
+Result<std::string> DataFolder::ReadCheckedFile(const std::string& name) {
   BOOST_LEAF_AUTO(bytes, files_.Read(PathOf(name)));
   ScanResult scan = ScanRecords(bytes, 0);
   // It was renamed into place after its sync, so it is whole or damaged.
@@ -225,29 +225,30 @@
   record.hard_state = persist.hard_state;
   record.truncate_from = persist.truncate_from;
   record.entries = persist.entries;
-  return Guard(log_->Append(record));
+  return RecordFailure(log_->Append(record));
 }
 
 Result<void> DataFolder::Sync() {
   BOOST_LEAF_CHECK(CheckUsable());
-  return Guard(log_->Sync());
+  return RecordFailure(log_->Sync());
 }
 
 Result<void> DataFolder::Write(const consensus::PersistSnapshot& persist) {
   BOOST_LEAF_CHECK(Sync());
-  BOOST_LEAF_CHECK(Guard(StoreSnapshot(*persist.snapshot)));
+  BOOST_LEAF_CHECK(RecordFailure(StoreSnapshot(*persist.snapshot)));
   if (!persist.reset_log) {
     return {};
   }
   LogRecord reset;
   reset.reset_to = persist.snapshot->index;
-  return Guard(AppendAndSync(reset));
+  return RecordFailure(AppendAndSync(reset));
 }
 
 Result<void> DataFolder::StoreSnapshot(const consensus::Snapshot& snapshot) {
   const LogIndex older = snapshot_index_;
-  BOOST_LEAF_CHECK(WriteWhole(SnapshotName(snapshot.index),
-                              json::serialize(consensus::ToJson(snapshot))));
+  BOOST_LEAF_CHECK(
+      WriteFileAtomically(SnapshotName(snapshot.index),
+                          json::serialize(consensus::ToJson(snapshot))));
   snapshot_index_ = snapshot.index;
   if (older > LogIndex(0) && older != snapshot.index) {
     return files_.Remove(PathOf(SnapshotName(older)));
@@ -262,7 +263,8 @@
 
 Result<void> DataFolder::Write(const consensus::CompactLog& compact) {
   BOOST_LEAF_CHECK(CheckUsable());
-  return Guard(log_->RemoveThrough(std::min(compact.through, snapshot_index_)));
+  return RecordFailure(
+      log_->RemoveThrough(std::min(compact.through, snapshot_index_)));
 }
 
 Result<void> DataFolder::Write(const consensus::ForcedConfiguration& forced) {
@@ -270,16 +272,16 @@
   LogRecord record;
   record.hard_state = forced.hard_state;
   record.entries = {forced.entry};
-  return Guard(AppendAndSync(record));
+  return RecordFailure(AppendAndSync(record));
 }
 
 Result<void> DataFolder::MarkUnusable(const std::string& why) {
-  BOOST_LEAF_CHECK(WriteWhole(kUnusableName, why));
+  BOOST_LEAF_CHECK(WriteFileAtomically(kUnusableName, why));
   failed_ = true;
   return {};
 }
 
-Result<void> DataFolder::Guard(Result<void> result) {
+Result<void> DataFolder::RecordFailure(Result<void> result) {
   failed_ = failed_ || !result;
   return result;
 }
--- a/src/libs/storage/data_folder.h
+++ b/src/libs/storage/data_folder.h
@@ -68,12 +68,13 @@
   Result<void> MakeIdentity();
   Result<void> LoadSnapshot(const std::vector<std::string>& names);
   Result<void> LoadLog();
-  Result<void> WriteWhole(const std::string& name, const std::string& payload);
-  Result<std::string> ReadWhole(const std::string& name);
+  Result<void> WriteFileAtomically(const std::string& name,
+                                   const std::string& payload);
+  Result<std::string> ReadCheckedFile(const std::string& name);
   Result<void> StoreSnapshot(const consensus::Snapshot& snapshot);
   Result<void> AppendAndSync(const LogRecord& record);
   // Lets nothing more be written after the first failure.
-  Result<void> Guard(Result<void> result);
+  Result<void> RecordFailure(Result<void> result);
   Result<void> CheckUsable() const;
   std::string PathOf(const std::string& name) const;
 
--- a/src/libs/storage/log_replay.cc
+++ b/src/libs/storage/log_replay.cc
@@ -42,7 +42,8 @@
   return nullptr;
 }
 
-bool LogReplay::FitTo(const consensus::Snapshot* snapshot, bool& must_reset) {
+bool LogReplay::AlignWithSnapshot(const consensus::Snapshot* snapshot,
+                                  bool& must_reset) {
   must_reset = false;
   const LogIndex base = snapshot != nullptr ? snapshot->index : LogIndex(0);
   if (entries_.empty()) {
@@ -52,10 +53,10 @@
     return false;
   }
   const consensus::LogEntry* at_base = Find(base);
-  const bool leads_to_base =
+  const bool connects_to_snapshot =
       entries_.front().index == base.Next() ||
       (at_base != nullptr && at_base->term == snapshot->term);
-  if (!leads_to_base) {
+  if (!connects_to_snapshot) {
     must_reset = true;
     entries_.clear();
     return true;
--- a/src/libs/storage/log_replay.h
+++ b/src/libs/storage/log_replay.h
@@ -17,7 +17,7 @@
   // Fits the log to the newest snapshot. Sets `must_reset` where a crash came
   // between the snapshot and the record that empties the log. False where
   // entries are missing between the two.
-  bool FitTo(const consensus::Snapshot* snapshot, bool& must_reset);
+  bool AlignWithSnapshot(const consensus::Snapshot* snapshot, bool& must_reset);
 
   const consensus::HardState& hard_state() const { return hard_state_; }
   const std::vector<consensus::LogEntry>& entries() const { return entries_; }
--- a/src/libs/storage/segmented_log.cc
+++ b/src/libs/storage/segmented_log.cc
@@ -40,7 +40,7 @@
 SegmentedLog::SegmentedLog(FileSystem& files,
                            std::string folder,
                            std::uint64_t limit)
-    : files_(files), folder_(std::move(folder)), limit_(limit) {}
+    : files_(files), folder_(std::move(folder)), max_segment_bytes_(limit) {}
 
 Result<std::unique_ptr<SegmentedLog>> SegmentedLog::Open(
     FileSystem& files,
@@ -117,14 +117,14 @@
     if (!record) {
       return Corrupt(path, "a record can't be read");
     }
-    NoteRecord(*record);
+    UpdateFromRecord(*record);
     records.push_back(std::move(*record));
   }
   size_ = scan.valid_size;
   return {};
 }
 
-void SegmentedLog::NoteRecord(const LogRecord& record) {
+void SegmentedLog::UpdateFromRecord(const LogRecord& record) {
   if (record.hard_state) {
     hard_state_ = *record.hard_state;
   }
@@ -150,7 +150,7 @@
 }
 
 Result<void> SegmentedLog::Append(const LogRecord& record) {
-  if (size_ >= limit_) {
+  if (size_ >= max_segment_bytes_) {
     // A file is complete and synced before the next one begins: only the last
     // one can have a torn tail.
     BOOST_LEAF_CHECK(Sync());
@@ -164,7 +164,7 @@
       EncodeLogRecord(record), segments_.back().number, size_, synced_size_);
   BOOST_LEAF_CHECK(file_->Append(bytes));
   size_ += bytes.size();
-  NoteRecord(record);
+  UpdateFromRecord(record);
   return {};
 }
 
--- a/src/libs/storage/segmented_log.h
+++ b/src/libs/storage/segmented_log.h
@@ -47,12 +47,12 @@
                            std::vector<LogRecord>& records);
   Result<void> StartSegment(std::uint64_t number);
   Result<void> Write(const LogRecord& record);
-  void NoteRecord(const LogRecord& record);
+  void UpdateFromRecord(const LogRecord& record);
   std::string PathOf(std::uint64_t number) const;
 
   FileSystem& files_;
   std::string folder_;
-  std::uint64_t limit_;
+  std::uint64_t max_segment_bytes_;
   std::vector<Segment> segments_;
   std::unique_ptr<AppendFile> file_;
   std::uint64_t size_ = 0;
--- a/tests/auto/storage/data_folder_test.cc
+++ b/tests/auto/storage/data_folder_test.cc
@@ -173,7 +173,7 @@
 
 // Whether `found` is what the folder held after some write that was not
 // synced any more, or the last one that was.
-bool IsExplained(const Writer& writer, const RecoveredState& found) {
+bool MatchesWrittenState(const Writer& writer, const RecoveredState& found) {
   for (std::size_t i = writer.synced(); i < writer.states().size(); ++i) {
     if (IsSame(writer.states()[i], found)) {
       return true;
@@ -201,17 +201,17 @@
     Random random(seed + 1000);
     Writer writer(seed + 2000);
     RecoveredState start = writer.states().front();
-    for (int life = 0; life < 6; ++life) {
+    for (int restart = 0; restart < 6; ++restart) {
       std::unique_ptr<DataFolder> folder = OpenFolder(files);
       REQUIRE(folder != nullptr);
-      if (life == 0) {
+      if (restart == 0) {
         CHECK_FALSE(ErrorOf([&]() -> Result<void> {
           BOOST_LEAF_CHECK(
               folder->Write(Persist{PersistTicket(1), start.hard_state}));
           return folder->Sync();
         }));
       } else {
-        REQUIRE(IsExplained(writer, folder->recovered()));
+        REQUIRE(MatchesWrittenState(writer, folder->recovered()));
         writer.Restart(folder->recovered());
       }
       files.set_calls_left(random.Below(60));
@@ -347,11 +347,11 @@
   DataFolderOptions options = Options();
   options.path = (path / "data").string();
   Writer writer(3);
-  for (int life = 0; life < 3; ++life) {
+  for (int restart = 0; restart < 3; ++restart) {
     auto folder = OpenFolder(files, options);
     REQUIRE(folder != nullptr);
     CHECK(OpenError(files, options) == StorageErrorKind::kLocked);
-    if (life == 0) {
+    if (restart == 0) {
       CHECK_FALSE(ErrorOf([&] {
         return folder->Write(
             Persist{PersistTicket(1), writer.states().front().hard_state});
--- a/tests/auto/storage/fake_file_system.cc
+++ b/tests/auto/storage/fake_file_system.cc
@@ -28,7 +28,7 @@
       : files_(files), inode_(std::move(inode)) {}
 
   Result<void> Append(const std::string& bytes) override {
-    Result<void> counted = files_.Count();
+    Result<void> counted = files_.ConsumeCall();
     const std::size_t size =
         counted ? bytes.size() : files_.random_.Below(bytes.size());
     inode_->bytes += bytes.substr(0, size);
@@ -36,7 +36,7 @@
   }
 
   Result<void> Sync() override {
-    BOOST_LEAF_CHECK(files_.Count());
+    BOOST_LEAF_CHECK(files_.ConsumeCall());
     inode_->synced_size = inode_->bytes.size();
     return {};
   }
@@ -46,7 +46,7 @@
   std::shared_ptr<FakeFileSystem::Inode> inode_;
 };
 
-Result<void> FakeFileSystem::Count() {
+Result<void> FakeFileSystem::ConsumeCall() {
   ++call_count_;
   if (!calls_left_) {
     return {};
@@ -106,7 +106,7 @@
 
 Result<std::unique_ptr<AppendFile>> FakeFileSystem::OpenAppend(
     const std::string& path) {
-  BOOST_LEAF_CHECK(Count());
+  BOOST_LEAF_CHECK(ConsumeCall());
   auto& inode = names_[path];
   if (inode == nullptr) {
     inode = std::make_shared<Inode>();
@@ -117,7 +117,7 @@
 
 Result<void> FakeFileSystem::Truncate(const std::string& path,
                                       std::uint64_t size) {
-  BOOST_LEAF_CHECK(Count());
+  BOOST_LEAF_CHECK(ConsumeCall());
   names_[path]->bytes.resize(size);
   names_[path]->synced_size = size;
   return {};
@@ -125,20 +125,20 @@
 
 Result<void> FakeFileSystem::Rename(const std::string& from,
                                     const std::string& to) {
-  BOOST_LEAF_CHECK(Count());
+  BOOST_LEAF_CHECK(ConsumeCall());
   names_[to] = names_[from];
   names_.erase(from);
   return {};
 }
 
 Result<void> FakeFileSystem::Remove(const std::string& path) {
-  BOOST_LEAF_CHECK(Count());
+  BOOST_LEAF_CHECK(ConsumeCall());
   names_.erase(path);
   return {};
 }
 
 Result<void> FakeFileSystem::SyncFolder(const std::string& /*path*/) {
-  BOOST_LEAF_CHECK(Count());
+  BOOST_LEAF_CHECK(ConsumeCall());
   synced_names_ = names_;
   return {};
 }
--- a/tests/auto/storage/fake_file_system.h
+++ b/tests/auto/storage/fake_file_system.h
@@ -51,7 +51,7 @@
   friend class FakeAppendFile;
   using Names = std::map<std::string, std::shared_ptr<Inode>>;
 
-  Result<void> Count();
+  Result<void> ConsumeCall();
 
   Random random_;
   Names names_;
--- a/tests/auto/storage/replica_on_folder_test.cc
+++ b/tests/auto/storage/replica_on_folder_test.cc
@@ -50,10 +50,10 @@
       for (Node& node : nodes_) {
         Step(node);
       }
-      const std::uint64_t arriving = random_.Below(waiting_.size() + 1);
+      const std::uint64_t arriving = random_.Below(undelivered_.size() + 1);
       for (std::uint64_t i = 0; i < arriving; ++i) {
-        const Message message = waiting_.front();
-        waiting_.pop_front();
+        const Message message = undelivered_.front();
+        undelivered_.pop_front();
         Node& to = nodes_[static_cast<std::size_t>(
             message.to.node.value().front() - 'a')];
         Handle(to, consensus::MessageReceived{message});
@@ -114,7 +114,7 @@
           node.replica->Handle(events.front(), now_);
       events.pop_front();
       for (const Action& action : actions) {
-        if (!Do(node, action, events)) {
+        if (!ExecuteAction(node, action, events)) {
           ++crashes_;
           node.files->Crash();
           Start(node);
@@ -125,30 +125,32 @@
   }
 
   // False where the disk failed.
-  bool Do(Node& node, const Action& action, std::deque<Event>& events) {
+  bool ExecuteAction(Node& node,
+                     const Action& action,
+                     std::deque<Event>& events) {
     if (const auto* send = std::get_if<consensus::Send>(&action)) {
-      waiting_.push_back(send->message);
+      undelivered_.push_back(send->message);
     } else if (const auto* apply = std::get_if<consensus::Apply>(&action)) {
-      DoApply(node, *apply);
+      ApplyEntries(node, *apply);
     } else if (const auto* restore =
                    std::get_if<consensus::RestoreSnapshot>(&action)) {
       node.applied = restore->snapshot->index;
     } else if (const auto* persist = std::get_if<consensus::Persist>(&action)) {
       events.push_back(consensus::Persisted{persist->ticket});
-      return DoWrite(node, *persist);
+      return WriteAndSync(node, *persist);
     } else if (const auto* snapshot =
                    std::get_if<consensus::PersistSnapshot>(&action)) {
       events.push_back(consensus::Persisted{snapshot->ticket});
-      return DoWrite(node, *snapshot);
+      return WriteAndSync(node, *snapshot);
     } else if (const auto* compact =
                    std::get_if<consensus::CompactLog>(&action)) {
-      return DoWrite(node, *compact);
+      return WriteAndSync(node, *compact);
     }
     return true;
   }
 
   template <typename Write>
-  static bool DoWrite(Node& node, const Write& write) {
+  static bool WriteAndSync(Node& node, const Write& write) {
     return boost::leaf::try_handle_all(
         [&]() -> Result<bool> {
           BOOST_LEAF_CHECK(node.folder->Write(write));
@@ -158,7 +160,7 @@
         [] { return false; });
   }
 
-  void DoApply(Node& node, const consensus::Apply& apply) {
+  void ApplyEntries(Node& node, const consensus::Apply& apply) {
     for (const consensus::LogEntry& entry : apply.entries) {
       CHECK(entry.index == node.applied.Next());
       node.applied = entry.index;
@@ -170,7 +172,7 @@
   Random random_;
   consensus::ReplicaOptions options_;
   std::vector<Node> nodes_;
-  std::deque<Message> waiting_;
+  std::deque<Message> undelivered_;
   std::map<LogIndex, consensus::LogEntry> committed_;
   TimePoint now_;
   std::uint64_t proposals_ = 0;
