--- a/src/libs/links/link_client.cc
+++ b/src/libs/links/link_client.cc
@@ -58,7 +58,7 @@
 LinkClient::CallResult LinkClient::Call(const net::Endpoint& endpoint,
                                         const std::string& method,
                                         const boost::json::value& params,
-                                        Duration patience) {
+                                        Duration timeout) {
   std::optional<LinkError> link_error;
   const rpc::Caller caller(
       [&](const std::string& body) -> rpc::TransportResult {
@@ -68,7 +68,7 @@
         request.body = body;
         authenticator_->SignRequest(request);
         bytes_sent_ += body.size();
-        auto result = client_.Send(endpoint, request, patience);
+        auto result = client_.Send(endpoint, request, timeout);
         if (const auto* error = std::get_if<net::HttpError>(&result)) {
           link_error = ToLinkError(*error);
           return rpc::TransportFailure{error->text};
@@ -100,21 +100,21 @@
 net::HttpClient::OpenResult LinkClient::Open(
     const net::Endpoint& endpoint,
     net::HttpRequest request,
-    Duration patience,
+    Duration timeout,
     std::shared_ptr<net::Cancellation> cancellation,
     const net::HttpClient::OnProcessing& on_processing) {
   authenticator_->SignRequest(request);
   bytes_sent_ += request.body.size();
-  return client_.Open(endpoint, request, patience, std::move(cancellation),
+  return client_.Open(endpoint, request, timeout, std::move(cancellation),
                       on_processing);
 }
 
 net::HttpClient::SendResult LinkClient::Send(const net::Endpoint& endpoint,
                                              net::HttpRequest request,
-                                             Duration patience) {
+                                             Duration timeout) {
   authenticator_->SignRequest(request);
   bytes_sent_ += request.body.size();
-  return client_.Send(endpoint, request, patience);
+  return client_.Send(endpoint, request, timeout);
 }
 
 }  // namespace bilberryspool::links
--- a/src/libs/links/link_client.h
+++ b/src/libs/links/link_client.h
@@ -39,20 +39,20 @@
   CallResult Call(const net::Endpoint& endpoint,
                   const std::string& method,
                   const boost::json::value& params,
-                  Duration patience);
+                  Duration timeout);
 
   // Sends any other request, signed, and streams the answer.
   net::HttpClient::OpenResult Open(
       const net::Endpoint& endpoint,
       net::HttpRequest request,
-      Duration patience,
+      Duration timeout,
       std::shared_ptr<net::Cancellation> cancellation,
       const net::HttpClient::OnProcessing& on_processing);
 
   // The same, with the whole answer.
   net::HttpClient::SendResult Send(const net::Endpoint& endpoint,
                                    net::HttpRequest request,
-                                   Duration patience);
+                                   Duration timeout);
 
   // Later calls to `endpoint` use new connections.
   void DropIdle(const net::Endpoint& endpoint) { client_.DropIdle(endpoint); }
--- a/src/libs/links/link_server.cc
+++ b/src/libs/links/link_server.cc
@@ -23,10 +23,10 @@
     net::NetworkLoop& loop,
     net::HttpServerOptions options,
     std::shared_ptr<const net::LinkAuthenticator> authenticator,
-    net::HttpHandler other_requests,
+    net::HttpHandler fallback_handler,
     OnRefused on_refused)
     : authenticator_(std::move(authenticator)),
-      other_requests_(std::move(other_requests)),
+      fallback_handler_(std::move(fallback_handler)),
       on_refused_(std::move(on_refused)),
       dispatcher_(std::make_unique<rpc::Dispatcher>()),
       server_(std::make_unique<net::HttpServer>(
@@ -77,7 +77,7 @@
     return;
   }
   if (exchange.request().target != kRpcPath) {
-    other_requests_(exchange);
+    fallback_handler_(exchange);
     return;
   }
   const std::string body = dispatcher_->Handle(exchange.request().body);
--- a/src/libs/links/link_server.h
+++ b/src/libs/links/link_server.h
@@ -30,7 +30,7 @@
   LinkServer(net::NetworkLoop& loop,
              net::HttpServerOptions options,
              std::shared_ptr<const net::LinkAuthenticator> authenticator,
-             net::HttpHandler other_requests,
+             net::HttpHandler fallback_handler,
              OnRefused on_refused);
   ~LinkServer();
 
@@ -46,7 +46,7 @@
   void Handle(net::HttpExchange& exchange);
 
   std::shared_ptr<const net::LinkAuthenticator> authenticator_;
-  net::HttpHandler other_requests_;
+  net::HttpHandler fallback_handler_;
   OnRefused on_refused_;
   std::unique_ptr<rpc::Dispatcher> dispatcher_;
   std::unique_ptr<net::HttpServer> server_;
--- a/src/libs/net/http_client.cc
+++ b/src/libs/net/http_client.cc
@@ -19,7 +19,7 @@
       : loop(network_loop), options(client_options) {}
 
   // A live idle connection, newest first, or none.
-  ConnectionPointer TakeIdle(const Endpoint& endpoint, TimePoint now) {
+  ConnectionPointer AcquireIdle(const Endpoint& endpoint, TimePoint now) {
     auto& pool = idle[endpoint];
     while (!pool.empty()) {
       ConnectionPointer connection = std::move(pool.back());
@@ -35,7 +35,8 @@
     return nullptr;
   }
 
-  void Return(const Endpoint& endpoint, ConnectionPointer connection) {
+  void ReleaseConnection(const Endpoint& endpoint,
+                         ConnectionPointer connection) {
     if (!connection->is_reusable()) {
       return;
     }
@@ -60,23 +61,23 @@
 
   PooledStream(HttpResponseHead head,
                ConnectionPointer connection,
-               ReturnConnection give_back)
+               ReturnConnection return_connection)
       : head_(std::move(head)),
         connection_(std::move(connection)),
-        give_back_(std::move(give_back)) {}
+        return_connection_(std::move(return_connection)) {}
 
-  ~PooledStream() override { give_back_(std::move(connection_)); }
+  ~PooledStream() override { return_connection_(std::move(connection_)); }
 
   const HttpResponseHead& head() const override { return head_; }
-  StreamPiece Read(Duration patience) override {
-    return connection_->ReadPiece(patience);
+  StreamPiece Read(Duration timeout) override {
+    return connection_->ReadPiece(timeout);
   }
   void Cancel() override { connection_->Cancel(); }
 
  private:
   HttpResponseHead head_;
   ConnectionPointer connection_;
-  ReturnConnection give_back_;
+  ReturnConnection return_connection_;
 };
 
 }  // namespace
@@ -88,14 +89,14 @@
 HttpClient::OpenResult HttpClient::Open(
     const Endpoint& endpoint,
     const HttpRequest& request,
-    Duration patience,
+    Duration timeout,
     std::shared_ptr<Cancellation> cancellation,
     const OnProcessing& on_processing) {
   const TimePoint began = SteadyNow();
-  ConnectionPointer connection = d_->TakeIdle(endpoint, began);
+  ConnectionPointer connection = d_->AcquireIdle(endpoint, began);
   if (connection == nullptr) {
     connection = std::make_unique<ClientConnection>(d_->loop.io(), d_->options);
-    if (auto error = connection->Connect(endpoint, patience)) {
+    if (auto error = connection->Connect(endpoint, timeout)) {
       return *error;
     }
   }
@@ -105,8 +106,8 @@
     }
     cancellation->SetHandler([raw = connection.get()] { raw->Cancel(); });
   }
-  constexpr Duration kLeast = Milliseconds(1);
-  const Duration left = std::max(patience - (SteadyNow() - began), kLeast);
+  constexpr Duration kMinTimeout = Milliseconds(1);
+  const Duration left = std::max(timeout - (SteadyNow() - began), kMinTimeout);
   auto result =
       connection->Exchange(request, endpoint.ToString(), left, on_processing);
   if (cancellation != nullptr) {
@@ -115,19 +116,19 @@
   if (auto* error = std::get_if<HttpError>(&result)) {
     return *error;
   }
-  auto give_back = [pool = d_, endpoint](ConnectionPointer used) {
-    pool->Return(endpoint, std::move(used));
+  auto return_connection = [pool = d_, endpoint](ConnectionPointer used) {
+    pool->ReleaseConnection(endpoint, std::move(used));
   };
   return std::make_unique<PooledStream>(
       std::get<HttpResponseHead>(std::move(result)), std::move(connection),
-      std::move(give_back));
+      std::move(return_connection));
 }
 
 HttpClient::SendResult HttpClient::Send(const Endpoint& endpoint,
                                         const HttpRequest& request,
-                                        Duration patience) {
-  const TimePoint deadline = SteadyNow() + patience;
-  OpenResult opened = Open(endpoint, request, patience);
+                                        Duration timeout) {
+  const TimePoint deadline = SteadyNow() + timeout;
+  OpenResult opened = Open(endpoint, request, timeout);
   if (auto* error = std::get_if<HttpError>(&opened)) {
     return *error;
   }
--- a/src/libs/net/http_client.h
+++ b/src/libs/net/http_client.h
@@ -41,7 +41,7 @@
   virtual const HttpResponseHead& head() const = 0;
   // Waits for the next piece; kTimeout where none came within `patience`,
   // after which the stream is broken.
-  virtual StreamPiece Read(Duration patience) = 0;
+  virtual StreamPiece Read(Duration timeout) = 0;
   // Breaks off, from any fiber of the loop; a waiting Read() ends at once.
   virtual void Cancel() = 0;
 };
@@ -69,14 +69,14 @@
   // request may have run.
   OpenResult Open(const Endpoint& endpoint,
                   const HttpRequest& request,
-                  Duration patience,
+                  Duration timeout,
                   std::shared_ptr<Cancellation> cancellation = nullptr,
                   const OnProcessing& on_processing = nullptr);
 
   // Sends `request` and reads the whole answer, within `patience` in all.
   SendResult Send(const Endpoint& endpoint,
                   const HttpRequest& request,
-                  Duration patience);
+                  Duration timeout);
 
   // Closes the idle connections to `endpoint`: they may lead to nowhere.
   void DropIdle(const Endpoint& endpoint);
--- a/src/libs/net/http_server.cc
+++ b/src/libs/net/http_server.cc
@@ -22,7 +22,7 @@
   }
 
   void AcceptLoop();
-  void Take(tcp::socket socket);
+  void AddConnection(tcp::socket socket);
 
   NetworkLoop& loop;
   tcp::acceptor acceptor;
@@ -80,11 +80,11 @@
       loop.SleepFor(kPause);
       continue;
     }
-    Take(std::move(socket));
+    AddConnection(std::move(socket));
   }
 }
 
-void HttpServer::Private::Take(tcp::socket socket) {
+void HttpServer::Private::AddConnection(tcp::socket socket) {
   ++state->counts.accepted;
   if (connections.size() >= state->options.max_connections) {
     ++state->counts.refused_over_limit;
--- a/src/libs/net/http_server.h
+++ b/src/libs/net/http_server.h
@@ -56,9 +56,9 @@
 
   virtual bool has_responded() const = 0;
 
-  // `on_left` is called once, from the loop's dispatcher, when the caller
+  // `on_disconnect` is called once, from the loop's dispatcher, when the caller
   // closes while its request is worked on. It must not suspend.
-  virtual void WatchCaller(std::function<void()> on_left) = 0;
+  virtual void NotifyOnDisconnect(std::function<void()> on_disconnect) = 0;
 };
 
 using HttpHandler = std::function<void(HttpExchange&)>;
--- a/src/libs/net/internal/client_connection.cc
+++ b/src/libs/net/internal/client_connection.cc
@@ -27,24 +27,24 @@
 }
 
 std::optional<HttpError> ClientConnection::Connect(const Endpoint& endpoint,
-                                                   Duration patience) {
+                                                   Duration timeout) {
   boost::system::error_code error;
   const auto address = boost::asio::ip::make_address(endpoint.address, error);
   if (error) {
     return HttpError{HttpErrorKind::kConnect, "not an address"};
   }
-  const bool is_impatient = patience < options_.connect_timeout;
-  stream_.expires_after(is_impatient ? patience : options_.connect_timeout);
+  const bool limited_by_caller = timeout < options_.connect_timeout;
+  stream_.expires_after(limited_by_caller ? timeout : options_.connect_timeout);
   const IoOutcome outcome = Await([&](auto handler) {
     stream_.async_connect(tcp::endpoint(address, endpoint.port), handler);
   });
   if (outcome.error) {
     is_broken_ = true;
     // That the asker had no more time says little against the other end.
-    const bool has_run_out =
-        is_impatient && outcome.error == boost::beast::error::timeout;
+    const bool caller_timed_out =
+        limited_by_caller && outcome.error == boost::beast::error::timeout;
     return HttpError{
-        has_run_out ? HttpErrorKind::kTimeout : HttpErrorKind::kConnect,
+        caller_timed_out ? HttpErrorKind::kTimeout : HttpErrorKind::kConnect,
         outcome.error.message()};
   }
   boost::system::error_code ignored;
@@ -55,16 +55,16 @@
 std::variant<HttpResponseHead, HttpError> ClientConnection::Exchange(
     const HttpRequest& request,
     const std::string& host,
-    Duration patience,
+    Duration timeout,
     const HttpClient::OnProcessing& on_processing) {
   auto message = ToBeastRequest(request, host);
-  stream_.expires_after(patience);
+  stream_.expires_after(timeout);
   const IoOutcome written = Await(
       [&](auto handler) { http::async_write(stream_, message, handler); });
   if (written.error) {
     return Fail(written.error);
   }
-  if (auto error = ReadHead(patience, on_processing)) {
+  if (auto error = ReadHead(timeout, on_processing)) {
     return *error;
   }
   return HttpResponseHead{static_cast<int>(parser_->get().result_int()),
@@ -72,14 +72,14 @@
 }
 
 std::optional<HttpError> ClientConnection::ReadHead(
-    Duration patience,
+    Duration timeout,
     const HttpClient::OnProcessing& on_processing) {
   while (true) {
     parser_.emplace();
     parser_->header_limit(
         static_cast<std::uint32_t>(options_.max_header_bytes));
     parser_->body_limit(options_.max_body_bytes);
-    stream_.expires_after(patience);
+    stream_.expires_after(timeout);
     const IoOutcome read = Await([&](auto handler) {
       http::async_read_header(stream_, buffer_, *parser_, handler);
     });
@@ -98,13 +98,13 @@
   }
 }
 
-StreamPiece ClientConnection::ReadPiece(Duration patience) {
+StreamPiece ClientConnection::ReadPiece(Duration timeout) {
   while (!parser_->is_done()) {
     auto& body = parser_->get().body();
     body.data = piece_.data();
     body.size = piece_.size();
     body.more = true;
-    stream_.expires_after(patience);
+    stream_.expires_after(timeout);
     const IoOutcome outcome = Await([&](auto handler) {
       http::async_read_some(stream_, buffer_, *parser_, handler);
     });
--- a/src/libs/net/internal/client_connection.h
+++ b/src/libs/net/internal/client_connection.h
@@ -19,16 +19,16 @@
                    const HttpClientOptions& options);
 
   // Within `patience`, or the options' time to connect where that is shorter.
-  std::optional<HttpError> Connect(const Endpoint& endpoint, Duration patience);
+  std::optional<HttpError> Connect(const Endpoint& endpoint, Duration timeout);
 
   // Sends the request and reads the head of the answer.
   std::variant<HttpResponseHead, HttpError> Exchange(
       const HttpRequest& request,
       const std::string& host,
-      Duration patience,
+      Duration timeout,
       const HttpClient::OnProcessing& on_processing);
 
-  StreamPiece ReadPiece(Duration patience);
+  StreamPiece ReadPiece(Duration timeout);
 
   void Cancel();
 
@@ -46,7 +46,7 @@
       boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
   std::optional<HttpError> ReadHead(
-      Duration patience,
+      Duration timeout,
       const HttpClient::OnProcessing& on_processing);
   HttpError Fail(const boost::system::error_code& error);
 
--- a/src/libs/net/internal/server_connection.cc
+++ b/src/libs/net/internal/server_connection.cc
@@ -142,8 +142,11 @@
   }
   if (EqualNames(std::string(parser.get()[http::field::expect]),
                  "100-continue")) {
-    http::response<http::empty_body> go_on(http::status::continue_, 11);
-    Await([&](auto handler) { http::async_write(stream_, go_on, handler); });
+    http::response<http::empty_body> continue_response(http::status::continue_,
+                                                       11);
+    Await([&](auto handler) {
+      http::async_write(stream_, continue_response, handler);
+    });
   }
   const IoOutcome body = Await([&](auto handler) {
     http::async_read(stream_, buffer_, parser, handler);
@@ -207,7 +210,7 @@
   ServerExchange exchange(*this, std::move(request));
   state_->handler(exchange);
   --state_->counts.requests_in_progress;
-  on_left_ = nullptr;
+  on_disconnect_ = nullptr;
   if (!exchange.has_responded()) {
     HttpResponseHead head;
     head.status = 500;
@@ -232,7 +235,7 @@
   stream_.socket().async_wait(
       tcp::socket::wait_read, [self](const boost::system::error_code& error) {
         self->is_watching_ = false;
-        if (error || !self->on_left_) {
+        if (error || !self->on_disconnect_) {
           return;
         }
         char byte = 0;
@@ -243,9 +246,10 @@
         if (length > 0 || peeked == boost::asio::error::would_block) {
           return;
         }
-        const std::function<void()> on_left = std::move(self->on_left_);
-        self->on_left_ = nullptr;
-        on_left();
+        const std::function<void()> on_disconnect =
+            std::move(self->on_disconnect_);
+        self->on_disconnect_ = nullptr;
+        on_disconnect();
       });
 }
 
--- a/src/libs/net/internal/server_connection.h
+++ b/src/libs/net/internal/server_connection.h
@@ -66,7 +66,7 @@
   bool keep_alive_ = true;
   unsigned http_version_ = 11;
   // Runs when the caller closes during a request.
-  std::function<void()> on_left_;
+  std::function<void()> on_disconnect_;
   bool is_watching_ = false;
 };
 
--- a/src/libs/net/internal/server_exchange.cc
+++ b/src/libs/net/internal/server_exchange.cc
@@ -134,8 +134,8 @@
   connection_.keep_alive_ = false;
 }
 
-void ServerExchange::WatchCaller(std::function<void()> on_left) {
-  connection_.on_left_ = std::move(on_left);
+void ServerExchange::NotifyOnDisconnect(std::function<void()> on_disconnect) {
+  connection_.on_disconnect_ = std::move(on_disconnect);
   connection_.WatchForClose();
 }
 
--- a/src/libs/net/internal/server_exchange.h
+++ b/src/libs/net/internal/server_exchange.h
@@ -19,7 +19,7 @@
   bool EndStream() override;
   void AbortStream() override;
   bool has_responded() const override { return has_responded_; }
-  void WatchCaller(std::function<void()> on_left) override;
+  void NotifyOnDisconnect(std::function<void()> on_disconnect) override;
 
   // True where the answer went out whole.
   bool is_complete() const { return is_complete_; }
--- a/src/libs/net/port_check.cc
+++ b/src/libs/net/port_check.cc
@@ -10,7 +10,7 @@
 
 PortState CheckPort(NetworkLoop& loop,
                     const Endpoint& endpoint,
-                    Duration patience) {
+                    Duration timeout) {
   using boost::asio::ip::tcp;
   boost::system::error_code error;
   const auto address = boost::asio::ip::make_address(endpoint.address, error);
@@ -18,7 +18,7 @@
     return PortState::kUnknown;
   }
   boost::beast::tcp_stream stream(loop.io());
-  stream.expires_after(patience);
+  stream.expires_after(timeout);
   const internal::IoOutcome outcome = internal::Await([&](auto handler) {
     stream.async_connect(tcp::endpoint(address, endpoint.port), handler);
   });
--- a/src/libs/net/port_check.h
+++ b/src/libs/net/port_check.h
@@ -20,7 +20,7 @@
 // connection, which is closed again.
 PortState CheckPort(NetworkLoop& loop,
                     const Endpoint& endpoint,
-                    Duration patience);
+                    Duration timeout);
 
 }  // namespace bilberryspool::net
 
--- a/src/libs/rpc/caller.cc
+++ b/src/libs/rpc/caller.cc
@@ -40,7 +40,8 @@
 
 CallResult Caller::Call(const std::string& method,
                         const std::string& params_json) const {
-  const auto carry = [this](const std::string& request, std::string& response) {
+  const auto call_transport = [this](const std::string& request,
+                                     std::string& response) {
     TransportResult result = transport_(request);
     if (auto* failure = std::get_if<TransportFailure>(&result)) {
       response = std::move(failure->message);
@@ -49,7 +50,8 @@
     response = std::move(std::get<std::string>(result));
     return true;
   };
-  return ToResult(method, internal::CallMethod(method, params_json, carry));
+  return ToResult(method,
+                  internal::CallMethod(method, params_json, call_transport));
 }
 
 }  // namespace bilberryspool::rpc
--- a/src/libs/rpc/internal/client_bridge.cc
+++ b/src/libs/rpc/internal/client_bridge.cc
@@ -74,7 +74,7 @@
 
 // The library puts its own text for a code of JSON-RPC before the message, once
 // on each side.
-std::string WithoutLibraryText(int code, std::string message) {
+std::string StripLibraryPrefix(int code, std::string message) {
   const std::string text = jsonrpc::Errors::GetErrorMessage(code) + ": ";
   while (message.compare(0, text.size(), text) == 0) {
     message.erase(0, text.size());
@@ -110,7 +110,7 @@
   } catch (const jsonrpc::JsonRpcException& error) {
     const int code = error.GetCode();
     return Failure(ReplyKind::kError, code,
-                   WithoutLibraryText(code, error.GetMessage()));
+                   StripLibraryPrefix(code, error.GetMessage()));
   } catch (const std::exception& error) {
     return Failure(ReplyKind::kBadResponse, 0, error.what());
   }
--- a/src/libs/rpc/internal/json_text.cc
+++ b/src/libs/rpc/internal/json_text.cc
@@ -10,12 +10,12 @@
 namespace internal {
 namespace {
 
-constexpr int kDeepest = 16;
+constexpr int kMaxDepth = 16;
 
 Json::CharReaderBuilder MakeReaderBuilder() {
   Json::CharReaderBuilder builder;
   Json::CharReaderBuilder::strictMode(&builder.settings_);
-  builder["stackLimit"] = kDeepest;
+  builder["stackLimit"] = kMaxDepth;
   return builder;
 }
 
--- a/src/plugins/callers/filter_chain.cc
+++ b/src/plugins/callers/filter_chain.cc
@@ -38,7 +38,7 @@
   RequestContext context(exchange);
   context.arrived = SteadyNow();
   auto watch = std::make_shared<CallerWatch>();
-  exchange.WatchCaller([watch] { watch->NoteLeft(); });
+  exchange.NotifyOnDisconnect([watch] { watch->NoteLeft(); });
   auto answer = Pass(context, *watch);
   if (answer.has_value() && MayHaveRunBefore(context)) {
     answer->kind = attempts::FinalKind::kUnknown;
--- a/src/plugins/gateway/relay_call.cc
+++ b/src/plugins/gateway/relay_call.cc
@@ -52,7 +52,7 @@
 void RelayCall::Run() {
   ++state_.requests_in_progress;
   if (Admit()) {
-    exchange_.WatchCaller([this] { OnCallerLeft(); });
+    exchange_.NotifyOnDisconnect([this] { OnCallerLeft(); });
     Relay();
   }
   --state_.requests_in_progress;
--- a/src/plugins/operators/operators_server.cc
+++ b/src/plugins/operators/operators_server.cc
@@ -187,7 +187,7 @@
     return;
   }
   const auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
+  exchange.NotifyOnDisconnect([left] { *left = true; });
   request.is_abandoned = [left] { return *left; };
   const StatementResult result = runner.Run(request);
   Note(request, result);
--- a/src/tools/standin/standin_server.cc
+++ b/src/tools/standin/standin_server.cc
@@ -187,7 +187,7 @@
   const Work work = ReadWork(exchange.request());
   // Shared with the watcher, which may outlive this call.
   auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
+  exchange.NotifyOnDisconnect([left] { *left = true; });
   if (!WaitForSlot(*left)) {
     return;
   }
@@ -247,7 +247,7 @@
 
 void StandinServer::Private::HandlePlain(HttpExchange& exchange) {
   auto left = std::make_shared<bool>(false);
-  exchange.WatchCaller([left] { *left = true; });
+  exchange.NotifyOnDisconnect([left] { *left = true; });
   if (!WaitForSlot(*left)) {
     return;
   }
--- a/tests/auto/callers/fake_exchange.h
+++ b/tests/auto/callers/fake_exchange.h
@@ -21,7 +21,7 @@
   bool EndStream() override { return true; }
   void AbortStream() override {}
   bool has_responded() const override { return has_responded_; }
-  void WatchCaller(std::function<void()> /*on_left*/) override {}
+  void NotifyOnDisconnect(std::function<void()> /*on_disconnect*/) override {}
 
   const net::HttpResponseHead& head() const { return head_; }
   const std::string& body() const { return body_; }
--- a/tests/auto/net/http_test.cc
+++ b/tests/auto/net/http_test.cc
@@ -78,9 +78,9 @@
 
 // An address that takes no connection and refuses none, as that of a VM without
 // power: the queue of a listening socket that nobody accepts from is full.
-class DarkEndpoint {
+class UnresponsiveEndpoint {
  public:
-  DarkEndpoint() : acceptor_(io_) {
+  UnresponsiveEndpoint() : acceptor_(io_) {
     using boost::asio::ip::tcp;
     const tcp::endpoint any(boost::asio::ip::address_v4::loopback(), 0);
     acceptor_.open(tcp::v4());
@@ -103,10 +103,10 @@
   std::vector<boost::asio::ip::tcp::socket> fillers_ = MakeFillers();
 
   std::vector<boost::asio::ip::tcp::socket> MakeFillers() {
-    constexpr int kMoreThanTheQueue = 4;
+    constexpr int kFillerCount = 4;
     std::vector<boost::asio::ip::tcp::socket> fillers;
-    fillers.reserve(kMoreThanTheQueue);
-    for (int i = 0; i < kMoreThanTheQueue; ++i) {
+    fillers.reserve(kFillerCount);
+    for (int i = 0; i < kFillerCount; ++i) {
       fillers.emplace_back(io_);
     }
     return fillers;
@@ -123,7 +123,7 @@
   NetworkLoop loop;
   std::thread thread([&] {
     loop.Run([&] {
-      DarkEndpoint dark;
+      UnresponsiveEndpoint unresponsive;
       HttpClientOptions options;
       options.connect_timeout = Seconds(20);
       HttpClient client(loop, options);
@@ -132,7 +132,7 @@
       request.target = "/echo";
       const TimePoint began = SteadyNow();
       const auto result =
-          client.Send(dark.endpoint(), request, Milliseconds(65));
+          client.Send(unresponsive.endpoint(), request, Milliseconds(65));
       REQUIRE(std::holds_alternative<HttpError>(result));
       CHECK(std::get<HttpError>(result).kind == HttpErrorKind::kTimeout);
       // Far from both, however busy the machine is.
@@ -149,12 +149,12 @@
     request.method = "POST";
     request.target = "/slow";
     request.body = "late";
-    int signs = 0;
+    int interim_count = 0;
     auto opened = client.Open(endpoint, request, Seconds(5), nullptr,
-                              [&signs] { ++signs; });
+                              [&interim_count] { ++interim_count; });
     REQUIRE(std::holds_alternative<std::unique_ptr<HttpClientStream>>(opened));
     auto& stream = std::get<std::unique_ptr<HttpClientStream>>(opened);
-    CHECK(signs == 2);
+    CHECK(interim_count == 2);
     CHECK(stream->head().status == 200);
     const StreamPiece piece = stream->Read(Seconds(5));
     REQUIRE(std::holds_alternative<std::string>(piece));
--- a/tests/auto/rings/rings_test.cc
+++ b/tests/auto/rings/rings_test.cc
@@ -111,7 +111,7 @@
   std::atomic<bool> is_drained = false;
   std::size_t handled = 0;
   std::thread closer;
-  const auto close_meanwhile = [&] {
+  const auto close_concurrently = [&] {
     if (closer.joinable()) {
       return;
     }
@@ -125,7 +125,7 @@
       std::this_thread::yield();
     }
   };
-  const bool is_taken = ring.TryPush(HookedItem(close_meanwhile));
+  const bool is_taken = ring.TryPush(HookedItem(close_concurrently));
   closer.join();
   CHECK(handled == (is_taken ? 1 : 0));
 }
--- a/tests/auto/rpc/rpc_test.cc
+++ b/tests/auto/rpc/rpc_test.cc
@@ -31,11 +31,11 @@
   });
 }
 
-Caller CallerThatGets(TransportResult response) {
+Caller CallerWithResponse(TransportResult response) {
   return Caller([response](const std::string&) { return response; });
 }
 
-std::string Deep(int depth) {
+std::string NestedArrays(int depth) {
   return std::string(depth, '[') + std::string(depth, ']');
 }
 
@@ -68,7 +68,7 @@
        R"({"a":[1,-2.5,"é\n\u0007",18446744073709551615]})"},
       {"echo", "", ""},
       {"echo", "no \"JSON\"\n\t\x01\\", "no \"JSON\"\n\t\x01\\"},
-      {"echo", Deep(5000), Deep(5000)},
+      {"echo", NestedArrays(5000), NestedArrays(5000)},
       {"refuse", "{}", RpcError(RemoteError{7, "not the leader"})},
       {"choosy", "{}", RpcError(BadParams{"term is missing"})},
       {"unknown", "{}", RpcError(MethodNotFound{"unknown"})},
@@ -87,9 +87,9 @@
 // Cause: libjsonrpccpp declares throw(JsonRpcException), but lets another type
 // of its parser pass, which ends the process.
 TEST_CASE("a deeply nested response does not end the process") {
-  const std::string deep =
-      R"({"jsonrpc":"2.0","id":1,"result":)" + Deep(5000) + "}";
-  CHECK(CallerThatGets(deep).Call("echo", "{}").index() == 1);
+  const std::string nested =
+      R"({"jsonrpc":"2.0","id":1,"result":)" + NestedArrays(5000) + "}";
+  CHECK(CallerWithResponse(nested).Call("echo", "{}").index() == 1);
 }
 
 TEST_CASE("what is no response is an error, and so is a failed transport") {
@@ -114,12 +114,12 @@
   for (const char* body : bodies) {
     CAPTURE(body);
     const CallResult result =
-        CallerThatGets(std::string(body)).Call("echo", "{}");
+        CallerWithResponse(std::string(body)).Call("echo", "{}");
     const auto* error = std::get_if<RpcError>(&result);
     REQUIRE(error != nullptr);
     CHECK(std::holds_alternative<BadResponse>(*error));
   }
-  CHECK(CallerThatGets(TransportFailure{"refused"}).Call("echo", "{}") ==
+  CHECK(CallerWithResponse(TransportFailure{"refused"}).Call("echo", "{}") ==
         CallResult(RpcError(TransportFailure{"refused"})));
 }
 
@@ -131,7 +131,7 @@
   const Row rows[] = {
       {"", "-32700"},
       {"[]", "-32700"},
-      {Deep(5000), "-32700"},
+      {NestedArrays(5000), "-32700"},
       {R"({"jsonrpc":"2.0","id":1})", "-32600"},
       {R"({"jsonrpc":"2.0","id":1,"method":3})", "-32600"},
       {R"({"jsonrpc":"2.0","id":1,"method":"echo","params":3})", "-32600"},
@@ -176,7 +176,7 @@
       body += body.empty() ? " " : "";
     }
     CHECK_NOTHROW(dispatcher.Handle(body));
-    CHECK_NOTHROW(CallerThatGets(body).Call("echo", "{}"));
+    CHECK_NOTHROW(CallerWithResponse(body).Call("echo", "{}"));
   }
 }
 
