--- a/src/libs/packing/packed_text.cc
+++ b/src/libs/packing/packed_text.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // No text of a configuration begins like this: it is no JSON.
-constexpr std::string_view kMark = "zstd:";
+constexpr std::string_view kPackedPrefix = "zstd:";
 // The library's own choice.
 constexpr int kLevel = 3;
 constexpr int kVariant = sodium_base64_VARIANT_ORIGINAL_NO_PADDING;
@@ -47,26 +47,27 @@
     return PackedText{std::string(text)};
   }
   bytes.resize(size);
-  return PackedText{std::string(kMark) + ToBase64(bytes)};
+  return PackedText{std::string(kPackedPrefix) + ToBase64(bytes)};
 }
 
 std::optional<std::string> Unpack(const PackedText& packed,
-                                  std::size_t largest) {
+                                  std::size_t max_bytes) {
   const std::string_view value = packed.value;
-  if (value.substr(0, kMark.size()) != kMark) {
-    return value.size() <= largest ? std::optional(packed.value) : std::nullopt;
+  if (value.substr(0, kPackedPrefix.size()) != kPackedPrefix) {
+    return value.size() <= max_bytes ? std::optional(packed.value)
+                                     : std::nullopt;
   }
-  const auto bytes = FromBase64(value.substr(kMark.size()));
+  const auto bytes = FromBase64(value.substr(kPackedPrefix.size()));
   if (!bytes.has_value()) {
     return std::nullopt;
   }
-  const unsigned long long told =
+  const unsigned long long declared_size =
       ZSTD_getFrameContentSize(bytes->data(), bytes->size());
-  if (told == ZSTD_CONTENTSIZE_UNKNOWN || told == ZSTD_CONTENTSIZE_ERROR ||
-      told > largest) {
+  if (declared_size == ZSTD_CONTENTSIZE_UNKNOWN ||
+      declared_size == ZSTD_CONTENTSIZE_ERROR || declared_size > max_bytes) {
     return std::nullopt;
   }
-  std::string text(static_cast<std::size_t>(told), '\0');
+  std::string text(static_cast<std::size_t>(declared_size), '\0');
   const std::size_t size =
       ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
   if (ZSTD_isError(size) != 0 || size != text.size()) {
--- a/src/libs/packing/packed_text.h
+++ b/src/libs/packing/packed_text.h
@@ -27,7 +27,7 @@
 
 // Unpacks to at most this many bytes: a damaged or hostile text must not take
 // the memory of a small VM. Operators' bodies are bounded below this.
-inline constexpr std::size_t kLargestText = std::size_t{64} << 20U;
+inline constexpr std::size_t kMaxUnpackedBytes = std::size_t{64} << 20U;
 
 PackedText Pack(std::string_view text);
 
@@ -35,7 +35,7 @@
 // `largest`. A value without the mark of a packed text is the text itself: data
 // folders of earlier versions hold those.
 std::optional<std::string> Unpack(const PackedText& packed,
-                                  std::size_t largest = kLargestText);
+                                  std::size_t max_bytes = kMaxUnpackedBytes);
 
 }  // namespace bilberryspool::packing
 
--- a/src/libs/settings/contradictions.cc
+++ b/src/libs/settings/contradictions.cc
@@ -13,8 +13,8 @@
   SocketAddress address;
 };
 
-void CheckApart(const std::vector<NamedAddress>& addresses,
-                Contradictions& found) {
+void CheckNoOverlap(const std::vector<NamedAddress>& addresses,
+                    Contradictions& found) {
   for (std::size_t i = 0; i < addresses.size(); ++i) {
     for (std::size_t j = 0; j < i; ++j) {
       if (!addresses[i].address.Overlaps(addresses[j].address)) {
@@ -86,10 +86,10 @@
 void CheckRole(const Settings& settings,
                const EntrySettings& entry,
                Contradictions& found) {
-  CheckApart({{"callers.listen", entry.callers_listen},
-              {"operators.listen", entry.operators_listen},
-              {"peers.listen", entry.peers_listen}},
-             found);
+  CheckNoOverlap({{"callers.listen", entry.callers_listen},
+                  {"operators.listen", entry.operators_listen},
+                  {"peers.listen", entry.peers_listen}},
+                 found);
   // With one secret for both, whoever may type a statement could also pose as
   // a process of the system.
   if (entry.operators_credential_file == settings.common.key_file) {
@@ -108,7 +108,7 @@
 void CheckRole(const Settings&,
                const AgentSettings& agent,
                Contradictions& found) {
-  CheckApart(
+  CheckNoOverlap(
       {{"listen", agent.listen}, {"engine.address", agent.engine.address}},
       found);
   if (agent.advertise == agent.engine.address) {
@@ -129,27 +129,27 @@
 void CheckRole(const Settings&,
                const GatewaySettings& gateway,
                Contradictions& found) {
-  CheckApart({{"callers.listen", gateway.callers_listen},
-              {"readiness.listen", gateway.readiness_listen},
-              {"metrics.listen", gateway.metrics_listen}},
-             found);
+  CheckNoOverlap({{"callers.listen", gateway.callers_listen},
+                  {"readiness.listen", gateway.readiness_listen},
+                  {"metrics.listen", gateway.metrics_listen}},
+                 found);
 }
 
 void CheckRole(const Settings&,
                const ControlSettings& control,
                Contradictions& found) {
-  CheckApart({{"operators.listen", control.operators_listen},
-              {"peers.listen", control.peers_listen},
-              {"metrics.listen", control.metrics_listen}},
-             found);
+  CheckNoOverlap({{"operators.listen", control.operators_listen},
+                  {"peers.listen", control.peers_listen},
+                  {"metrics.listen", control.metrics_listen}},
+                 found);
 }
 
 void CheckRole(const Settings&,
                const SidecarSettings& sidecar,
                Contradictions& found) {
-  CheckApart({{"peers.listen", sidecar.peers_listen},
-              {"engine.address", sidecar.engine}},
-             found);
+  CheckNoOverlap({{"peers.listen", sidecar.peers_listen},
+                  {"engine.address", sidecar.engine}},
+                 found);
 }
 
 }  // namespace
--- a/src/libs/settings/key_kind.cc
+++ b/src/libs/settings/key_kind.cc
@@ -11,11 +11,11 @@
 namespace bilberryspool::settings {
 namespace {
 
-constexpr std::size_t kLongestName = 64;
-constexpr std::size_t kLongestPath = 4095;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxPathLength = 4095;
 
 bool IsName(const std::string& text) {
-  if (text.empty() || text.size() > kLongestName) {
+  if (text.empty() || text.size() > kMaxNameLength) {
     return false;
   }
   if (std::isalnum(static_cast<unsigned char>(text.front())) == 0) {
@@ -27,7 +27,7 @@
 }
 
 bool IsPath(const std::string& text) {
-  return text.size() <= kLongestPath && text.find('\0') == std::string::npos;
+  return text.size() <= kMaxPathLength && text.find('\0') == std::string::npos;
 }
 
 std::optional<std::string> ToName(const RawValue& raw) {
@@ -212,7 +212,7 @@
   return std::visit(Converter{raw}, kind);
 }
 
-std::string Accepted(const KeyKind& kind) {
+std::string DescribeAccepted(const KeyKind& kind) {
   const std::string name =
       "1 to 64 letters, digits, '.', '_' or '-', a letter or digit first";
   return std::visit(
--- a/src/libs/settings/key_kind.h
+++ b/src/libs/settings/key_kind.h
@@ -71,7 +71,7 @@
 std::optional<KeyValue> Convert(const KeyKind& kind, const RawValue& raw);
 
 // What the kind accepts, in words; for errors and for docs/SETTINGS.md.
-std::string Accepted(const KeyKind& kind);
+std::string DescribeAccepted(const KeyKind& kind);
 
 // The value in the notation of TOML.
 std::string ToToml(const KeyValue& value);
--- a/src/libs/settings/key_table.cc
+++ b/src/libs/settings/key_table.cc
@@ -431,7 +431,7 @@
   return table;
 }
 
-bool Fits(KeyScope scope, const Settings& settings) {
+bool AppliesTo(KeyScope scope, const Settings& settings) {
   return scope == KeyScope::kAll ||
          std::visit(
              [scope](const auto& role) { return scope == ScopeOf(role); },
--- a/src/libs/settings/key_table.h
+++ b/src/libs/settings/key_table.h
@@ -46,7 +46,7 @@
 const std::vector<KeySpec>& KeyTable();
 
 // Whether a key of that scope may stand in settings of that role.
-bool Fits(KeyScope scope, const Settings& settings);
+bool AppliesTo(KeyScope scope, const Settings& settings);
 
 }  // namespace bilberryspool::settings
 
--- a/src/libs/settings/load.cc
+++ b/src/libs/settings/load.cc
@@ -15,7 +15,7 @@
 namespace bilberryspool::settings {
 namespace {
 
-constexpr std::size_t kLargestFileBytes = 1024UL * 1024;
+constexpr std::size_t kMaxFileBytes = 1024UL * 1024;
 
 // Checks the entries of one file against the table of keys.
 class Checker {
@@ -31,9 +31,9 @@
     if (!ReadRole()) {
       return errors_;
     }
-    RefuseStrangers();
+    RefuseUnknownKeys();
     for (const KeySpec& spec : KeyTable()) {
-      if (Fits(spec.scope, settings_)) {
+      if (AppliesTo(spec.scope, settings_)) {
         ReadKey(spec);
       }
     }
@@ -89,7 +89,7 @@
     return true;
   }
 
-  void RefuseStrangers() {
+  void RefuseUnknownKeys() {
     for (const auto& [key, raw] : entries_) {
       if (key == kRoleKey || IsEmptyTableOfKnownKeys(key, raw)) {
         continue;
@@ -97,7 +97,7 @@
       const KeySpec* spec = FindSpec(key);
       if (spec == nullptr) {
         Refuse(key, "an unknown key", "the keys of docs/SETTINGS.md");
-      } else if (!Fits(spec->scope, settings_)) {
+      } else if (!AppliesTo(spec->scope, settings_)) {
         Refuse(key, "a key of another role",
                "this key beside role = \"" + std::string(RoleOf(spec->scope)) +
                    "\"");
@@ -129,7 +129,7 @@
       if (spec.name != key) {
         continue;
       }
-      if (Fits(spec.scope, settings_)) {
+      if (AppliesTo(spec.scope, settings_)) {
         return &spec;
       }
       if (other == nullptr) {
@@ -147,7 +147,7 @@
     }
     return std::any_of(KeyTable().begin(), KeyTable().end(),
                        [&](const KeySpec& spec) {
-                         return Fits(spec.scope, settings_) &&
+                         return AppliesTo(spec.scope, settings_) &&
                                 spec.name.starts_with(key + ".");
                        });
   }
@@ -155,21 +155,21 @@
   void ReadKey(const KeySpec& spec) {
     const RawValue* raw = Find(spec.name);
     if (raw == nullptr) {
-      UsePresence(spec);
+      HandleMissingKey(spec);
       return;
     }
     const std::optional<KeyValue> value = Convert(spec.kind, *raw);
     if (!value) {
-      Refuse(spec.name, Describe(*raw), Accepted(spec.kind));
+      Refuse(spec.name, Describe(*raw), DescribeAccepted(spec.kind));
       return;
     }
     spec.store(settings_, *value);
   }
 
-  void UsePresence(const KeySpec& spec) {
+  void HandleMissingKey(const KeySpec& spec) {
     std::visit(Overloaded{
                    [&](const Required&) {
-                     Refuse(spec.name, "nothing", Accepted(spec.kind));
+                     Refuse(spec.name, "nothing", DescribeAccepted(spec.kind));
                    },
                    [](const Optional&) {},
                    [&](const DefaultValue& fallback) {
@@ -217,13 +217,13 @@
   if (!file) {
     return FileError(path, "no file that can be opened");
   }
-  std::string text(kLargestFileBytes + 1, '\0');
+  std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (file.bad()) {
     return FileError(path, "a file that can't be read");
   }
   text.resize(static_cast<std::size_t>(file.gcount()));
-  if (text.size() > kLargestFileBytes) {
+  if (text.size() > kMaxFileBytes) {
     return FileError(path, "more than 1 MiB");
   }
   return Parse(text, path);
--- a/src/libs/settings/settings_page.cc
+++ b/src/libs/settings/settings_page.cc
@@ -64,7 +64,7 @@
       continue;
     }
     text += "| `" + spec.name + "` | " + DefaultOf(spec.presence) + " | " +
-            Accepted(spec.kind) + " | " + spec.meaning + " |\n";
+            DescribeAccepted(spec.kind) + " | " + spec.meaning + " |\n";
   }
   return text;
 }
--- a/src/libs/settings/toml_reader.cc
+++ b/src/libs/settings/toml_reader.cc
@@ -16,7 +16,7 @@
 namespace bilberryspool::settings {
 namespace {
 
-constexpr std::size_t kLongestShown = 60;
+constexpr std::size_t kMaxShownLength = 60;
 constexpr std::string_view kBareKeyBytes =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-";
 
@@ -89,8 +89,8 @@
   std::replace_if(
       text.begin(), text.end(),
       [](unsigned char byte) { return byte < 0x20 || byte == 0x7f; }, ' ');
-  if (text.size() > kLongestShown) {
-    text.resize(kLongestShown);
+  if (text.size() > kMaxShownLength) {
+    text.resize(kMaxShownLength);
     text += "...";
   }
   return text;
--- a/src/libs/telemetry/distribution.cc
+++ b/src/libs/telemetry/distribution.cc
@@ -38,13 +38,13 @@
 
   void Record(double sample) {
     estimates_(sample);
-    if (first_.size() <= kExactSamples) {
-      first_.push_back(sample);
+    if (first_samples_.size() <= kExactSamples) {
+      first_samples_.push_back(sample);
     }
   }
 
   std::vector<Quantile> Quantiles() const {
-    if (first_.size() <= kExactSamples) {
+    if (first_samples_.size() <= kExactSamples) {
       return ExactQuantiles();
     }
     const auto estimates = accumulators::extended_p_square(estimates_);
@@ -55,14 +55,14 @@
     return quantiles;
   }
 
-  bool is_empty() const { return first_.empty(); }
+  bool is_empty() const { return first_samples_.empty(); }
 
  private:
   std::vector<Quantile> ExactQuantiles() const {
-    if (first_.empty()) {
+    if (first_samples_.empty()) {
       return {};
     }
-    std::vector<double> sorted = first_;
+    std::vector<double> sorted = first_samples_;
     std::sort(sorted.begin(), sorted.end());
     std::vector<Quantile> quantiles;
     for (const double probability : kProbabilities) {
@@ -75,7 +75,7 @@
   }
 
   QuantileSet estimates_;
-  std::vector<double> first_;
+  std::vector<double> first_samples_;
 };
 
 }  // namespace
@@ -83,8 +83,8 @@
 struct Distribution::Private {
   mutable std::mutex mutex;
   TotalSet total;
-  Window present;
-  std::optional<Window> ended;
+  Window current_window;
+  std::optional<Window> last_window;
 };
 
 Distribution::Distribution() : d_(std::make_unique<Private>()) {}
@@ -96,13 +96,13 @@
   }
   const std::lock_guard lock(d_->mutex);
   d_->total(sample);
-  d_->present.Record(sample);
+  d_->current_window.Record(sample);
 }
 
 void Distribution::StartWindow() {
   const std::lock_guard lock(d_->mutex);
-  d_->ended.emplace(std::move(d_->present));
-  d_->present = Window();
+  d_->last_window.emplace(std::move(d_->current_window));
+  d_->current_window = Window();
 }
 
 DistributionSummary Distribution::summary() const {
@@ -110,8 +110,9 @@
   DistributionSummary summary;
   summary.count = accumulators::count(d_->total);
   summary.sum = accumulators::sum(d_->total);
-  const Window& shown = d_->ended ? *d_->ended : d_->present;
-  summary.quantiles = shown.Quantiles();
+  const Window& summarized =
+      d_->last_window ? *d_->last_window : d_->current_window;
+  summary.quantiles = summarized.Quantiles();
   return summary;
 }
 
--- a/src/libs/telemetry/line_budget.h
+++ b/src/libs/telemetry/line_budget.h
@@ -8,23 +8,24 @@
 namespace bilberryspool::telemetry {
 
 // Bounds how many log lines of one kind are written in a second.
-class LineBudget {
+class LogRateLimiter {
  public:
-  explicit LineBudget(std::uint32_t most_a_second) : most_(most_a_second) {}
+  explicit LogRateLimiter(std::uint32_t max_lines_per_second)
+      : max_lines_per_second_(max_lines_per_second) {}
 
   // Whether one more may be written; counts it.
   bool Take(TimePoint now) {
-    if (now - since_ > Seconds(1)) {
-      since_ = now;
-      taken_ = 0;
+    if (now - window_start_ > Seconds(1)) {
+      window_start_ = now;
+      lines_in_window_ = 0;
     }
-    return ++taken_ <= most_;
+    return ++lines_in_window_ <= max_lines_per_second_;
   }
 
  private:
-  std::uint32_t most_;
-  std::uint32_t taken_ = 0;
-  TimePoint since_;
+  std::uint32_t max_lines_per_second_;
+  std::uint32_t lines_in_window_ = 0;
+  TimePoint window_start_;
 };
 
 }  // namespace bilberryspool::telemetry
--- a/src/libs/telemetry/log.cc
+++ b/src/libs/telemetry/log.cc
@@ -65,7 +65,7 @@
   void append(const log4cplus::spi::InternalLoggingEvent& event) override {
     std::ostringstream text;
     layout->formatAndAppend(text, event);
-    if (reported_ != dropped_lines.load() && !Report()) {
+    if (reported_drops_ != dropped_lines.load() && !ReportDropped()) {
       ++dropped_lines;
       return;
     }
@@ -75,13 +75,13 @@
   }
 
  private:
-  bool Report() {
+  bool ReportDropped() {
     const std::uint64_t dropped = dropped_lines.load();
     if (!WriteLine("WARN [log] Lines were dropped. count=" +
-                   std::to_string(dropped - reported_) + "\n")) {
+                   std::to_string(dropped - reported_drops_) + "\n")) {
       return false;
     }
-    reported_ = dropped;
+    reported_drops_ = dropped;
     return true;
   }
 
@@ -99,7 +99,7 @@
            static_cast<ssize_t>(line.size());
   }
 
-  std::uint64_t reported_ = 0;
+  std::uint64_t reported_drops_ = 0;
 };
 
 log4cplus::SharedAppenderPtr MakeAppender(const std::string& file) {
--- a/src/libs/telemetry/open_spans.cc
+++ b/src/libs/telemetry/open_spans.cc
@@ -7,9 +7,9 @@
 
 namespace bilberryspool::telemetry {
 
-std::optional<SpanWriter> OpenSpans(const std::string& file,
-                                    const std::string& service,
-                                    const std::string& instance) {
+std::optional<SpanWriter> OpenSpanWriter(const std::string& file,
+                                         const std::string& service,
+                                         const std::string& instance) {
   if (file.empty()) {
     return std::nullopt;
   }
--- a/src/libs/telemetry/open_spans.h
+++ b/src/libs/telemetry/open_spans.h
@@ -10,9 +10,9 @@
 
 // The writer of a process's spans to `file`; none where `file` is empty or
 // can't be written, which is logged: traces are no reason not to serve.
-std::optional<SpanWriter> OpenSpans(const std::string& file,
-                                    const std::string& service,
-                                    const std::string& instance);
+std::optional<SpanWriter> OpenSpanWriter(const std::string& file,
+                                         const std::string& service,
+                                         const std::string& instance);
 
 }  // namespace bilberryspool::telemetry
 
--- a/src/libs/telemetry/registry.cc
+++ b/src/libs/telemetry/registry.cc
@@ -56,29 +56,29 @@
       instances);
 }
 
-void Fill(ClientMetric& shown, const Counter& counter) {
-  shown.counter.value = static_cast<double>(counter.value());
+void Fill(ClientMetric& exported, const Counter& counter) {
+  exported.counter.value = static_cast<double>(counter.value());
 }
 
-void Fill(ClientMetric& shown, const Gauge& gauge) {
-  shown.gauge.value = gauge.value();
+void Fill(ClientMetric& exported, const Gauge& gauge) {
+  exported.gauge.value = gauge.value();
 }
 
-void Fill(ClientMetric& shown, const Distribution& distribution) {
+void Fill(ClientMetric& exported, const Distribution& distribution) {
   const DistributionSummary summary = distribution.summary();
-  shown.summary.sample_count = summary.count;
-  shown.summary.sample_sum = summary.sum;
+  exported.summary.sample_count = summary.count;
+  exported.summary.sample_sum = summary.sum;
   for (const Quantile& quantile : summary.quantiles) {
-    shown.summary.quantile.push_back({quantile.probability, quantile.value});
+    exported.summary.quantile.push_back({quantile.probability, quantile.value});
   }
 }
 
 MetricFamily ToPrometheus(const std::string& name, const Family& family) {
-  MetricFamily shown{name, family.help, TypeOf(family.instances), {}};
+  MetricFamily exported{name, family.help, TypeOf(family.instances), {}};
   std::visit(
       [&](const auto& instances) {
         for (const auto& [labels, metric] : instances) {
-          ClientMetric& added = shown.metric.emplace_back();
+          ClientMetric& added = exported.metric.emplace_back();
           for (const Label& label : labels) {
             added.label.push_back({label.name, label.value});
           }
@@ -86,7 +86,7 @@
         }
       },
       family.instances);
-  return shown;
+  return exported;
 }
 
 }  // namespace
@@ -174,21 +174,21 @@
 }
 
 std::string Registry::ToPrometheusText() const {
-  std::vector<MetricFamily> shown;
+  std::vector<MetricFamily> exported;
   {
     const std::lock_guard lock(d_->mutex);
     for (const auto& [name, family] : d_->families) {
-      shown.push_back(ToPrometheus(name, family));
+      exported.push_back(ToPrometheus(name, family));
     }
   }
   ClientMetric overflows;
   Fill(overflows, d_->label_overflows);
-  shown.push_back({"bilberryspool_metrics_label_overflow_total",
-                   "Look-ups of metrics beyond the bound of label sets.",
-                   MetricType::Counter,
-                   {overflows}});
+  exported.push_back({"bilberryspool_metrics_label_overflow_total",
+                      "Look-ups of metrics beyond the bound of label sets.",
+                      MetricType::Counter,
+                      {overflows}});
   const prometheus::Serializer& serializer = prometheus::TextSerializer();
-  return serializer.Serialize(shown);
+  return serializer.Serialize(exported);
 }
 
 }  // namespace bilberryspool::telemetry
--- a/src/libs/telemetry/span_writer.cc
+++ b/src/libs/telemetry/span_writer.cc
@@ -13,13 +13,13 @@
 namespace {
 
 // Keeps lines, and the memory to build one, small.
-constexpr std::size_t kSpansInLine = 256;
+constexpr std::size_t kMaxSpansPerLine = 256;
 
 }  // namespace
 
 struct SpanWriter::Private {
-  Private(SpanWriterOptions given, std::ofstream opened)
-      : options(std::move(given)),
+  Private(SpanWriterOptions writer_options, std::ofstream opened)
+      : options(std::move(writer_options)),
         file(std::move(opened)),
         worker(
             {"spans", options.ring_capacity, 1},
@@ -29,7 +29,7 @@
   // The rest but for `worker` and `mutex` belongs to the worker's thread.
   void Collect(Span&& span) {
     batch.push_back(std::move(span));
-    if (batch.size() >= kSpansInLine) {
+    if (batch.size() >= kMaxSpansPerLine) {
       Flush();
     }
   }
@@ -48,10 +48,10 @@
     }
     batch.clear();
     file.clear();
-    RotateWhereLarge();
+    RotateIfLarge();
   }
 
-  void RotateWhereLarge() {
+  void RotateIfLarge() {
     if (!file.is_open()) {
       file.open(options.file, std::ios::app);
       return;
--- a/src/libs/telemetry/trace_context.cc
+++ b/src/libs/telemetry/trace_context.cc
@@ -43,7 +43,7 @@
                      [](std::uint8_t byte) { return byte == 0; });
 }
 
-void Draw(std::span<std::uint8_t> bytes, Random& random) {
+void FillRandom(std::span<std::uint8_t> bytes, Random& random) {
   do {
     for (std::uint8_t& byte : bytes) {
       byte = static_cast<std::uint8_t>(random.Below(256));
@@ -51,7 +51,7 @@
   } while (IsZero(bytes));
 }
 
-bool HasShape(std::string_view header) {
+bool HasValidLayout(std::string_view header) {
   if (header.size() < kLength || header[kTraceIdAt - 1] != '-' ||
       header[kSpanIdAt - 1] != '-' || header[kFlagsAt - 1] != '-') {
     return false;
@@ -65,7 +65,7 @@
   std::array<std::uint8_t, 1> version{};
   std::array<std::uint8_t, 1> flags{};
   TraceContext context;
-  if (!HasShape(header) || !ReadHex(header, version) ||
+  if (!HasValidLayout(header) || !ReadHex(header, version) ||
       !ReadHex(header.substr(kTraceIdAt), context.trace_id) ||
       !ReadHex(header.substr(kSpanIdAt), context.span_id) ||
       !ReadHex(header.substr(kFlagsAt), flags)) {
@@ -91,15 +91,15 @@
 
 TraceContext NewTrace(Random& random, bool is_sampled) {
   TraceContext context;
-  Draw(context.trace_id, random);
-  Draw(context.span_id, random);
+  FillRandom(context.trace_id, random);
+  FillRandom(context.span_id, random);
   context.is_sampled = is_sampled;
   return context;
 }
 
 TraceContext ChildOf(const TraceContext& parent, Random& random) {
   TraceContext child = parent;
-  Draw(child.span_id, random);
+  FillRandom(child.span_id, random);
   return child;
 }
 
--- a/src/plugins/agent/agent_process.cc
+++ b/src/plugins/agent/agent_process.cc
@@ -299,7 +299,7 @@
   }
   const auto& authenticator =
       std::get<std::shared_ptr<const net::LinkAuthenticator>>(loaded);
-  std::optional<telemetry::SpanWriter> spans = telemetry::OpenSpans(
+  std::optional<telemetry::SpanWriter> spans = telemetry::OpenSpanWriter(
       common.trace.file, "bilberryspool-agent", common.node.value());
   net::NetworkLoop loop;
   loop.Run([&] {
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -46,7 +46,7 @@
 
   net::FiberSignal& changed_;
   telemetry::Logger log_;
-  telemetry::LineBudget lines_;
+  telemetry::LogRateLimiter lines_;
   declared_limits::LimitBook book_;
   declared_limits::LimitGranter granter_;
   std::uint64_t told_revision_ = 0;
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -74,7 +74,7 @@
   std::uint64_t urgent_revision_ = 0;
   std::uint64_t published_ = 0;  // the book's revision
   TimePoint published_at_;
-  telemetry::LineBudget lines_;
+  telemetry::LogRateLimiter lines_;
   std::uint64_t trials_ = 0;
   std::optional<TimePoint> first_tick_at_;
   bool is_settled_ = false;
--- a/src/plugins/entry/entry_process.cc
+++ b/src/plugins/entry/entry_process.cc
@@ -25,7 +25,7 @@
   const auto& authenticator =
       std::get<std::shared_ptr<const net::LinkAuthenticator>>(loaded);
   telemetry::Registry metrics;
-  std::optional<telemetry::SpanWriter> spans = telemetry::OpenSpans(
+  std::optional<telemetry::SpanWriter> spans = telemetry::OpenSpanWriter(
       common.trace.file, "bilberryspool-entry", common.node.value());
   net::NetworkLoop loop;
   callers::CallersService callers(loop, common, settings, authenticator,
--- a/src/plugins/gateway/gateway_state.cc
+++ b/src/plugins/gateway/gateway_state.cc
@@ -50,9 +50,9 @@
       random(seed + 1),
       log("gateway"),
       figures(metrics),
-      tracing{telemetry::OpenSpans(common.trace.file,
-                                   "bilberryspool-gateway",
-                                   common.node.value()),
+      tracing{telemetry::OpenSpanWriter(common.trace.file,
+                                        "bilberryspool-gateway",
+                                        common.node.value()),
               common.trace.sample_permille} {}
 
 limits::RetryBudget& GatewayState::BudgetOf(const ServiceId& service) {
--- a/tests/auto/gateway/request_trace_test.cc
+++ b/tests/auto/gateway/request_trace_test.cc
@@ -12,7 +12,7 @@
     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 telemetry::SpanWriter OpenWriter(const std::string& file) {
-  auto opened = telemetry::OpenSpans(file, "test", "gateway-1");
+  auto opened = telemetry::OpenSpanWriter(file, "test", "gateway-1");
   REQUIRE(opened.has_value());
   return std::move(*opened);
 }
