--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -101,28 +101,28 @@
     return 1;
   }
   return std::visit(
-      Overloaded{[&](const settings::EntrySettings& entry_settings) {
-                   return entry::RunEntry(settings.common, entry_settings);
-                 },
-                 [&](const settings::AgentSettings& agent_settings) {
-                   return agent::RunAgent(settings.common, agent_settings);
-                 },
-                 [&](const settings::GatewaySettings& gateway_settings) {
-                   return gateway::RunGateway(
-                       settings.common, gateway_settings, FLAGS_settings,
-                       {platform::Dialect(), platform::ReadConfiguration});
-                 },
-                 [&](const settings::ControlSettings& control_settings) {
-                   return control_node::RunControlNode(
-                       settings.common, control_settings,
-                       {platform::ReadConfiguration,
-                        platform::MakeControlHandler,
-                        platform::MakeEngineProtocol()});
-                 },
-                 [&](const settings::SidecarSettings& sidecar_settings) {
-                   return sidecar::RunSidecar(settings.common, sidecar_settings,
-                                              platform::MakeEngineProtocol());
-                 }},
+      Overloaded{
+          [&](const settings::EntrySettings& entry_settings) {
+            return entry::RunEntry(settings.common, entry_settings);
+          },
+          [&](const settings::AgentSettings& agent_settings) {
+            return agent::RunAgent(settings.common, agent_settings);
+          },
+          [&](const settings::GatewaySettings& gateway_settings) {
+            return gateway::RunGateway(
+                settings.common, gateway_settings, FLAGS_settings,
+                {platform::PlatformHeaderNames(), platform::ReadConfiguration});
+          },
+          [&](const settings::ControlSettings& control_settings) {
+            return control_node::RunControlNode(
+                settings.common, control_settings,
+                {platform::ReadConfiguration, platform::MakeControlHandler,
+                 platform::MakeEngineProtocol()});
+          },
+          [&](const settings::SidecarSettings& sidecar_settings) {
+            return sidecar::RunSidecar(settings.common, sidecar_settings,
+                                       platform::MakeEngineProtocol());
+          }},
       settings.role);
 }
 
--- a/src/tools/soak/soak_run.cc
+++ b/src/tools/soak/soak_run.cc
@@ -35,7 +35,7 @@
 SoakRun::SoakRun(net::NetworkLoop& loop, SoakOptions options)
     : loop_(loop),
       options_(std::move(options)),
-      dialect_(platform::Dialect()),
+      dialect_(platform::PlatformHeaderNames()),
       plan_(MakePlan(options_.plan)),
       ledger_(LedgerOptions{}),
       deployment_(loop, options_.deployment),
--- a/tests/auto/platform/announcement_codec_test.cc
+++ b/tests/auto/platform/announcement_codec_test.cc
@@ -12,21 +12,21 @@
 namespace {
 
 TEST_CASE("an announcement is read") {
-  const auto told = ReadAnnouncement(
+  const auto announcement = ReadAnnouncement(
       TargetId("i-1"),
       R"({"service":"s","address":"10.0.0.9:8080","zone":"z","version":"v1",
           "slots":12,"state":"draining","cold_remaining_ms":0,"sequence":4,
           "group":{"name":"g0","epoch":2,"rank":3,"state":"open"},"size":16})");
-  REQUIRE(told.has_value());
-  CHECK(told->target == TargetId("i-1"));
-  CHECK(told->service == ServiceId("s"));
-  CHECK(told->address == "10.0.0.9:8080");
-  CHECK(told->domain == FailureDomain("z"));
-  CHECK(told->slots == 12);
-  CHECK(told->standing == traffic::Standing::kLeaving);
-  CHECK(told->sequence == 4);
-  REQUIRE(told->group.has_value());
-  CHECK(*told->group ==
+  REQUIRE(announcement.has_value());
+  CHECK(announcement->target == TargetId("i-1"));
+  CHECK(announcement->service == ServiceId("s"));
+  CHECK(announcement->address == "10.0.0.9:8080");
+  CHECK(announcement->domain == FailureDomain("z"));
+  CHECK(announcement->slots == 12);
+  CHECK(announcement->standing == traffic::Standing::kLeaving);
+  CHECK(announcement->sequence == 4);
+  REQUIRE(announcement->group.has_value());
+  CHECK(*announcement->group ==
         traffic::GroupMembership{GroupId("g0"), 2, 3, 16, true});
 }
 
@@ -139,14 +139,15 @@
         body = "{";
       }
     }
-    const auto told = ReadAnnouncement(TargetId("i"), body);
-    if (!told.has_value()) {
+    const auto announcement = ReadAnnouncement(TargetId("i"), body);
+    if (!announcement.has_value()) {
       continue;
     }
     CAPTURE(body);
-    CHECK(net::ParseEndpoint(told->address).has_value());
-    CHECK(told->standing != traffic::Standing::kGone);
-    CHECK((!told->group.has_value() || told->group->rank < told->group->size));
+    CHECK(net::ParseEndpoint(announcement->address).has_value());
+    CHECK(announcement->standing != traffic::Standing::kGone);
+    CHECK((!announcement->group.has_value() ||
+           announcement->group->rank < announcement->group->size));
   }
 }
 
