--- a/src/libs/telemetry/line_budget.h
+++ b/src/libs/telemetry/log_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef LIBS_TELEMETRY_LINE_BUDGET_H_
-#define LIBS_TELEMETRY_LINE_BUDGET_H_
+#ifndef LIBS_TELEMETRY_LOG_RATE_LIMITER_H_
+#define LIBS_TELEMETRY_LOG_RATE_LIMITER_H_
 
 #include <cstdint>
 
@@ -30,4 +30,4 @@
 
 }  // namespace bilberryspool::telemetry
 
-#endif  // LIBS_TELEMETRY_LINE_BUDGET_H_
+#endif  // LIBS_TELEMETRY_LOG_RATE_LIMITER_H_
--- a/src/plugins/control_node/limit_keeper.h
+++ b/src/plugins/control_node/limit_keeper.h
@@ -13,8 +13,8 @@
 #include "libs/declared_limits/limit_granter.h"
 #include "libs/links/link_server.h"
 #include "libs/net/fiber_signal.h"
-#include "libs/telemetry/line_budget.h"
 #include "libs/telemetry/log.h"
+#include "libs/telemetry/log_rate_limiter.h"
 
 namespace bilberryspool::control_node {
 
--- a/src/plugins/control_node/quarantine_keeper.h
+++ b/src/plugins/control_node/quarantine_keeper.h
@@ -12,8 +12,8 @@
 #include "libs/links/link_server.h"
 #include "libs/net/fiber_signal.h"
 #include "libs/quarantine/quarantine_book.h"
-#include "libs/telemetry/line_budget.h"
 #include "libs/telemetry/log.h"
+#include "libs/telemetry/log_rate_limiter.h"
 
 namespace bilberryspool::control_node {
 
