--- a/src/libs/storage/data_folder.cc
+++ b/src/libs/storage/data_folder.cc
@@ -78,8 +78,10 @@
   BOOST_LEAF_ASSIGN(lock_, files_.Lock(PathOf(kLockName)));
   BOOST_LEAF_AUTO(names, files_.List(options_.path));
   if (Contains(names, kUnusableName)) {
-    return Fail(StorageErrorKind::kUnusable, PathOf(kUnusableName),
-                "put the folder aside and admit the replica anew");
+    return Fail(
+        StorageErrorKind::kUnusable, PathOf(kUnusableName),
+        "the replica was halted; move the folder away and add the replica "
+        "again with an empty one");
   }
   for (const std::string& name : names) {
     if (name.ends_with(kTemporarySuffix)) {
@@ -93,7 +95,7 @@
   }
   BOOST_LEAF_CHECK(LoadSnapshot(names));
   BOOST_LEAF_CHECK(LoadLog());
-  // Last, so that a folder with an identity always has a log.
+  // Written last, so that a folder with an identity always has a log.
   if (is_new_) {
     return MakeIdentity();
   }
@@ -115,7 +117,8 @@
   json::error_code error;
   const json::value parsed = json::parse(bytes, error);
   if (error || !parsed.is_object()) {
-    return Fail(StorageErrorKind::kCorrupt, path, "no identity");
+    return Fail(StorageErrorKind::kCorrupt, path,
+                "not a JSON object with an identity");
   }
   const json::object& object = parsed.get_object();
   if (NumberIn(object, "format") > kFormat) {
@@ -149,7 +152,7 @@
   auto snapshot = consensus::SnapshotFromJson(json::parse(bytes, error));
   if (error || !snapshot) {
     return Fail(StorageErrorKind::kCorrupt, PathOf(snapshots.back()),
-                "no snapshot");
+                "not a valid snapshot");
   }
   snapshot_index_ = snapshot->index;
   recovered_.snapshot =
@@ -171,7 +174,7 @@
   for (const LogRecord& record : records) {
     if (!replay.Add(record)) {
       return Fail(StorageErrorKind::kCorrupt, options_.path,
-                  "the log's records do not follow each other");
+                  "the log records are not consecutive");
     }
   }
   if (!replay.AlignWithSnapshot(recovered_.snapshot.get(), must_reset)) {
@@ -185,7 +188,7 @@
                         snapshot_index_ == LogIndex(0);
   if (is_new_ && !is_empty) {
     return Fail(StorageErrorKind::kCorrupt, PathOf(kIdentityName),
-                "the identity is missing beside a log");
+                "the folder has a log but no identity");
   }
   if (must_reset) {
     LogRecord reset;
@@ -211,7 +214,8 @@
 Result<std::string> DataFolder::ReadCheckedFile(const std::string& name) {
   BOOST_LEAF_AUTO(bytes, files_.Read(PathOf(name)));
   ScanResult scan = ScanRecords(bytes, 0);
-  // It was renamed into place after its sync, so it is whole or damaged.
+  // The file was renamed into place after its sync, so a torn tail is damage
+  // here.
   if (scan.verdict != ScanVerdict::kClean || scan.payloads.size() != 1) {
     return Fail(StorageErrorKind::kCorrupt, PathOf(name),
                 "the file is damaged");
--- a/src/libs/storage/data_folder.h
+++ b/src/libs/storage/data_folder.h
@@ -1,16 +1,16 @@
 // The data folder of a control replica: its identity, its log and its
 // snapshots.
 //
-// Guards against what disks and crashes do: a write counts only once it is
-// synced; a torn tail is cut at the start; damage to synced bytes is reported
-// and never papered over with older data, since a replica that forgot what it
-// promised would break the promises of the whole cluster. After the first
-// failed write or sync nothing more is written until the folder is opened
-// again.
+// A write is durable only after a sync. An incomplete record at the end of the
+// log, left by a crash, is cut off when the folder is opened. Damage to synced
+// bytes is reported as an error and older data is never used instead: a replica
+// that lost a vote or an accepted entry could break the safety of the whole
+// cluster. After the first failed write or sync nothing more is written until
+// the folder is opened again, since the state on the disk is unknown.
 //
-// Files: "lock"; "identity" (format, deployment, node, identity);
-// "log-NUMBER" (see segmented_log.h); "snapshot-INDEX"; "unusable" once the
-// replica was halted.
+// Files: "lock"; "identity" (format, deployment, node, identity); "log-NUMBER"
+// (see segmented_log.h); "snapshot-INDEX"; "unusable" once the replica was
+// halted.
 
 #ifndef LIBS_STORAGE_DATA_FOLDER_H_
 #define LIBS_STORAGE_DATA_FOLDER_H_
@@ -31,31 +31,31 @@
   // Name of the deployment and of this node, from the settings.
   std::string deployment;
   NodeId node;
-  // Taken as the identity where the folder is new; random, not 0.
+  // Identity for a new folder: random, never 0.
   consensus::ReplicaIdentity new_identity;
-  // A log file that has grown to this size is followed by a new one.
+  // Size in bytes from which on the log continues in a new file.
   std::uint64_t segment_bytes = 4ULL * 1024 * 1024;
 };
 
 class DataFolder {
  public:
-  // Takes the lock; makes the folder where it is missing.
+  // Opens the folder and locks it; creates the folder if it is missing.
   static Result<std::unique_ptr<DataFolder>> Open(FileSystem& files,
                                                   DataFolderOptions options);
 
-  // What the folder held when it was opened.
+  // The state found when the folder was opened.
   const consensus::RecoveredState& recovered() const { return recovered_; }
 
-  // Written, but not synced: several writes can share one Sync. Report
-  // Persisted only after Sync has returned.
+  // Writes without a sync, so that several writes can share one Sync(). Send
+  // the Persisted event only after Sync() has returned.
   Result<void> Write(const consensus::Persist& persist);
   Result<void> Sync();
-  // Synced when it returns. The snapshot before is removed only then.
+  // Synced on return. Removes the previous snapshot afterwards.
   Result<void> Write(const consensus::PersistSnapshot& persist);
   Result<void> Write(const consensus::CompactLog& compact);
-  // Synced when it returns. Open the folder again before it is used.
+  // Synced on return. Reopen the folder before using it further.
   Result<void> Write(const consensus::ForcedConfiguration& forced);
-  // Keeps the folder from being used again; for a replica that halted.
+  // Marks the folder of a halted replica, so that Open() refuses it.
   Result<void> MarkUnusable(const std::string& why);
 
   std::size_t segment_count() const { return log_->segment_count(); }
@@ -73,7 +73,7 @@
   Result<std::string> ReadCheckedFile(const std::string& name);
   Result<void> StoreSnapshot(const consensus::Snapshot& snapshot);
   Result<void> AppendAndSync(const LogRecord& record);
-  // Lets nothing more be written after the first failure.
+  // Passes `result` on; after a failure no further write is allowed.
   Result<void> RecordFailure(Result<void> result);
   Result<void> CheckUsable() const;
   std::string PathOf(const std::string& name) const;
@@ -83,7 +83,7 @@
   std::unique_ptr<FolderLock> lock_;
   std::unique_ptr<SegmentedLog> log_;
   consensus::RecoveredState recovered_;
-  // No identity was there: nothing was ever promised from this folder.
+  // No identity file was found, so no vote or entry can depend on this folder.
   bool is_new_ = false;
   LogIndex snapshot_index_;
   bool failed_ = false;
--- a/src/libs/storage/file_system.h
+++ b/src/libs/storage/file_system.h
@@ -25,14 +25,14 @@
   virtual Result<void> Sync() = 0;
 };
 
-// Held as long as the object lives.
+// Holds an exclusive lock for as long as the object exists.
 class FolderLock {
  public:
   virtual ~FolderLock() = default;
 };
 
-// What the data folder needs of the operating system; narrow, so that tests
-// can put faults behind it. Errors carry a StorageError.
+// The file operations that the data folder needs; an interface, so that tests
+// can inject faults. Errors carry a StorageError.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
@@ -41,18 +41,18 @@
   // Names of the files in the folder, sorted.
   virtual Result<std::vector<std::string>> List(const std::string& path) = 0;
   virtual Result<std::string> Read(const std::string& path) = 0;
-  // Creates the file where it is missing.
+  // Creates the file if it is missing.
   virtual Result<std::unique_ptr<AppendFile>> OpenAppend(
       const std::string& path) = 0;
-  // Cuts the file and syncs it.
+  // Truncates the file to `size` bytes and syncs it.
   virtual Result<void> Truncate(const std::string& path,
                                 std::uint64_t size) = 0;
   virtual Result<void> Rename(const std::string& from,
                               const std::string& to) = 0;
   virtual Result<void> Remove(const std::string& path) = 0;
-  // Syncs created, renamed and removed names of a folder.
+  // Makes created, renamed and removed file names of a folder durable.
   virtual Result<void> SyncFolder(const std::string& path) = 0;
-  // Fails with kLocked where another process holds it.
+  // Fails with kLocked if another process holds the lock.
   virtual Result<std::unique_ptr<FolderLock>> Lock(const std::string& path) = 0;
 };
 
--- a/src/libs/storage/log_record.cc
+++ b/src/libs/storage/log_record.cc
@@ -16,7 +16,7 @@
 constexpr const char* kTruncateFrom = "truncateFrom";
 constexpr const char* kEntries = "entries";
 
-// False where the member is there and is no number.
+// Returns false if the member is present but not a number.
 bool ReadIndex(const json::object& object,
                const char* key,
                std::optional<LogIndex>& index) {
--- a/src/libs/storage/log_record.h
+++ b/src/libs/storage/log_record.h
@@ -10,18 +10,18 @@
 
 namespace bilberryspool::storage {
 
-// One record of the log: one write of the replica, whole or not at all. Its
-// parts take effect in the order of the fields.
+// One record of the log: one atomic write of the replica. Its parts are applied
+// in the order of the fields.
 struct LogRecord {
   std::optional<consensus::HardState> hard_state;
-  // A snapshot up to here took the place of the whole log.
+  // Index of a snapshot that replaces the whole log.
   std::optional<LogIndex> reset_to;
   std::optional<LogIndex> truncate_from;
   std::vector<consensus::LogEntry> entries;
 };
 
 std::string EncodeLogRecord(const LogRecord& record);
-// Empty where the bytes are no record.
+// Returns std::nullopt if the bytes are not a valid record.
 std::optional<LogRecord> DecodeLogRecord(std::string_view bytes);
 
 }  // namespace bilberryspool::storage
--- a/src/libs/storage/log_replay.h
+++ b/src/libs/storage/log_replay.h
@@ -12,10 +12,11 @@
 // Rebuilds the log and the hard state from the records, oldest first.
 class LogReplay {
  public:
-  // False where the record does not follow from the ones before.
+  // Returns false if the record is not consistent with the previous ones.
   bool Add(const LogRecord& record);
-  // Fits the log to the newest snapshot. Sets `must_reset` where a crash came
-  // between the snapshot and the record that empties the log. False where
+  // Drops the entries that the newest snapshot covers. Sets `must_reset` if the
+  // log does not connect to the snapshot because a crash happened between
+  // writing the snapshot and the record that empties the log. Returns false if
   // entries are missing between the two.
   bool AlignWithSnapshot(const consensus::Snapshot* snapshot, bool& must_reset);
 
@@ -27,7 +28,7 @@
 
   consensus::HardState hard_state_;
   std::vector<consensus::LogEntry> entries_;
-  // After a reset: the entry that must come next.
+  // Index that the next entry must have after a reset or a truncation.
   std::optional<LogIndex> expected_;
 };
 
--- a/src/libs/storage/posix_file_system.cc
+++ b/src/libs/storage/posix_file_system.cc
@@ -26,7 +26,7 @@
       StorageError{kind, path, std::generic_category().message(code)});
 }
 
-// Closes its descriptor.
+// Owns a file descriptor and closes it.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
--- a/src/libs/storage/posix_file_system.h
+++ b/src/libs/storage/posix_file_system.h
@@ -9,7 +9,7 @@
 
 namespace bilberryspool::storage {
 
-// The operating system's files.
+// Implements FileSystem with POSIX system calls.
 class PosixFileSystem : public FileSystem {
  public:
   Result<void> MakeFolder(const std::string& path) override;
--- a/src/libs/storage/record_frame.cc
+++ b/src/libs/storage/record_frame.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kHeaderBytes =
     kMagicBytes + kLengthBytes + kOffsetBytes + kChecksumBytes;
 
-// Little endian.
+// Little-endian encoding of the lowest `count` bytes.
 std::string ToBytes(std::uint64_t number, std::size_t count) {
   std::string bytes;
   for (std::size_t i = 0; i < count; ++i) {
@@ -76,7 +76,8 @@
   return record;
 }
 
-// Whether a later record proves that the bytes at `damaged` were synced.
+// Returns whether a later valid record proves that the bytes at `damaged` were
+// synced before.
 bool WasSynced(std::string_view bytes,
                std::uint64_t file,
                std::uint64_t damaged) {
--- a/src/libs/storage/record_frame.h
+++ b/src/libs/storage/record_frame.h
@@ -1,12 +1,13 @@
-// Frames of records in a file: magic, length, how far the file was synced when
-// the record was written, checksum, payload.
+// Frames of records in a file: magic, length, synced offset (the number of
+// bytes of the file that were synced when the record was written), checksum,
+// payload.
 //
-// The checksum covers the place of the record as well, so that bytes of an
-// earlier file that show up again are not taken for a record of this one. The
-// synced offset tells a torn tail, which a crash may leave behind, from damage
-// to bytes that were promised: a valid record that was written when the
-// damaged place was already synced proves the latter. Damage to the very last
-// synced record can't be told from a torn tail.
+// The checksum also covers the file number and the offset, so that stale bytes
+// of an earlier file are not accepted as a record of this one. The synced
+// offset distinguishes a torn tail, which a crash may leave behind, from damage
+// to synced bytes: a valid record that was written when the damaged offset was
+// already synced proves damage. Damage to the last synced record can't be
+// distinguished from a torn tail.
 
 #ifndef LIBS_STORAGE_RECORD_FRAME_H_
 #define LIBS_STORAGE_RECORD_FRAME_H_
@@ -18,8 +19,8 @@
 
 namespace bilberryspool::storage {
 
-// The bytes of a record that starts at `offset` of file number `file`, all of
-// whose bytes before `synced_offset` are synced.
+// Encodes a record that starts at `offset` of file number `file`, all of whose
+// bytes before `synced_offset` are synced.
 std::string EncodeRecord(std::string_view payload,
                          std::uint64_t file,
                          std::uint64_t offset,
@@ -27,7 +28,8 @@
 
 enum class ScanVerdict {
   kClean,
-  // The bytes from `valid_size` on are what a crash left of an unsynced write.
+  // The bytes from `valid_size` on are the rest of an unsynced write that a
+  // crash cut off.
   kTornTail,
   // Synced bytes are damaged.
   kCorrupt,
@@ -39,7 +41,7 @@
   std::uint64_t valid_size = 0;
 };
 
-// Reads all records of the file number `file`.
+// Reads all records of file number `file`.
 ScanResult ScanRecords(std::string_view bytes, std::uint64_t file);
 
 }  // namespace bilberryspool::storage
--- a/src/libs/storage/segmented_log.cc
+++ b/src/libs/storage/segmented_log.cc
@@ -60,7 +60,7 @@
   }
   const std::string path = log->PathOf(log->segments_.back().number);
   BOOST_LEAF_ASSIGN(log->file_, files.OpenAppend(path));
-  // Read back after a crash, the last bytes may be in the cache only.
+  // After a crash the last bytes that were read may be in the page cache only.
   BOOST_LEAF_CHECK(log->Sync());
   return log;
 }
@@ -101,7 +101,8 @@
                              std::to_string(scan.valid_size));
   }
   if (scan.payloads.empty()) {
-    // A crash while the file was begun; only the last one can be like that.
+    // A crash left the file empty after its creation; only the last file can be
+    // empty.
     if (!is_last) {
       return Corrupt(path, "a log file is empty");
     }
@@ -115,7 +116,7 @@
   for (const std::string& payload : scan.payloads) {
     auto record = DecodeLogRecord(payload);
     if (!record) {
-      return Corrupt(path, "a record can't be read");
+      return Corrupt(path, "a record can't be decoded");
     }
     UpdateFromRecord(*record);
     records.push_back(std::move(*record));
@@ -151,7 +152,7 @@
 
 Result<void> SegmentedLog::Append(const LogRecord& record) {
   if (size_ >= max_segment_bytes_) {
-    // A file is complete and synced before the next one begins: only the last
+    // A file is synced before the next one is created, so that only the last
     // one can have a torn tail.
     BOOST_LEAF_CHECK(Sync());
     BOOST_LEAF_CHECK(StartSegment(segments_.back().number + 1));
@@ -179,7 +180,8 @@
 Result<void> SegmentedLog::RemoveThrough(LogIndex through) {
   while (segments_.size() > 1 && segments_.front().last_index <= through) {
     BOOST_LEAF_CHECK(files_.Remove(PathOf(segments_.front().number)));
-    // Oldest first, also on the disk: a gap would look like damage.
+    // Removes the oldest file first and makes each removal durable: a gap in
+    // the file numbers is treated as damage.
     BOOST_LEAF_CHECK(files_.SyncFolder(folder_));
     segments_.erase(segments_.begin());
   }
--- a/src/libs/storage/segmented_log.h
+++ b/src/libs/storage/segmented_log.h
@@ -11,13 +11,14 @@
 
 namespace bilberryspool::storage {
 
-// The records of a data folder, in files "log-NUMBER" of limited size, so that
-// what a snapshot covers can be removed. Each file begins with the hard state,
-// which therefore never goes with an old file.
+// The log records of a data folder, stored in files "log-NUMBER" of limited
+// size, so that files covered by a snapshot can be removed. Each file starts
+// with the current hard state, so that removing old files never loses it.
 class SegmentedLog {
  public:
-  // `records` receives what is there, oldest first. A torn tail is cut. Where
-  // there is no file at all, one is begun only with `may_create`.
+  // Reads the existing records into `records`, oldest first, and cuts off a
+  // torn tail. If there is no log file, one is created if `may_create` is true;
+  // otherwise Open() fails.
   static Result<std::unique_ptr<SegmentedLog>> Open(
       FileSystem& files,
       const std::string& folder,
@@ -28,7 +29,7 @@
   // Written, but not yet synced.
   Result<void> Append(const LogRecord& record);
   Result<void> Sync();
-  // Removes the files whose entries are all at or below `through`.
+  // Removes the files all of whose entries have an index of at most `through`.
   Result<void> RemoveThrough(LogIndex through);
 
   std::size_t segment_count() const { return segments_.size(); }
--- a/src/libs/storage/storage_error.h
+++ b/src/libs/storage/storage_error.h
@@ -6,21 +6,21 @@
 namespace bilberryspool::storage {
 
 enum class StorageErrorKind {
-  // The operating system refused; also disk full.
+  // The operating system reported an error, for example a full disk.
   kIo,
-  // Another process holds the folder.
+  // Another process holds the lock of the folder.
   kLocked,
-  // Synced bytes are damaged or missing. The folder must be put aside and the
+  // Synced bytes are damaged or missing. The folder must be replaced and the
   // replica rebuilt from its peers; older data is never used instead.
   kCorrupt,
   // The folder belongs to another deployment or node.
   kWrongOwner,
-  // Written by a newer binary.
+  // Written by a newer version of the program.
   kNewerFormat,
-  // The folder was marked as unusable: it must be put aside.
+  // The folder was marked as unusable and must be replaced.
   kUnusable,
-  // An earlier write or sync failed: what is on the disk is not known until
-  // the folder is opened again.
+  // An earlier write or sync failed: the state on the disk is unknown until the
+  // folder is opened again.
   kFailedBefore,
 };
 
--- a/tests/auto/storage/data_folder_test.cc
+++ b/tests/auto/storage/data_folder_test.cc
@@ -1,4 +1,4 @@
-// The data folder under crashes, damage and failing writes.
+// Tests the data folder under crashes, damaged files and failing writes.
 
 #include "libs/storage/data_folder.h"
 
@@ -67,8 +67,8 @@
           Command{"entry " + std::to_string(index) + std::string(40, 'x')}};
 }
 
-// Does what a replica asks, and knows what the folder must hold after each
-// write.
+// Performs random writes like a replica and records the state that the folder
+// must hold after each of them.
 class Writer {
  public:
   explicit Writer(std::uint64_t seed) : random_(seed) {
@@ -78,11 +78,11 @@
 
   static consensus::ClusterId ClusterIdOne() { return consensus::ClusterId(1); }
 
-  // The state after the write with this number.
+  // The expected states, by the number of the write.
   const std::vector<RecoveredState>& states() const { return states_; }
   std::size_t synced() const { return synced_; }
 
-  // Goes on from what was found after a crash.
+  // Continues from the state that was recovered after a crash.
   void Restart(const RecoveredState& found) {
     states_ = {found};
     synced_ = 0;
@@ -171,8 +171,8 @@
          left.entries == right.entries;
 }
 
-// Whether `found` is what the folder held after some write that was not
-// synced any more, or the last one that was.
+// Returns whether `found` is the state after the last synced write or after one
+// of the later, unsynced ones.
 bool MatchesWrittenState(const Writer& writer, const RecoveredState& found) {
   for (std::size_t i = writer.synced(); i < writer.states().size(); ++i) {
     if (IsSame(writer.states()[i], found)) {
@@ -190,11 +190,11 @@
 }
 
 TEST_CASE("after a crash at any call the folder holds what was synced") {
-  // Symptom: a replica forgets a vote or an accepted entry after a power loss.
-  // Events: the process dies between any two calls to the file system; bytes
-  // and names that were not synced are lost, torn or garbled.
-  // Cause: a file, a rename or a folder that was not synced in time, or a torn
-  // tail that was read as a record.
+  // Guards against a replica that forgets a vote or an accepted entry after a
+  // power loss. The process stops between any two calls to the file system, and
+  // unsynced bytes and file names are lost, torn or garbled. Causes can be a
+  // file, rename or folder that was not synced in time, or a torn tail that was
+  // read as a record.
   for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
     INFO("seed " << seed);
     FakeFileSystem files(seed);
@@ -225,7 +225,7 @@
   }
 }
 
-TEST_CASE("a crash while the folder is made or opened leaves it usable") {
+TEST_CASE("a crash while the folder is created or opened leaves it usable") {
   for (std::uint64_t calls = 0; calls < 12; ++calls) {
     INFO("calls " << calls);
     FakeFileSystem files(calls);
@@ -238,7 +238,7 @@
   }
 }
 
-// A folder with several log files and a snapshot.
+// Creates a folder with several log files and a snapshot.
 void Fill(FakeFileSystem& files) {
   const auto folder = OpenFolder(files);
   REQUIRE(folder != nullptr);
@@ -261,10 +261,10 @@
 }
 
 TEST_CASE("damage to what was synced is reported, never skipped") {
-  // Symptom: a replica comes back with older data than it promised to keep.
-  // Events: one byte of any file is damaged after its sync.
-  // Cause: reading on behind the damage, or falling back to older data. Only
-  // the last record of the log can't be told from a torn tail.
+  // Guards against a replica that restarts with older data than it
+  // acknowledged. One byte of any file is damaged after its sync; the fault
+  // would be to continue after the damage or to use older data. Only the last
+  // record of the log can't be distinguished from a torn tail.
   FakeFileSystem sample(1);
   Fill(sample);
   const std::string last_log = [&] {
@@ -295,7 +295,7 @@
   for (const std::string& path : paths) {
     const bool is_last_log = path == paths[paths.size() - 2];
     if (is_last_log) {
-      continue;  // The same as a file that was never begun.
+      continue;  // Same as a log file that was never created.
     }
     INFO(path);
     FakeFileSystem files(1);
@@ -305,10 +305,10 @@
   }
 }
 
-TEST_CASE("a record counts only in its own place") {
-  // Symptom: entries of long ago reappear at the end of the log.
-  // Events: a crash leaves blocks of an earlier file in a newer one.
-  // Cause: a checksum that covers the record alone.
+TEST_CASE("a record is valid only in its own file and at its own offset") {
+  // Guards against old entries that reappear at the end of the log. A crash can
+  // leave blocks of an earlier file in a newer one; a checksum of the payload
+  // alone would accept them.
   const std::string record = EncodeRecord("payload", 4, 0, 0);
   CHECK(ScanRecords(record, 4).payloads.size() == 1);
   CHECK(ScanRecords(record, 5).payloads.empty());
@@ -317,7 +317,7 @@
   CHECK(twice.verdict == ScanVerdict::kTornTail);
 }
 
-TEST_CASE("a folder is taken by its owner only, and by one process") {
+TEST_CASE("a folder opens only for its owner and for one process at a time") {
   FakeFileSystem files(1);
   auto folder = OpenFolder(files);
   REQUIRE(folder != nullptr);
@@ -337,7 +337,7 @@
   CHECK(OpenError(files) == StorageErrorKind::kUnusable);
 }
 
-TEST_CASE("the operating system's files keep what was synced") {
+TEST_CASE("a data folder on POSIX files keeps its state across restarts") {
   const auto path = std::filesystem::temp_directory_path() /
                     ("bilberryspool_storage_test_" +
                      std::to_string(std::hash<std::string>()(
--- a/tests/auto/storage/fake_file_system.cc
+++ b/tests/auto/storage/fake_file_system.cc
@@ -59,7 +59,8 @@
 }
 
 void FakeFileSystem::Crash() {
-  // Names change on the disk in order or not at all.
+  // Name changes become durable in order, so either all of them or none
+  // survive.
   if (random_.Chance(0.5)) {
     names_ = synced_names_;
   }
--- a/tests/auto/storage/fake_file_system.h
+++ b/tests/auto/storage/fake_file_system.h
@@ -1,4 +1,4 @@
-// Files in memory that lose at a crash what was not synced.
+// An in-memory file system that loses unsynced data in a crash.
 
 #ifndef AUTO_STORAGE_FAKE_FILE_SYSTEM_H_
 #define AUTO_STORAGE_FAKE_FILE_SYSTEM_H_
@@ -23,16 +23,16 @@
 
   explicit FakeFileSystem(std::uint64_t seed) : random_(seed) {}
 
-  // Calls that change something succeed this often, then fail; the one that
-  // fails first may have written a part.
+  // Number of further modifying calls that succeed; later ones fail. The first
+  // failing call may have written a part.
   void set_calls_left(std::optional<std::uint64_t> calls) {
     calls_left_ = calls;
   }
   std::uint64_t call_count() const { return call_count_; }
-  // Drops what was not synced, but for a random part of it, and tears or
-  // garbles the end.
+  // Drops unsynced data except for a random part of it, and may garble a byte
+  // of the part that is kept.
   void Crash();
-  // The bytes of a file, for damage by hand.
+  // The bytes of a file, so that a test can damage them.
   std::string& bytes(const std::string& path) { return names_[path]->bytes; }
   std::vector<std::string> paths() const;
 
--- a/tests/auto/storage/replica_on_folder_test.cc
+++ b/tests/auto/storage/replica_on_folder_test.cc
@@ -1,4 +1,4 @@
-// Replicas over data folders whose file systems fail and crash at any call.
+// Tests replicas on data folders whose file systems fail and crash at any call.
 
 #include <deque>
 #include <optional>
@@ -42,7 +42,7 @@
     }
   }
 
-  // Crashes come only once the log was founded.
+  // Enable crashes only once the log was created.
   void Run(Duration duration, bool with_crashes) {
     const TimePoint end = now_ + duration;
     with_crashes_ = with_crashes;
@@ -124,7 +124,7 @@
     }
   }
 
-  // False where the disk failed.
+  // Returns false if the file system failed.
   bool ExecuteAction(Node& node,
                      const Action& action,
                      std::deque<Event>& events) {
@@ -181,10 +181,10 @@
 };
 
 TEST_CASE("replicas on real folders lose nothing that was committed") {
-  // Symptom: two replicas apply different commands at one index.
-  // Events: any call to any file system fails, the process dies, and what was
-  // not synced is lost, torn or garbled.
-  // Cause: the folder gives back something else than the replica was promised.
+  // Guards against two replicas that apply different commands at one index. Any
+  // call to a file system fails, the process stops, and unsynced data is lost,
+  // torn or garbled; the fault would be a folder that returns another state
+  // than the one the replica acknowledged.
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     INFO("seed " << seed);
     Runner runner(seed);
