--- a/src/libs/net/http_server.h
+++ b/src/libs/net/http_server.h
@@ -89,8 +89,8 @@
   std::uint16_t port() const;
 
   // From now on each connection is closed after its current response; new ones
-  // are still accepted. First phase of a planned stop: callers switch to other
-  // entries before the server closes.
+  // are still accepted. First phase of a planned stop: callers move to other
+  // servers before their connections are closed.
   void CloseAfterAnswers();
 
   // Sets how long a connection may be idle, starting with its next idle period.
--- a/src/libs/net/port_check.h
+++ b/src/libs/net/port_check.h
@@ -12,7 +12,7 @@
 
 enum class PortState {
   kListening,
-  kClosed,   // the VM refused the connection
+  kClosed,   // the VM is reachable, but nothing listens
   kUnknown,  // no response within the timeout
 };
 
