--- a/src/libs/rpc/caller.h
+++ b/src/libs/rpc/caller.h
@@ -1,9 +1,9 @@
-// Calls between the system's processes: JSON-RPC 2.0 by libjsonrpccpp, with
-// errors as values and the transport as a function, so that it runs on fibers
-// as well as in a test.
+// Calls between the system's processes: JSON-RPC 2.0 with libjsonrpccpp. Errors
+// are values and the transport is a function, so that calls run on fibers as
+// well as in tests.
 //
-// Parameters and results are texts that the methods' own codecs write and read
-// (JSON by convention); the envelope carries each as one string:
+// Parameters and results are encoded and decoded by the codecs of the methods
+// (JSON by convention); the JSON-RPC envelope carries each as one string:
 //
 //     {"id":1,"jsonrpc":"2.0","method":"ping","params":{"json":"{\"n\":1}"}}
 //     {"id":1,"jsonrpc":"2.0","result":"{\"n\":2}"}
@@ -22,19 +22,21 @@
 // The body of the response, or why there is none.
 using TransportResult = std::variant<std::string, TransportFailure>;
 
-// Carries a request body to the other side. May suspend its fiber; must not
-// throw.
+// Sends a request body to the peer and returns the response. May suspend its
+// fiber; must not throw.
 using Transport = std::function<TransportResult(const std::string& body)>;
 
-// The result as the method gave it, or an error.
+// The result that the method returned, or an error.
 using CallResult = std::variant<std::string, RpcError>;
 
-// The calling side. Holds nothing between calls, so any number may be open.
+// The client side. Has no state between calls, so any number of calls may be in
+// progress.
 class Caller {
  public:
   explicit Caller(Transport transport);
 
-  // `params_json` must be UTF-8; it is checked by the method, not here.
+  // `params_json` must be UTF-8; its content is checked by the method, not
+  // here.
   CallResult Call(const std::string& method,
                   const std::string& params_json) const;
 
--- a/src/libs/rpc/dispatcher.h
+++ b/src/libs/rpc/dispatcher.h
@@ -10,24 +10,24 @@
 
 namespace bilberryspool::rpc {
 
-// The result as JSON text, UTF-8, or why there is none.
+// The result as UTF-8 JSON text, or an error.
 using MethodResult = std::variant<std::string, BadParams, RemoteError>;
 
-// `params_json` is whatever the other side sent; a codec that can't read it
-// makes it BadParams. Must not throw.
+// `params_json` comes unchecked from the peer; the method returns BadParams if
+// it can't be decoded. Must not throw.
 using Method = std::function<MethodResult(const std::string& params_json)>;
 
-// The serving side of JSON-RPC 2.0 between the system's processes, without a
-// transport: a body in, a body out.
+// The server side of JSON-RPC 2.0 between the system's processes, independent
+// of the transport: takes a request body and returns a response body.
 //
-// All methods are registered before the first request. A method may suspend
-// its fiber: calls of one thread may be nested in each other.
+// All methods must be registered before the first request. A method may suspend
+// its fiber, so calls on one thread may be nested.
 class Dispatcher {
  public:
   // Replaces a method of the same name.
   void Register(const std::string& name, Method method);
 
-  // The body of the response to one request body, whatever it holds.
+  // Returns the response body; `request_body` may hold anything.
   std::string Handle(const std::string& request_body);
 
  private:
--- a/src/libs/rpc/internal/bridge_reply.h
+++ b/src/libs/rpc/internal/bridge_reply.h
@@ -1,4 +1,4 @@
-// Read as C++14 and as C++20: nothing later than C++14 here.
+// Compiled as C++14 and as C++20: use nothing later than C++14 here.
 
 #ifndef LIBS_RPC_INTERNAL_BRIDGE_REPLY_H_
 #define LIBS_RPC_INTERNAL_BRIDGE_REPLY_H_
@@ -11,12 +11,12 @@
 
 enum class ReplyKind {
   kResult,       // json
-  kError,        // code and message: JSON-RPC's own or a method's
+  kError,        // code and message, of JSON-RPC or of the method
   kTransport,    // message
-  kBadResponse,  // message: the response is no JSON-RPC 2.0
+  kBadResponse,  // message; not a JSON-RPC 2.0 response
 };
 
-// What became of one call, on either side of the link.
+// Outcome of one call, on either side of the link.
 struct BridgeReply {
   ReplyKind kind = ReplyKind::kResult;
   std::string json;
@@ -24,11 +24,12 @@
   std::string message;
 };
 
-// The one parameter of each method: the payload as a text. As JSON within the
-// envelope, jsoncpp would build and write its tree about ten times a call.
+// Name of the only parameter of each method: the payload as one string. With
+// the payload as JSON inside the envelope, jsoncpp would build and serialize
+// its tree about ten times per call.
 constexpr const char* kPayload = "json";
 
-// JSON-RPC 2.0's own codes.
+// Error codes defined by JSON-RPC 2.0.
 constexpr int kMethodNotFoundCode = -32601;
 constexpr int kInvalidParamsCode = -32602;
 
--- a/src/libs/rpc/internal/client_bridge.cc
+++ b/src/libs/rpc/internal/client_bridge.cc
@@ -12,11 +12,12 @@
 namespace internal {
 namespace {
 
-// Whether the text is a response whose result is a payload. The library's
-// functions are declared throw(JsonRpcException), yet its parser throws another
-// type at nesting deeper than 1000, which ends the process: one faulty peer
-// would take all others down with it. It also takes shapes for good that
-// JSON-RPC forbids, such as a result beside an error.
+// Returns whether the text is a JSON-RPC response whose result is a string
+// payload. The library's functions are declared throw(JsonRpcException), but
+// its parser throws another type if values are nested more than 1000 deep,
+// which terminates the process: one faulty peer would terminate all others. The
+// library also accepts responses that JSON-RPC forbids, such as one with both a
+// result and an error.
 bool IsResponse(const std::string& text) {
 #if defined(BILBERRYSPOOL_MUTATION_RPC_TRUST_RESPONSE)
   return !text.empty();
@@ -40,8 +41,8 @@
          error["message"].isString();
 }
 
-// Hands the library's request to the transport. Failures are kept here, since
-// the library knows only exceptions.
+// Passes the library's request to the transport. Failures are stored here,
+// since the library reports errors only as exceptions.
 class Connector : public jsonrpc::IClientConnector {
  public:
   explicit Connector(const BridgeTransport& transport)
@@ -72,8 +73,8 @@
   BridgeReply failure_;
 };
 
-// The library puts its own text for a code of JSON-RPC before the message, once
-// on each side.
+// The library prefixes the message of a standard JSON-RPC code with its own
+// text, once on each side.
 std::string StripLibraryPrefix(int code, std::string message) {
   const std::string text = jsonrpc::Errors::GetErrorMessage(code) + ": ";
   while (message.compare(0, text.size(), text) == 0) {
--- a/src/libs/rpc/internal/client_bridge.h
+++ b/src/libs/rpc/internal/client_bridge.h
@@ -1,4 +1,4 @@
-// Read as C++14 and as C++20: nothing later than C++14 here.
+// Compiled as C++14 and as C++20: use nothing later than C++14 here.
 
 #ifndef LIBS_RPC_INTERNAL_CLIENT_BRIDGE_H_
 #define LIBS_RPC_INTERNAL_CLIENT_BRIDGE_H_
@@ -12,8 +12,8 @@
 namespace rpc {
 namespace internal {
 
-// Sends a request body and fills in the body of the response, or, returning
-// false, what went wrong. Must not throw.
+// Sends a request body and sets `response` to the response body. On failure
+// returns false and sets `response` to the error text. Must not throw.
 using BridgeTransport =
     std::function<bool(const std::string& request, std::string& response)>;
 
--- a/src/libs/rpc/internal/json_text.h
+++ b/src/libs/rpc/internal/json_text.h
@@ -9,8 +9,8 @@
 namespace rpc {
 namespace internal {
 
-// False where `text` is not one JSON value, or one nested more than 16 deep.
-// Never throws.
+// Returns false if `text` is not exactly one JSON value or is nested more than
+// 16 deep. Never throws.
 bool ReadJson(const std::string& text, Json::Value& value);
 
 }  // namespace internal
--- a/src/libs/rpc/internal/server_bridge.cc
+++ b/src/libs/rpc/internal/server_bridge.cc
@@ -20,8 +20,8 @@
     R"({"jsonrpc":"2.0","id":null,"error":{"code":-32700,)"
     R"("message":"not a JSON-RPC 2.0 request"}})";
 
-// The library's connector where the transport is a function call: a response
-// goes into the text that `info` points to.
+// Server connector of the library for a transport that is a function call: the
+// response is written to the string that `info` points to.
 class Connector : public jsonrpc::AbstractServerConnector {
  public:
   bool StartListening() override { return true; }
@@ -53,7 +53,7 @@
     output = reply.json;
   }
 
-  // All procedures are methods, so the library never calls this.
+  // Only methods are registered, so the library never calls this.
   void HandleNotificationCall(jsonrpc::Procedure&,
                               const Json::Value&) override {}
 
@@ -73,7 +73,7 @@
 }
 
 std::string ServerBridge::Handle(const std::string& request) {
-  // Bounds the nesting before the library's own parser meets it.
+  // Checks the nesting depth before the library's own parser runs.
   Json::Value parsed;
   if (!ReadJson(request, parsed) || !parsed.isObject()) {
     return kParseError;
--- a/src/libs/rpc/internal/server_bridge.h
+++ b/src/libs/rpc/internal/server_bridge.h
@@ -1,4 +1,4 @@
-// Read as C++14 and as C++20: nothing later than C++14 here.
+// Compiled as C++14 and as C++20: use nothing later than C++14 here.
 
 #ifndef LIBS_RPC_INTERNAL_SERVER_BRIDGE_H_
 #define LIBS_RPC_INTERNAL_SERVER_BRIDGE_H_
@@ -13,7 +13,7 @@
 namespace rpc {
 namespace internal {
 
-// Runs a method; answers kResult or kError. Must not throw.
+// Runs a method and returns kResult or kError. Must not throw.
 using BridgeMethod = std::function<BridgeReply(const std::string& params_json)>;
 
 // libjsonrpccpp's server without its transports.
@@ -22,9 +22,9 @@
   ServerBridge();
   ~ServerBridge();
 
-  // A method registered twice is replaced.
+  // Replaces a method of the same name.
   void Add(const std::string& name, BridgeMethod method);
-  // The response to one request body. Never throws.
+  // Returns the response to one request body. Never throws.
   std::string Handle(const std::string& request);
 
  private:
--- a/src/libs/rpc/rpc_error.h
+++ b/src/libs/rpc/rpc_error.h
@@ -6,13 +6,13 @@
 
 namespace bilberryspool::rpc {
 
-// The other side has no such method: it is of another version.
+// The peer does not have this method, as it runs another version.
 struct MethodNotFound {
   std::string method;
   bool operator==(const MethodNotFound&) const = default;
 };
 
-// The parameters are not those of the method.
+// The method can't decode the parameters.
 struct BadParams {
   std::string message;
   bool operator==(const BadParams&) const = default;
@@ -24,13 +24,13 @@
   bool operator==(const TransportFailure&) const = default;
 };
 
-// What came back is no JSON-RPC response; the request may have run.
+// The reply is not a JSON-RPC response; the request may have run.
 struct BadResponse {
   std::string message;
   bool operator==(const BadResponse&) const = default;
 };
 
-// The method itself refused or failed; codes are the methods' own.
+// The method refused or failed; the codes are defined by the method.
 struct RemoteError {
   int code = 0;
   std::string message;
--- a/tests/auto/rpc/rpc_test.cc
+++ b/tests/auto/rpc/rpc_test.cc
@@ -82,17 +82,17 @@
   }
 }
 
-// Symptom: a process ends by a signal while it talks to a faulty peer.
-// Sequence: a response with 5000 brackets, one in the other.
-// Cause: libjsonrpccpp declares throw(JsonRpcException), but lets another type
-// of its parser pass, which ends the process.
+// Guards against a process that is terminated by a response of a faulty peer.
+// The response nests 5000 arrays; libjsonrpccpp declares
+// throw(JsonRpcException), but its parser throws another type, which terminates
+// the process.
 TEST_CASE("a deeply nested response does not end the process") {
   const std::string nested =
       R"({"jsonrpc":"2.0","id":1,"result":)" + NestedArrays(5000) + "}";
   CHECK(CallerWithResponse(nested).Call("echo", "{}").index() == 1);
 }
 
-TEST_CASE("what is no response is an error, and so is a failed transport") {
+TEST_CASE("an invalid response or a failed transport is an error") {
   const char* bodies[] = {
       "",
       "{",
