--- a/src/libs/links/link_client.h
+++ b/src/libs/links/link_client.h
@@ -14,9 +14,9 @@
 namespace bilberryspool::links {
 
 enum class LinkErrorKind {
-  // The call surely did not reach the peer.
+  // The call did not reach the peer.
   kUnreachable,
-  // It may have reached it.
+  // The call may have reached the peer.
   kLost,
   // The peer refused the key, the deployment or the method.
   kRefused,
@@ -27,7 +27,7 @@
   std::string text;
 };
 
-// Signs what it sends. Belongs to one NetworkLoop's thread.
+// Signs all its requests. Belongs to one NetworkLoop's thread.
 class LinkClient {
  public:
   using CallResult = std::variant<boost::json::value, LinkError>;
@@ -41,7 +41,7 @@
                   const boost::json::value& params,
                   Duration timeout);
 
-  // Sends any other request, signed, and streams the answer.
+  // Sends any other request, signed, and streams the response.
   net::HttpClient::OpenResult Open(
       const net::Endpoint& endpoint,
       net::HttpRequest request,
@@ -49,12 +49,12 @@
       std::shared_ptr<net::Cancellation> cancellation,
       const net::HttpClient::OnProcessing& on_processing);
 
-  // The same, with the whole answer.
+  // Same, but reads the whole response.
   net::HttpClient::SendResult Send(const net::Endpoint& endpoint,
                                    net::HttpRequest request,
                                    Duration timeout);
 
-  // Later calls to `endpoint` use new connections.
+  // Closes idle connections, so that later calls to `endpoint` open new ones.
   void DropIdle(const net::Endpoint& endpoint) { client_.DropIdle(endpoint); }
 
   std::uint64_t bytes_sent() const { return bytes_sent_; }
--- a/src/libs/links/link_server.h
+++ b/src/libs/links/link_server.h
@@ -1,4 +1,4 @@
-// Where a process of the system is called by the others.
+// Server for calls from other processes of the system.
 
 #ifndef LIBS_LINKS_LINK_SERVER_H_
 #define LIBS_LINKS_LINK_SERVER_H_
@@ -17,11 +17,12 @@
 
 namespace bilberryspool::links {
 
-// Serves JSON-RPC calls and hands all other requests to one handler, after
-// checking the peer's key. Belongs to one NetworkLoop's thread.
+// Serves JSON-RPC calls and passes all other requests to one handler, after
+// verifying the peer's key. Belongs to one NetworkLoop's thread.
 class LinkServer {
  public:
-  // Params to result; may suspend. Nothing where the params are not understood.
+  // Maps parameters to a result; may suspend. Returns std::nullopt if the
+  // parameters are invalid.
   using Method = std::function<std::optional<boost::json::value>(
       const boost::json::value& params)>;
   using OnRefused = std::function<void(const std::string& peer_address,
@@ -34,7 +35,7 @@
              OnRefused on_refused);
   ~LinkServer();
 
-  // Before Start().
+  // Must be called before Start().
   void Register(const std::string& method, Method handler);
 
   std::string Start();
--- a/src/libs/links/link_timeouts.h
+++ b/src/libs/links/link_timeouts.h
@@ -1,4 +1,4 @@
-// How long connections between the system's processes are kept without use.
+// Timeouts of the connections between the system's processes.
 
 #ifndef LIBS_LINKS_LINK_TIMEOUTS_H_
 #define LIBS_LINKS_LINK_TIMEOUTS_H_
@@ -7,14 +7,15 @@
 
 namespace bilberryspool::links {
 
-// The first packet to a VM that is just starting is dropped and sent again by
-// the kernel only after a second; trying anew is sooner.
+// The first packet to a VM that is just starting is dropped, and the kernel
+// retransmits it only after a second; a new connection attempt is faster.
 inline constexpr Duration kConnectTimeout = Milliseconds(400);
-// The client lets go well before the server does: a request that meets a
-// connection just closed by its server may have run, for all the client knows.
+// The client closes idle connections well before the server does: if a request
+// meets a connection that the server has just closed, the client can't know
+// whether the request ran.
 inline constexpr Duration kClientIdleTimeout = Seconds(5);
-// A connection that something in between lost track of is never closed by its
-// other end; without this bound its descriptor would stay.
+// If a network device in between has lost track of a connection, its peer never
+// closes it; without this limit its file descriptor would leak.
 inline constexpr Duration kServerIdleTimeout = Seconds(10);
 
 }  // namespace bilberryspool::links
--- a/tests/auto/links/link_test.cc
+++ b/tests/auto/links/link_test.cc
@@ -17,7 +17,7 @@
                                                         key);
 }
 
-TEST_CASE("calls pass between peers of one key and deployment only") {
+TEST_CASE("calls succeed only between peers with the same key and deployment") {
   struct Row {
     const char* deployment;
     const char* key;
@@ -65,7 +65,7 @@
   });
 }
 
-TEST_CASE("a call to nobody surely did not run") {
+TEST_CASE("a call to an address without a listener is reported as not sent") {
   net::NetworkLoop loop;
   loop.Run([&] {
     LinkClient client(loop, MakeKey("d", "the key of the test"));
