--- a/src/libs/rings/bounded_ring.h
+++ b/src/libs/rings/bounded_ring.h
@@ -1,8 +1,9 @@
-// Bounded rings between threads: one thread puts items in, one takes them out.
+// Bounded rings between two threads: one thread pushes items, the other pops
+// them.
 //
-// An unbounded queue turns a slow consumer into growing memory and growing
-// lateness that nobody sees. A ring refuses instead: the producer learns at
-// once that its item was not taken, still holds it and decides, and the refusal
+// With an unbounded queue a slow consumer would cause growing memory use and
+// latency that stay unnoticed. A full ring rejects items instead: the producer
+// learns this at once, keeps the item and decides what to do, and the rejection
 // is counted.
 
 #ifndef LIBS_RINGS_BOUNDED_RING_H_
@@ -19,22 +20,22 @@
 
 namespace bilberryspool::rings {
 
-// One producer thread calls TryPush(), one consumer thread PopAll(); Close()
-// and the counters are for any thread. `T` must be movable and default
-// constructible.
+// One producer thread calls TryPush(), one consumer thread calls PopAll();
+// Close() and the counters may be used from any thread. `T` must be movable and
+// default constructible.
 template <typename T>
 class BoundedRing {
  public:
   using WakeHook = std::function<void()>;
 
-  // `wake` runs on the producer's thread after each item taken.
+  // `wake` runs on the producer's thread after each accepted item.
   explicit BoundedRing(std::size_t capacity, WakeHook wake = {})
       : queue_(capacity), capacity_(capacity), wake_(std::move(wake)) {}
 
   BoundedRing(const BoundedRing&) = delete;
   BoundedRing& operator=(const BoundedRing&) = delete;
 
-  // False where the ring is full or closed; `item` is unchanged then.
+  // Returns false if the ring is full or closed; `item` is unchanged then.
   bool TryPush(T&& item) {
     in_push_.store(true);
     const bool is_taken = !closed_.load() && PushSlot(item);
@@ -47,18 +48,18 @@
     return is_taken;
   }
 
-  // Hands each item that is there to `consume(T&&)`, oldest first; returns how
-  // many.
+  // Passes all available items to `consume(T&&)`, oldest first; returns their
+  // number.
   template <typename Consume>
   std::size_t PopAll(Consume&& consume) {
     return queue_.consume_all(
         [&](Slot& slot) { consume(std::move(slot.value)); });
   }
 
-  // Refuses all items from now on. Once it returns, no item is on its way in:
-  // a PopAll() afterwards leaves nothing behind that TryPush() had taken.
-  // Without the wait, an item taken while a consumer drains for the last time
-  // would be lost though its producer was told otherwise.
+  // Rejects all further items. Waits for a TryPush() in progress, so that a
+  // PopAll() after Close() returns every accepted item. Without the wait, an
+  // item accepted during the last PopAll() would be lost although TryPush()
+  // returned true.
   void Close() {
     closed_.store(true);
 #if !defined(BILBERRYSPOOL_MUTATION_RING_CLOSE_WITHOUT_WAIT)
@@ -71,7 +72,7 @@
   std::size_t capacity() const {
     return capacity_;
   }
-  // Items taken and refused since the start.
+  // Number of items accepted and rejected since the start.
   std::uint64_t pushed() const {
     return pushed_.load(std::memory_order_relaxed);
   }
@@ -80,8 +81,8 @@
   }
 
  private:
-  // The queue of Boost 1.81 takes its items by copy only; a copy of a slot
-  // moves the item, so that move-only items pass too.
+  // The queue of Boost 1.81 accepts items by copy only; copying a slot moves
+  // its item, so that move-only items work too.
   struct Slot {
     Slot() = default;
     explicit Slot(T&& item) : value(std::move(item)) {}
--- a/src/libs/rings/thread_name.h
+++ b/src/libs/rings/thread_name.h
@@ -5,8 +5,8 @@
 
 namespace bilberryspool::rings {
 
-// Names the calling thread after its duty, for debuggers and `top -H`. Cut to
-// the 15 bytes that the system keeps.
+// Sets the name of the calling thread for debuggers and `top -H`. Names are
+// truncated to the 15 bytes that the kernel keeps.
 void NameThisThread(const std::string& name);
 
 }  // namespace bilberryspool::rings
--- a/src/libs/rings/wake_signal.h
+++ b/src/libs/rings/wake_signal.h
@@ -5,14 +5,15 @@
 
 namespace bilberryspool::rings {
 
-// Wakes one waiting thread, which costs nothing while it waits. Notifications
-// between two waits count as one, and one before a wait ends that wait at once,
-// so none is lost.
+// Wakes one waiting thread, which uses no CPU time while it waits. Several
+// notifications between two waits count as one; a notification before a wait
+// ends that wait at once, so none is lost.
 class WakeSignal {
  public:
-  // From any thread. Everything written before is seen after Wait().
+  // May be called from any thread. Everything written before is visible after
+  // Wait().
   void Notify();
-  // Blocks until Notify() was called since the last Wait().
+  // Blocks until Notify() has been called since the last Wait().
   void Wait();
 
  private:
--- a/src/libs/rings/worker.h
+++ b/src/libs/rings/worker.h
@@ -1,4 +1,4 @@
-// A thread for one duty, fed by bounded rings.
+// A worker thread that is fed by bounded rings.
 
 #ifndef LIBS_RINGS_WORKER_H_
 #define LIBS_RINGS_WORKER_H_
@@ -19,13 +19,13 @@
 namespace bilberryspool::rings {
 
 struct WorkerOptions {
-  std::string name;                  // of the thread; 15 bytes are kept
-  std::size_t ring_capacity = 1024;  // items, for each producer
-  std::size_t producers = 1;         // threads that push, a ring for each
+  std::string name;                  // of the thread; truncated to 15 bytes
+  std::size_t ring_capacity = 1024;  // items per producer
+  std::size_t producers = 1;         // pushing threads, each with its own ring
 };
 
-// Hands the items of its rings to one function on a thread of its own, and
-// blocks while there are none. Items of one producer keep their order.
+// Passes the items of its rings to one function on its own thread, and blocks
+// while there are none. Items of one producer keep their order.
 template <typename T>
 class Worker {
  public:
@@ -33,7 +33,7 @@
   using Hook = std::function<void()>;
 
   // `handle` runs on the worker's thread for each item, `after_batch` after
-  // each run of items (to flush a file once, for example). Neither may throw.
+  // each batch of items (for example to flush a file once). Neither may throw.
   Worker(const WorkerOptions& options, Handler handle, Hook after_batch = {})
       : handle_(std::move(handle)), after_batch_(std::move(after_batch)) {
     for (std::size_t i = 0; i < options.producers; ++i) {
@@ -50,8 +50,8 @@
   // The ring of one producer thread.
   BoundedRing<T>& ring(std::size_t producer = 0) { return *rings_[producer]; }
 
-  // Refuses new items, handles those taken, ends the thread. Called by one
-  // thread, never by the worker's own.
+  // Rejects new items, handles the accepted ones and joins the thread. Must be
+  // called by one thread only, never by the worker's own.
   void Stop() {
     if (!thread_.joinable()) {
       return;
@@ -70,7 +70,8 @@
     bool is_last = false;
     while (!is_last) {
       signal_.Wait();
-      // Read before the drain: whatever was taken until then is drained.
+      // Read before Drain(), so that all items accepted before Stop() are still
+      // handled.
       is_last = stopping_.load(std::memory_order_acquire);
       Drain();
     }
--- a/tests/auto/rings/rings_test.cc
+++ b/tests/auto/rings/rings_test.cc
@@ -14,7 +14,7 @@
 
 using Item = std::unique_ptr<int>;
 
-TEST_CASE("a full or closed ring refuses, and the producer keeps the item") {
+TEST_CASE("a full or closed ring rejects items, and the producer keeps them") {
   int wakes = 0;
   BoundedRing<Item> ring(2, [&] { ++wakes; });
   CHECK(ring.TryPush(std::make_unique<int>(1)));
@@ -37,10 +37,10 @@
   CHECK(ring.refused() == 2);
 }
 
-// Symptom: spans or orders of the last moments before a stop are missing.
-// Sequence: producers push while another thread stops the worker.
-// Cause: an item taken after the worker's last look at the ring.
-TEST_CASE("a worker handles each item taken, in order, up to its stop") {
+// Guards against losing spans or orders of the last moments before a stop.
+// Producers push while another thread stops the worker; the fault would be an
+// item that is accepted after the worker last drained the ring.
+TEST_CASE("a worker handles all accepted items in order until it stops") {
   constexpr std::size_t producers = 3;
   for (const std::size_t capacity : {1UL, 7UL, 256UL}) {
     for (int round = 0; round < 60; ++round) {
@@ -86,7 +86,7 @@
   }
 }
 
-// An item that runs `hook` while it is moved into a ring.
+// An item that calls `hook` while it is moved into a ring.
 struct HookedItem {
   HookedItem() = default;
   explicit HookedItem(std::function<void()> on_move)
@@ -102,11 +102,10 @@
   std::function<void()> hook;
 };
 
-// Symptom: an item is taken, yet never handled.
-// Sequence: the producer is past the look at `closed`, the ring is closed and
-// drained for the last time, the producer puts its item in.
-// Cause: Close() returned while an item was on its way in.
-TEST_CASE("closing waits for an item on its way in") {
+// Guards against an accepted item that is never handled. A producer has checked
+// `closed_`, then the ring is closed and drained for the last time, and the
+// producer pushes its item: Close() must wait for a push in progress.
+TEST_CASE("closing waits for a push in progress") {
   BoundedRing<HookedItem> ring(4);
   std::atomic<bool> is_drained = false;
   std::size_t handled = 0;
@@ -120,7 +119,8 @@
       handled = ring.PopAll([](HookedItem&&) {});
       is_drained = true;
     });
-    // Time enough for a faulty Close() to return; the right one waits for us.
+    // Gives a faulty Close() enough time to return; a correct one waits for the
+    // push in progress.
     for (int i = 0; i < 2000 && !is_drained; ++i) {
       std::this_thread::yield();
     }
