--- a/src/libs/base/check.h
+++ b/src/libs/base/check.h
@@ -1,4 +1,4 @@
-// Invariants: what must hold whatever comes from outside.
+// Invariants: conditions that hold regardless of any input.
 
 #ifndef LIBS_BASE_CHECK_H_
 #define LIBS_BASE_CHECK_H_
@@ -7,13 +7,13 @@
 
 namespace bilberryspool {
 
-// Called with the broken invariant; the default prints it and aborts.
+// Called with the violated invariant; the default handler prints it and aborts.
 using InvariantHandler = void (*)(std::string_view what,
                                   const char* file,
                                   int line);
 
-// Replaces the handler, so that a randomised run can report its seed before
-// it ends. Returns the previous one.
+// Replaces the handler, so that a randomised run can report its seed before it
+// ends. Returns the previous handler.
 InvariantHandler SetInvariantHandler(InvariantHandler handler);
 
 namespace internal {
@@ -22,8 +22,9 @@
 
 }  // namespace bilberryspool
 
-// Stops the process where `condition` is false. Only for invariants of the
-// program itself: bad input, lost messages and failed peers are error values.
+// Calls the invariant handler, which aborts the process, if `condition` is
+// false. Only for invariants of the program itself: invalid input, lost
+// messages and failed peers are reported as error values.
 #define BILBERRYSPOOL_INVARIANT(condition, what)                         \
   do {                                                                   \
     if (!(condition)) {                                                  \
--- a/src/libs/base/json_reading.h
+++ b/src/libs/base/json_reading.h
@@ -1,4 +1,4 @@
-// Reads the members of a JSON object, each with its type.
+// Typed access to the members of a JSON object.
 
 #ifndef LIBS_BASE_JSON_READING_H_
 #define LIBS_BASE_JSON_READING_H_
@@ -15,7 +15,7 @@
 
 namespace bilberryspool::json_reading {
 
-// Nothing where `text` is no whole JSON object.
+// Returns std::nullopt if `text` is not exactly one JSON object.
 inline std::optional<boost::json::object> ParseObject(std::string_view text) {
   boost::system::error_code error;
   boost::json::value value = boost::json::parse(
@@ -26,7 +26,8 @@
   return std::move(value.get_object());
 }
 
-// Each is nothing where the member is missing or of another type.
+// These functions return std::nullopt if the member is missing or has another
+// type.
 inline std::optional<std::string> Text(const boost::json::object& object,
                                        std::string_view key) {
   const boost::json::value* value = object.if_contains(key);
@@ -36,7 +37,7 @@
   return std::string(value->as_string());
 }
 
-// A whole number that is not negative.
+// A non-negative integer.
 inline std::optional<std::uint64_t> Number(const boost::json::object& object,
                                            std::string_view key) {
   const boost::json::value* value = object.if_contains(key);
@@ -68,15 +69,15 @@
   return value->as_bool();
 }
 
-// Null where the member is missing or no array.
+// Returns null if the member is missing or not an array.
 inline const boost::json::array* List(const boost::json::object& object,
                                       std::string_view key) {
   const boost::json::value* value = object.if_contains(key);
   return value == nullptr ? nullptr : value->if_array();
 }
 
-// A list of objects, each read by `read`, which gives nothing where it can't;
-// nothing where `value` is something else or one can't be read.
+// Reads an array of objects with `read`. Returns std::nullopt if `value` is not
+// an array of objects or if `read` returns std::nullopt for one of them.
 template <typename Item, typename Read>
 std::optional<std::vector<Item>> ReadObjects(const boost::json::value& value,
                                              const Read& read) {
--- a/src/libs/base/overloaded.h
+++ b/src/libs/base/overloaded.h
@@ -3,7 +3,7 @@
 
 namespace bilberryspool {
 
-// Builds a visitor for std::visit out of lambdas.
+// Combines lambdas into a visitor for std::visit.
 template <typename... Visitors>
 struct Overloaded : Visitors... {
   using Visitors::operator()...;
--- a/src/libs/base/random.h
+++ b/src/libs/base/random.h
@@ -1,5 +1,5 @@
-// Random numbers as an argument: decisions own a seeded generator, so that a
-// run can be replayed exactly.
+// Random numbers for decisions, which own a seeded generator, so that a run can
+// be replayed exactly.
 
 #ifndef LIBS_BASE_RANDOM_H_
 #define LIBS_BASE_RANDOM_H_
@@ -11,7 +11,7 @@
 
 namespace bilberryspool {
 
-// A seeded generator. Copyable; a copy goes on with the same sequence.
+// A seeded generator. A copy continues the same sequence.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
--- a/src/libs/base/strong_type.h
+++ b/src/libs/base/strong_type.h
@@ -1,4 +1,4 @@
-// Strong types: values that can't be mixed up with each other by accident.
+// Strong types: values of different meaning that can't be mixed up by accident.
 
 #ifndef LIBS_BASE_STRONG_TYPE_H_
 #define LIBS_BASE_STRONG_TYPE_H_
@@ -12,7 +12,8 @@
 
 namespace bilberryspool {
 
-// A value of type `Value` that only compares with values of the same `Tag`.
+// A value of type `Value` that can only be compared with values of the same
+// `Tag`.
 template <typename Tag, typename Value>
 class StrongType {
  public:
@@ -37,7 +38,7 @@
 template <typename Tag>
 using StringId = StrongType<Tag, std::string>;
 
-// A counter that only grows: versions, terms, incarnations, fencing numbers.
+// A counter that only increases: versions, terms, incarnations, fencing tokens.
 template <typename Tag>
 class StrongNumber : public StrongType<Tag, std::uint64_t> {
  public:
--- a/src/libs/base/target_run.h
+++ b/src/libs/base/target_run.h
@@ -7,7 +7,7 @@
 
 namespace bilberryspool {
 
-// One start of a target.
+// One run of a target process, from its start to its termination.
 struct TargetRun {
   TargetId target;
   Incarnation incarnation;
--- a/src/libs/base/time.h
+++ b/src/libs/base/time.h
@@ -1,8 +1,8 @@
-// Time as the decisions see it.
+// Time types for decisions.
 //
-// No decision reads a clock: each function that decides takes `now` as an
-// argument. In the program `now` comes from libs/net/steady_time.h, in tests
-// from the test itself.
+// Code that decides never reads a clock but takes `now` as an argument. In the
+// program `now` comes from libs/net/steady_time.h, in tests from the test
+// itself.
 
 #ifndef LIBS_BASE_TIME_H_
 #define LIBS_BASE_TIME_H_
@@ -13,7 +13,7 @@
 
 using Duration = std::chrono::microseconds;
 
-// Tag of the monotonic time line of one process. It has no now() on purpose.
+// Clock type of the monotonic time of one process. It has no now() on purpose.
 // Time points of different processes must not be compared.
 struct MonotonicTimeline {
   using rep = Duration::rep;
@@ -46,7 +46,7 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-// The time point `elapsed` after the start of the time line; for tests.
+// Returns the time point `elapsed` after the clock's epoch; for tests.
 constexpr TimePoint TimeAt(Duration elapsed) {
   return TimePoint(elapsed);
 }
--- a/tests/auto/base/random_test.cc
+++ b/tests/auto/base/random_test.cc
@@ -13,7 +13,7 @@
   }
 }
 
-TEST_CASE("ranges hold at their ends") {
+TEST_CASE("Between() stays within its limits, also for empty ranges") {
   struct Row {
     Duration low;
     Duration high;
--- a/tests/auto/base/strong_type_test.cc
+++ b/tests/auto/base/strong_type_test.cc
@@ -11,7 +11,7 @@
 static_assert(!std::is_convertible_v<Workspace, TargetId>);
 static_assert(!std::is_convertible_v<std::string, Workspace>);
 
-TEST_CASE("numbers are ordered and counted up") {
+TEST_CASE("numbers are ordered and can be incremented") {
   const Term term(3);
   CHECK(term.Next() == Term(4));
   CHECK(term < term.Next());
