--- a/src/libs/telemetry/counter.h
+++ b/src/libs/telemetry/counter.h
@@ -6,7 +6,7 @@
 
 namespace bilberryspool::telemetry {
 
-// A number of events since the start. For any thread; adding is one atomic
+// Number of events since the start. Thread-safe; Add() is one atomic
 // instruction.
 class Counter {
  public:
--- a/src/libs/telemetry/distribution.cc
+++ b/src/libs/telemetry/distribution.cc
@@ -18,8 +18,8 @@
 namespace accumulators = boost::accumulators;
 
 constexpr std::array<double, 5> kProbabilities = {0.5, 0.9, 0.95, 0.99, 0.999};
-// P² needs some samples for each of its markers before its estimates mean
-// anything.
+// The P² algorithm needs several samples per marker before its estimates are
+// meaningful.
 constexpr std::size_t kExactSamples = 64;
 
 using QuantileSet = accumulators::accumulator_set<
--- a/src/libs/telemetry/distribution.h
+++ b/src/libs/telemetry/distribution.h
@@ -15,15 +15,15 @@
 struct DistributionSummary {
   std::uint64_t count = 0;  // since the start
   double sum = 0;           // since the start
-  // Of the window; empty while it has no sample.
+  // Quantiles of the window; empty if it has no samples.
   std::vector<Quantile> quantiles;
 };
 
-// The spread of a quantity, such as a latency in seconds. For any thread.
+// The distribution of a quantity, such as a latency in seconds. Thread-safe.
 //
-// Quantiles are those of a window: over the life of a process the morning's
-// samples would hide what the evening's callers wait. Small windows are exact;
-// larger ones are estimated in constant memory by the extended P² algorithm.
+// Quantiles cover one window: over the whole life of a process, samples of
+// earlier load would hide the present latency. Small windows are exact; larger
+// ones are estimated in constant memory by the extended P² algorithm.
 class Distribution {
  public:
   Distribution();
@@ -31,10 +31,10 @@
   Distribution(const Distribution&) = delete;
   Distribution& operator=(const Distribution&) = delete;
 
-  // Samples that are not finite are left out.
+  // Non-finite samples are ignored.
   void Record(double sample);
-  // Ends the present window, whose quantiles are shown until the next one
-  // ends; while there was none, those of the present window are.
+  // Ends the current window. summary() reports the quantiles of the last ended
+  // window, or of the current one if none has ended yet.
   void StartWindow();
   DistributionSummary summary() const;
 
--- a/src/libs/telemetry/gauge.h
+++ b/src/libs/telemetry/gauge.h
@@ -5,7 +5,7 @@
 
 namespace bilberryspool::telemetry {
 
-// A quantity that rises and falls. For any thread.
+// A quantity that rises and falls. Thread-safe.
 class Gauge {
  public:
   void Set(double value) { value_.store(value, std::memory_order_relaxed); }
--- a/src/libs/telemetry/label.h
+++ b/src/libs/telemetry/label.h
@@ -8,8 +8,8 @@
 
 namespace bilberryspool::telemetry {
 
-// One dimension of a metric, such as outcome="ok". `name` is the program's
-// own; `value` may come from outside.
+// One dimension of a metric, such as outcome="ok". `name` is defined by the
+// program; `value` may be external input.
 struct Label {
   std::string name;
   std::string value;
@@ -22,11 +22,11 @@
 
 using Labels = std::vector<Label>;
 
-// Whether Prometheus takes `name` as the name of a metric: letters, digits,
-// '_' and ':', no digit first.
+// Returns whether `name` is a valid Prometheus metric name: letters, digits,
+// '_' and ':', not starting with a digit.
 bool IsMetricName(std::string_view name);
 
-// The same for the name of a label, which has no ':'.
+// Same for a label name, which must not contain ':'.
 bool IsLabelName(std::string_view name);
 
 }  // namespace bilberryspool::telemetry
--- a/src/libs/telemetry/log.cc
+++ b/src/libs/telemetry/log.cc
@@ -21,10 +21,10 @@
 namespace bilberryspool::telemetry {
 namespace {
 
-// Date in UTC, level, prefix of the part, sentence and fields.
+// UTC date, level, prefix of the component, sentence and fields.
 constexpr const char* kLayout = "%d{%Y-%m-%dT%H:%M:%S.%qZ} %p [%c] %m%n";
 
-// The library starts once and lasts as long as the loggers that refer to it.
+// The library is initialized once and lives as long as the loggers that use it.
 void StartLibrary() {
   static const log4cplus::Initializer initializer;
   static const bool is_silent = [] {
@@ -49,13 +49,13 @@
   return log4cplus::INFO_LOG_LEVEL;
 }
 
-// Lines on standard output that were dropped because nobody read them.
+// Lines dropped because the reader of standard output was too slow.
 std::atomic<std::uint64_t> dropped_lines{0};
 
-// Writes to standard output without ever waiting for its reader: where the
-// reader has stopped, a blocking write would stop every thread that logs, and
-// with it the requests. Such a line is dropped and counted; the next line that
-// gets through is preceded by the count.
+// Writes to standard output without blocking: if the reader has stopped, a
+// blocking write would block every thread that logs, and with it the requests.
+// A line that would block is dropped and counted; the next line that can be
+// written is preceded by the count.
 class StandardOutputAppender : public log4cplus::Appender {
  public:
   ~StandardOutputAppender() override { destructorImpl(); }
@@ -85,7 +85,7 @@
     return true;
   }
 
-  // A pipe that polls writable takes PIPE_BUF bytes at once.
+  // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
   static bool WriteLine(std::string line) {
     if (line.size() > PIPE_BUF) {
       line.resize(PIPE_BUF - 1);
@@ -160,7 +160,7 @@
 
 std::variant<LogOutput, LogError> LogOutput::Open(const LogOptions& options) {
   StartLibrary();
-  // The library would complain on standard error and go on without a log.
+  // The library would only print to standard error and continue without a log.
   const bool is_file = !options.file.empty() && options.file != kStandardOutput;
   if (is_file && !std::ofstream(options.file, std::ios::app)) {
     return LogError{"can't write to " + options.file};
--- a/src/libs/telemetry/log.h
+++ b/src/libs/telemetry/log.h
@@ -1,9 +1,9 @@
-// Logs: short sentences with a fixed prefix for each part, and fields that a
-// program can read:
+// Logs: short sentences with a fixed prefix for each component, and
+// machine-readable fields:
 //
 //     2026-12-02T18:40:01.123Z WARN [link] Refused a peer. node=entry-2
 //
-// Values from outside are quoted, so that no caller can forge a line.
+// External values are quoted and escaped, so that no caller can forge a line.
 
 #ifndef LIBS_TELEMETRY_LOG_H_
 #define LIBS_TELEMETRY_LOG_H_
@@ -20,7 +20,7 @@
 
 namespace bilberryspool::telemetry {
 
-// One key=value after the sentence. `key` is a word of the program's own.
+// One key=value after the sentence. `key` is defined by the program.
 struct LogField {
   LogField(std::string_view name, std::string_view text)
       : key(name), value(text) {}
@@ -35,23 +35,23 @@
 
 struct LogOptions {
   LogLevel level = LogLevel::kInfo;
-  // Empty: standard error; kStandardOutput; else a file that is appended to.
+  // Empty: standard error; kStandardOutput; otherwise a file to append to.
   std::string file;
 };
 
-// Names standard output, to which lines go without waiting for its reader.
+// Selects standard output, which is written without blocking on its reader.
 inline constexpr std::string_view kStandardOutput = "-";
 
-// Lines that were dropped because standard output's reader was too slow.
+// Number of lines dropped because the reader of standard output was too slow.
 std::uint64_t DroppedLogLines();
 
 struct LogError {
   std::string what;
 };
 
-// Where the lines of the process go while this lives. The library behind it
-// keeps one output for a process, so there is one at a time; what is logged
-// without one is dropped.
+// The log output of the process while this object exists. The log library has
+// one output per process, so there must be only one object at a time; lines
+// logged without one are dropped.
 class LogOutput {
  public:
   static std::variant<LogOutput, LogError> Open(const LogOptions& options);
@@ -67,11 +67,12 @@
   std::unique_ptr<Private> d_;
 };
 
-// Changes the level of the open output at run time, from any thread.
+// Changes the level of the open output at run time; may be called from any
+// thread.
 void SetLogLevel(LogLevel level);
 
-// Writes the lines of one part. Cheap to copy; for any thread. A line below
-// the level costs one comparison, but its fields are built before.
+// Writes the log lines of one component. Cheap to copy; thread-safe. A line
+// below the level costs one comparison, but its fields are built first.
 class Logger {
  public:
   explicit Logger(std::string_view prefix);
@@ -81,7 +82,7 @@
   void Warn(std::string_view sentence, LogFields fields = {}) const;
   void Error(std::string_view sentence, LogFields fields = {}) const;
 
-  // For lines whose fields are dear to build.
+  // For lines whose fields are expensive to build.
   bool IsEnabled(LogLevel level) const;
 
  private:
--- a/src/libs/telemetry/log_level.h
+++ b/src/libs/telemetry/log_level.h
@@ -3,7 +3,7 @@
 
 namespace bilberryspool::telemetry {
 
-// In rising order.
+// In increasing order of severity.
 enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
 }  // namespace bilberryspool::telemetry
--- a/src/libs/telemetry/log_rate_limiter.h
+++ b/src/libs/telemetry/log_rate_limiter.h
@@ -7,13 +7,13 @@
 
 namespace bilberryspool::telemetry {
 
-// Bounds how many log lines of one kind are written in a second.
+// Limits how many log lines of one kind are written per second.
 class LogRateLimiter {
  public:
   explicit LogRateLimiter(std::uint32_t max_lines_per_second)
       : max_lines_per_second_(max_lines_per_second) {}
 
-  // Whether one more may be written; counts it.
+  // Counts one line; returns whether it may be written.
   bool Take(TimePoint now) {
     if (now - window_start_ > Seconds(1)) {
       window_start_ = now;
--- a/src/libs/telemetry/metrics.h
+++ b/src/libs/telemetry/metrics.h
@@ -1,4 +1,4 @@
-// Metrics: counters, gauges and distributions with labels, shown in the
+// Metrics: counters, gauges and distributions with labels, exported in the
 // Prometheus text format. Include this header for all of them.
 
 #ifndef LIBS_TELEMETRY_METRICS_H_
--- a/src/libs/telemetry/open_spans.h
+++ b/src/libs/telemetry/open_spans.h
@@ -8,8 +8,9 @@
 
 namespace bilberryspool::telemetry {
 
-// The writer of a process's spans to `file`; none where `file` is empty or
-// can't be written, which is logged: traces are no reason not to serve.
+// Opens the writer of a process's spans to `file`. Returns std::nullopt if
+// `file` is empty or can't be written; the latter is logged, but the process
+// serves without traces.
 std::optional<SpanWriter> OpenSpanWriter(const std::string& file,
                                          const std::string& service,
                                          const std::string& instance);
--- a/src/libs/telemetry/registry.cc
+++ b/src/libs/telemetry/registry.cc
@@ -20,7 +20,7 @@
 
 constexpr const char* kOverflowValue = "other";
 
-// Kinds of metric of one name; each keeps its instances by their labels.
+// Instances of one metric by their labels.
 template <typename Metric>
 using Instances = std::map<Labels, std::unique_ptr<Metric>>;
 using AnyInstances =
--- a/src/libs/telemetry/registry.h
+++ b/src/libs/telemetry/registry.h
@@ -12,25 +12,25 @@
 
 namespace bilberryspool::telemetry {
 
-// What one metric is called and what it counts; the unit is the last word of
-// the name but for "_total" ("bilberryspool_queue_seconds").
+// Name and help text of a metric; the unit is the last word of the name except
+// for "_total" ("bilberryspool_queue_seconds").
 struct MetricId {
   std::string name;
   std::string help;
 };
 
 struct RegistryOptions {
-  // Sets of label values that one metric may have. A caller who makes up a new
-  // value for each request would otherwise fill the memory; further sets share
-  // one whose values are all "other".
+  // Maximum number of label sets of one metric. Otherwise a caller who sends a
+  // new value with each request could exhaust the memory; further label sets
+  // share one whose values are all "other".
   std::size_t max_label_sets = 1000;
 };
 
-// The metrics of one process or one test. Safe for any thread. A reference
-// lasts as long as the registry; hot paths look it up once and keep it.
+// The metrics of one process or one test. Thread-safe. References are valid as
+// long as the registry; hot paths look a metric up once and keep the reference.
 //
-// That a name has one kind and one set of label names is an invariant of the
-// program.
+// Each name must always be used with the same kind of metric and the same label
+// names; this is an invariant of the program.
 class Registry {
  public:
   explicit Registry(RegistryOptions options = {});
@@ -38,17 +38,17 @@
   Registry(const Registry&) = delete;
   Registry& operator=(const Registry&) = delete;
 
-  // Each finds the metric of that name and labels, or adds it.
+  // Each returns the metric with this name and labels, creating it if needed.
   Counter& CounterFor(const MetricId& id, Labels labels = {});
   Gauge& GaugeFor(const MetricId& id, Labels labels = {});
   Distribution& DistributionFor(const MetricId& id, Labels labels = {});
 
-  // Calls StartWindow() of each distribution; the program does so at the pace
-  // at which quantiles shall follow the present.
+  // Calls StartWindow() of each distribution; called periodically, as the
+  // interval decides how recent the quantiles are.
   void StartWindows();
 
-  // Look-ups that got "other" since the start; also exposed as
-  // bilberryspool_metrics_label_overflow_total.
+  // Number of look-ups that got the label set "other" since the start; also
+  // exported as bilberryspool_metrics_label_overflow_total.
   std::uint64_t label_overflows() const;
 
   // All metrics in the Prometheus text format.
--- a/src/libs/telemetry/span.h
+++ b/src/libs/telemetry/span.h
@@ -12,8 +12,8 @@
 
 namespace bilberryspool::telemetry {
 
-// Wall time in nanoseconds since 1970. It may jump, so it serves to show, not
-// to decide.
+// Wall time in nanoseconds since 1970. It may jump, so use it for display only,
+// not for decisions.
 using WallTime = StrongNumber<struct WallTimeTag>;
 
 using AttributeValue = std::variant<std::string, std::int64_t, double, bool>;
@@ -23,19 +23,19 @@
   AttributeValue value;
 };
 
-// The side of a hop that a span tells of, numbered as in OTLP.
+// Which side of a hop a span describes, numbered as in OTLP.
 enum class SpanKind { kInternal = 1, kServer = 2, kClient = 3 };
 
 // One hop of a request.
 struct Span {
   std::string name;
-  TraceContext context;          // span_id is the span's own
-  std::optional<SpanId> parent;  // empty: the first span of its trace
+  TraceContext context;          // its span_id is the id of this span
+  std::optional<SpanId> parent;  // empty: root span of its trace
   SpanKind kind = SpanKind::kInternal;
   WallTime start;
   WallTime end;
   std::vector<Attribute> attributes;
-  std::string error;  // empty: the hop went well
+  std::string error;  // empty: no error
 };
 
 }  // namespace bilberryspool::telemetry
--- a/src/libs/telemetry/span_json.cc
+++ b/src/libs/telemetry/span_json.cc
@@ -11,7 +11,7 @@
 
 constexpr int kStatusError = 2;
 
-// OTLP writes 64-bit integers as texts.
+// OTLP encodes 64-bit integers as strings.
 json::object ToJson(const AttributeValue& value) {
   return std::visit(
       Overloaded{
--- a/src/libs/telemetry/span_json.h
+++ b/src/libs/telemetry/span_json.h
@@ -8,8 +8,8 @@
 
 namespace bilberryspool::telemetry {
 
-// One ExportTraceServiceRequest of OTLP in its JSON encoding, without an end
-// of line. `resource` describes the process that the spans come from.
+// One ExportTraceServiceRequest of OTLP in JSON encoding, without a newline.
+// `resource` describes the process that the spans come from.
 std::string ToOtlpJson(const std::vector<Span>& spans,
                        const std::vector<Attribute>& resource);
 
--- a/src/libs/telemetry/span_writer.cc
+++ b/src/libs/telemetry/span_writer.cc
@@ -12,7 +12,7 @@
 namespace bilberryspool::telemetry {
 namespace {
 
-// Keeps lines, and the memory to build one, small.
+// Limits the size of a line and the memory to build it.
 constexpr std::size_t kMaxSpansPerLine = 256;
 
 }  // namespace
@@ -26,7 +26,7 @@
             [this](Span&& span) { Collect(std::move(span)); },
             [this] { Flush(); }) {}
 
-  // The rest but for `worker` and `mutex` belongs to the worker's thread.
+  // All members except `worker` and `mutex` belong to the worker's thread.
   void Collect(Span&& span) {
     batch.push_back(std::move(span));
     if (batch.size() >= kMaxSpansPerLine) {
@@ -72,7 +72,8 @@
   std::vector<Span> batch;
   std::atomic<std::uint64_t> written = 0;
   std::atomic<std::uint64_t> failed = 0;
-  // The ring has one producer at a time; the mutex makes it any thread.
+  // The ring allows one producer at a time; the mutex serializes producers, so
+  // that Write() may be called from any thread.
   std::mutex mutex;
   rings::Worker<Span> worker;
 };
--- a/src/libs/telemetry/span_writer.h
+++ b/src/libs/telemetry/span_writer.h
@@ -16,8 +16,9 @@
   std::string file;                 // appended to
   std::vector<Attribute> resource;  // describes this process
   std::size_t ring_capacity = 4096;
-  // A larger file is renamed to FILE.1, in place of the one before, so that
-  // traces can't fill the disk that the control state needs.
+  // Size limit of the file. A larger file is renamed to FILE.1, replacing the
+  // previous one, so that traces can't fill the disk that the control state
+  // needs.
   std::uint64_t max_file_bytes = 256ULL * 1024 * 1024;
 };
 
@@ -25,8 +26,8 @@
   std::string what;
 };
 
-// Writes spans as lines of OTLP/JSON on a thread of its own, so that a slow
-// disk delays no request. Where it can't keep up, spans are dropped and
+// Writes spans as lines of OTLP/JSON on its own thread, so that a slow disk
+// delays no request. Spans that it can't write fast enough are dropped and
 // counted.
 class SpanWriter {
  public:
@@ -37,13 +38,14 @@
   SpanWriter& operator=(SpanWriter&&) = delete;
   ~SpanWriter();
 
-  // From any thread. Spans whose trace is not sampled are passed over.
+  // Queues a span; may be called from any thread. Ignores spans whose trace is
+  // not sampled.
   void Write(Span span);
-  // Writes what was taken and ends the thread.
+  // Writes the queued spans and ends the thread.
   void Stop();
 
-  // Spans handed to the file, dropped at a full ring, and lost to a file that
-  // could not be written.
+  // Number of spans written to the file, dropped because the ring was full, and
+  // lost because the file could not be written.
   std::uint64_t written() const;
   std::uint64_t dropped() const;
   std::uint64_t failed() const;
--- a/src/libs/telemetry/trace.h
+++ b/src/libs/telemetry/trace.h
@@ -1,5 +1,5 @@
-// Traces: a span for each hop of a request, kept together by the header
-// `traceparent`, written as OTLP/JSON lines. Include this header for all of it.
+// Traces: one span for each hop of a request, linked by the `traceparent`
+// header and written as OTLP/JSON lines. Include this header for all of it.
 
 #ifndef LIBS_TELEMETRY_TRACE_H_
 #define LIBS_TELEMETRY_TRACE_H_
--- a/src/libs/telemetry/trace_context.cc
+++ b/src/libs/telemetry/trace_context.cc
@@ -15,7 +15,8 @@
 constexpr std::uint8_t kForbiddenVersion = 0xff;
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-// Reads lower-case digits only: others would not match on the next hop.
+// Accepts lower-case digits only, as W3C Trace Context requires; other
+// spellings of an id would not match on the next hop.
 bool ReadHex(std::string_view text, std::span<std::uint8_t> bytes) {
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     const std::size_t high = kDigits.find(text[2 * i]);
--- a/src/libs/telemetry/trace_context.h
+++ b/src/libs/telemetry/trace_context.h
@@ -14,11 +14,11 @@
 using TraceId = std::array<std::uint8_t, 16>;
 using SpanId = std::array<std::uint8_t, 8>;
 
-// What the header `traceparent` (W3C Trace Context, level 1) carries from hop
-// to hop. Neither id is all zero.
+// Content of the `traceparent` header (W3C Trace Context, level 1), which is
+// passed from hop to hop. Neither id is all zero.
 struct TraceContext {
   TraceId trace_id{};
-  SpanId span_id{};  // of the hop that sent the header
+  SpanId span_id{};  // span of the hop that sent the header
   bool is_sampled = false;
 
   bool operator==(const TraceContext&) const = default;
@@ -26,20 +26,21 @@
 
 inline constexpr std::string_view kTraceparentHeader = "traceparent";
 
-// Empty where the header is not valid; the trace starts anew then. A version
-// later than 00 is read as far as 00 goes, as the recommendation asks.
+// Returns std::nullopt if the header is invalid; the caller starts a new trace
+// then. Of versions after 00 only the fields of version 00 are read, as the
+// recommendation requires.
 std::optional<TraceContext> ParseTraceparent(std::string_view header);
 
 // "00-" trace id "-" span id "-" flags, 55 bytes.
 std::string FormatTraceparent(const TraceContext& context);
 
-// The first span of a new trace.
+// Creates a new trace with its first span.
 TraceContext NewTrace(Random& random, bool is_sampled);
 
-// A new span of the same trace, sampled as its parent is.
+// Creates a new span of the same trace with the same sampling decision.
 TraceContext ChildOf(const TraceContext& parent, Random& random);
 
-// Lower-case hexadecimal.
+// Lower-case hexadecimal digits.
 std::string ToHex(const TraceId& id);
 std::string ToHex(const SpanId& id);
 
--- a/tests/auto/telemetry/log_test.cc
+++ b/tests/auto/telemetry/log_test.cc
@@ -32,9 +32,8 @@
   CHECK(WithoutDate(lines[1]) == "DEBUG [link] Now shown.");
 }
 
-// Symptom: a log tells of an event that never was.
-// Sequence: a caller sends a header with an end of line and a forged line.
-// Cause: values from outside written as they are.
+// Guards against forged log entries: a caller sends a header value with a
+// newline and a forged line. External values must be escaped.
 TEST_CASE("values from outside can't forge fields or lines") {
   struct Row {
     const char* value;
@@ -60,7 +59,7 @@
   }
 }
 
-TEST_CASE("a log that can't be written is an error") {
+TEST_CASE("opening a log file that can't be written is an error") {
   const auto opened = LogOutput::Open({LogLevel::kInfo, "/no-such-folder/log"});
   CHECK(std::holds_alternative<LogError>(opened));
 }
--- a/tests/auto/telemetry/metrics_test.cc
+++ b/tests/auto/telemetry/metrics_test.cc
@@ -38,10 +38,10 @@
   }
 }
 
-// Symptom: the memory of an entry grows until it is ended.
-// Sequence: a caller names a new workspace in each request.
-// Cause: a metric for each value that comes from outside.
-TEST_CASE("label sets beyond the bound share one and are counted") {
+// Guards against memory growth of an entry until the process is terminated: a
+// caller names a new workspace in each request, and each value would create a
+// new metric.
+TEST_CASE("label sets beyond the limit share one and are counted") {
   Registry registry(RegistryOptions{3});
   const MetricId id{"requests_total", "Requests."};
   for (int i = 0; i < 10; ++i) {
@@ -52,7 +52,7 @@
   CHECK(registry.CounterFor(id, {{"workspace", "0"}}).value() == 1);
 }
 
-TEST_CASE("quantiles are near the true ones, and follow the window") {
+TEST_CASE("quantiles are accurate and cover the last window only") {
   Distribution distribution;
   for (const int samples : {1, 10, 64, 65, 2000, 20000}) {
     Random random(static_cast<std::uint64_t>(samples));
@@ -66,7 +66,7 @@
     const DistributionSummary summary = distribution.summary();
     REQUIRE(summary.quantiles.size() == 5);
     for (const Quantile& quantile : summary.quantiles) {
-      // The nearest rank.
+      // Nearest-rank definition of the quantile.
       const double rank = std::ceil(quantile.probability * samples);
       const double truth = values[static_cast<std::size_t>(rank) - 1];
       CAPTURE(samples);
@@ -74,7 +74,7 @@
       if (samples <= 64) {
         CHECK(quantile.value == truth);
       } else if (samples * (1 - quantile.probability) >= 10) {
-        // The tail beyond holds enough samples to estimate from.
+        // Enough samples lie above the quantile for an estimate.
         CHECK(quantile.value == doctest::Approx(truth).epsilon(0.15));
       }
     }
--- a/tests/auto/telemetry/temporary_file.h
+++ b/tests/auto/telemetry/temporary_file.h
@@ -8,7 +8,7 @@
 
 namespace bilberryspool::telemetry {
 
-// A path of this test program alone, removed at the end.
+// A path for one test, removed before and after it.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& name)
--- a/tests/auto/telemetry/trace_test.cc
+++ b/tests/auto/telemetry/trace_test.cc
@@ -17,7 +17,7 @@
   return std::string(kValid).replace(at, part.size(), part);
 }
 
-TEST_CASE("traceparent is read as the recommendation asks") {
+TEST_CASE("traceparent is parsed as W3C Trace Context requires") {
   struct Row {
     std::string header;
     bool is_valid;
@@ -52,7 +52,7 @@
   CHECK(FormatTraceparent(*ParseTraceparent(kValid)) == kValid);
 }
 
-TEST_CASE("any header gives a context that formats alike, or none") {
+TEST_CASE("any header is rejected or parsed to a context that round-trips") {
   const char* seeds_text = std::getenv("BILBERRYSPOOL_SEEDS");
   const int seeds = seeds_text != nullptr ? std::atoi(seeds_text) : 500;
   for (int seed = 0; seed < seeds; ++seed) {
@@ -117,9 +117,8 @@
   CHECK(span.at("status").at("code") == 2);
 }
 
-// Symptom: the disk of a control replica is full of traces.
-// Sequence: sampled requests for weeks.
-// Cause: a file that only grows.
+// Guards against traces that fill the disk of a control replica: with sampled
+// requests over weeks, a file without a size limit only grows.
 TEST_CASE("each span is written, dropped or failed; the file is bounded") {
   const TemporaryFile file("bounded");
   const TemporaryFile previous("bounded.1");
@@ -132,7 +131,7 @@
   writer.Stop();
   CHECK(writer.written() + writer.dropped() == spans);
   CHECK(writer.failed() == 0);
-  // One line of a full ring may overshoot the bound.
+  // The last line, at most one full ring, may exceed the limit.
   CHECK(std::filesystem::file_size(file.path()) < 20000 + 64 * 600);
   CHECK_FALSE(previous.ReadLines().empty());
 
