--- a/src/libs/packing/packed_text.cc
+++ b/src/libs/packing/packed_text.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-// No text of a configuration begins like this: it is no JSON.
+// A configuration never starts with this prefix, as it would not be JSON.
 constexpr std::string_view kPackedPrefix = "zstd:";
-// The library's own choice.
+// zstd's default level.
 constexpr int kLevel = 3;
 constexpr int kVariant = sodium_base64_VARIANT_ORIGINAL_NO_PADDING;
 
@@ -18,7 +18,7 @@
   sodium_bin2base64(text.data(), text.size(),
                     reinterpret_cast<const unsigned char*>(bytes.data()),
                     bytes.size(), kVariant);
-  text.pop_back();  // the terminating zero
+  text.pop_back();  // terminating NUL
   return text;
 }
 
@@ -43,7 +43,7 @@
   const std::size_t size = ZSTD_compress(bytes.data(), bytes.size(),
                                          text.data(), text.size(), kLevel);
   if (ZSTD_isError(size) != 0) {
-    // Out of memory; the text as it is serves as well.
+    // Out of memory: the uncompressed text is valid, too.
     return PackedText{std::string(text)};
   }
   bytes.resize(size);
--- a/src/libs/packing/packed_text.h
+++ b/src/libs/packing/packed_text.h
@@ -1,11 +1,11 @@
-// Long texts, made short and safe to send.
+// Compression of long texts, such as configurations, to printable ASCII.
 //
-// A whole configuration of a large deployment has hundreds of kilobytes, most
-// of it repeated field names. It crosses the log, the disks and the links to
-// every gateway; sent as it is, one change takes a small leading control node a
-// quarter of a second of processor time and holds up its heartbeats.
+// The configuration of a large deployment has hundreds of kilobytes, mostly
+// repeated field names. It is written to the log and the disks and sent over
+// the links to every gateway; uncompressed, one change takes a small leading
+// control node 0.25 s of processor time and delays its heartbeats.
 //
-// Pure; zstd and base64 underneath.
+// Pure functions that use zstd and base64.
 
 #ifndef LIBS_PACKING_PACKED_TEXT_H_
 #define LIBS_PACKING_PACKED_TEXT_H_
@@ -17,23 +17,24 @@
 
 namespace bilberryspool::packing {
 
-// A text that was packed: printable ASCII without quotes or line breaks, so
-// that it goes into messages and log entries as it is.
+// A compressed text: printable ASCII without quotes or line breaks, so that
+// messages and log entries can contain it without escaping.
 struct PackedText {
   std::string value;
 
   bool operator==(const PackedText&) const = default;
 };
 
-// Unpacks to at most this many bytes: a damaged or hostile text must not take
-// the memory of a small VM. Operators' bodies are bounded below this.
+// Maximum size of an unpacked text in bytes, so that a damaged or malicious
+// text can't exhaust the memory of a small VM. Request bodies of operators have
+// a lower limit.
 inline constexpr std::size_t kMaxUnpackedBytes = std::size_t{64} << 20U;
 
 PackedText Pack(std::string_view text);
 
-// Nothing for bytes that Pack() did not make, or that stand for more than
-// `largest`. A value without the mark of a packed text is the text itself: data
-// folders of earlier versions hold those.
+// Returns std::nullopt if the value was not made by Pack() or unpacks to more
+// than `max_bytes`. A value without the prefix of a packed text is returned
+// unchanged: data folders of earlier versions contain such values.
 std::optional<std::string> Unpack(const PackedText& packed,
                                   std::size_t max_bytes = kMaxUnpackedBytes);
 
--- a/tests/auto/packing/packed_text_test.cc
+++ b/tests/auto/packing/packed_text_test.cc
@@ -21,7 +21,7 @@
   return text + "]}";
 }
 
-TEST_CASE("what was packed comes back") {
+TEST_CASE("unpacking returns the packed text") {
   for (const std::string& text :
        {std::string(), std::string("{}"), std::string("a\nb\"\0c", 6),
         std::string("zstd:no"), Routes(3), Routes(2000)}) {
@@ -35,20 +35,20 @@
   }
 }
 
-// Symptom: the leading control node loses its lead while configurations of half
-// a megabyte come in quick succession. Cause: each crossed the log, the disks
-// and all links as it was.
-TEST_CASE("a large configuration becomes a fraction of its size") {
+// Guards against a leading control node that loses its leadership while
+// configurations of half a megabyte arrive in quick succession. Uncompressed,
+// each is written to the log and the disks and sent over all links.
+TEST_CASE("a large configuration is packed to a fraction of its size") {
   const std::string text = Routes(2000);
   CHECK(Pack(text).value.size() < text.size() / 4);
 }
 
-TEST_CASE("a text that was never packed stands for itself") {
+TEST_CASE("a text that was never packed is returned unchanged") {
   CHECK(Unpack(PackedText{R"({"version":3})"}) == R"({"version":3})");
   CHECK(Unpack(PackedText{}) == std::string());
 }
 
-TEST_CASE("damaged or oversize bytes are refused") {
+TEST_CASE("damaged or oversized texts are rejected") {
   const std::string whole = Pack(Routes(50)).value;
   CHECK_FALSE(Unpack(PackedText{"zstd:"}).has_value());
   CHECK_FALSE(Unpack(PackedText{"zstd:!!"}).has_value());
@@ -61,7 +61,8 @@
   for (int i = 0; i < 2000; ++i) {
     std::string damaged = whole;
     damaged[5 + random.Below(damaged.size() - 5)] = 'A';
-    // Either refused or of the size that it tells; never more than allowed.
+    // Either rejected or of the size that the frame declares, and never above
+    // the limit.
     const auto text = Unpack(PackedText{damaged}, 20'000);
     CHECK((!text.has_value() || text->size() <= 20'000));
   }
