--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,4 +1,4 @@
-// The one binary: picks the subcommand and starts it.
+// Entry point of the program: selects the subcommand and runs it.
 
 #include <gflags/gflags.h>
 
