--- a/src/libs/settings/contradictions.cc
+++ b/src/libs/settings/contradictions.cc
@@ -90,8 +90,8 @@
                   {"operators.listen", entry.operators_listen},
                   {"peers.listen", entry.peers_listen}},
                  found);
-  // With one secret for both, whoever may type a statement could also pose as
-  // a process of the system.
+  // With one secret for both, an operator could also impersonate a process of
+  // the system.
   if (entry.operators_credential_file == settings.common.key_file) {
     found.push_back({"operators.credential_file", "the same file as key_file",
                      "a file of its own"});
@@ -100,7 +100,8 @@
   const CallerLimits& limits = entry.limits;
   CheckNotBelow("limits.max_deadline_ms", limits.max_deadline,
                 "limits.default_deadline_ms", limits.default_deadline, found);
-  // A grace below the latest deadline would cut requests at a planned stop.
+  // A grace period shorter than the latest deadline would cut off requests at a
+  // planned stop.
   CheckNotBelow("drain.grace_ms", entry.drain_grace, "limits.max_deadline_ms",
                 limits.max_deadline, found);
 }
--- a/src/libs/settings/contradictions.h
+++ b/src/libs/settings/contradictions.h
@@ -8,14 +8,14 @@
 
 namespace bilberryspool::settings {
 
-// Two keys that are right each by itself but can't both hold.
+// Two keys that are each valid but contradict each other.
 struct Contradiction {
-  std::string key;  // the one to change first
+  std::string key;  // the key to change first
   std::string found;
   std::string accepted;
 };
 
-// All contradictions of settings whose keys were each accepted.
+// Returns all contradictions of settings whose keys are each valid.
 std::vector<Contradiction> FindContradictions(const Settings& settings);
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/key_kind.cc
+++ b/src/libs/settings/key_kind.cc
@@ -71,8 +71,8 @@
   return InitialMember{NodeId(*node), *address};
 }
 
-// All elements converted; nothing where one does not fit, is there twice or
-// where there are fewer than `min_size`.
+// Converts all elements of a list. Returns std::nullopt if an element is
+// invalid or repeated, or if there are fewer than `min_size`.
 template <typename Element, typename ConvertElement>
 std::optional<KeyValue> ToList(const RawValue& raw,
                                std::size_t min_size,
@@ -96,7 +96,7 @@
   return elements;
 }
 
-// Floats come as text, since most keys take none.
+// The reader passes floats as text, since most keys accept none.
 std::optional<double> ToNumber(const RawValue& raw) {
   if (const auto* whole = std::get_if<std::int64_t>(&raw.value)) {
     return static_cast<double>(*whole);
@@ -120,7 +120,7 @@
   return text.str();
 }
 
-// Converts one value; a visitor of KeyKind.
+// Visitor of KeyKind that converts one value.
 struct Converter {
   const RawValue& raw;
 
--- a/src/libs/settings/key_kind.h
+++ b/src/libs/settings/key_kind.h
@@ -12,18 +12,18 @@
 
 namespace bilberryspool::settings {
 
-// What a key accepts.
+// Types of values that a key accepts, with their limits.
 struct FlagKind {};
 struct IntegerKind {
   std::int64_t min = 0;
   std::int64_t max = 0;
 };
-// A path of the file system.
+// A file system path.
 struct PathKind {
   bool may_be_empty = false;
 };
-// A name that also serves in statements and labels: 1 to 64 letters, digits,
-// '.', '_' and '-', a letter or digit first.
+// A name that may also be used in statements and labels: 1 to 64 letters,
+// digits, '.', '_' and '-', starting with a letter or digit.
 struct NameKind {};
 struct NameListKind {
   std::size_t min_size = 0;
@@ -32,15 +32,15 @@
   std::vector<std::string> choices;
 };
 struct AddressKind {
-  // False where others must reach the address: "0.0.0.0" would lead them to
-  // themselves.
+  // False if other processes must reach the address, since "0.0.0.0" would
+  // refer to their own VM.
   bool may_be_wildcard = false;
 };
 struct AddressListKind {
   std::size_t min_size = 0;
 };
 struct MemberListKind {};
-// A number that need not be whole.
+// A number that may have a fraction.
 struct NumberKind {
   double min = 0.0;
   double max = 0.0;
@@ -57,7 +57,7 @@
                              MemberListKind,
                              NumberKind>;
 
-// A checked value. Names and paths are texts.
+// A valid value. Names and paths are strings.
 using KeyValue = std::variant<bool,
                               std::int64_t,
                               std::string,
@@ -67,13 +67,14 @@
                               std::vector<InitialMember>,
                               double>;
 
-// The checked value, or nothing where `raw` is not of that kind.
+// Returns the valid value, or std::nullopt if `raw` is not of this kind.
 std::optional<KeyValue> Convert(const KeyKind& kind, const RawValue& raw);
 
-// What the kind accepts, in words; for errors and for docs/SETTINGS.md.
+// Describes in words what the kind accepts, for error messages and
+// docs/SETTINGS.md.
 std::string DescribeAccepted(const KeyKind& kind);
 
-// The value in the notation of TOML.
+// Formats the value as TOML.
 std::string ToToml(const KeyValue& value);
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/key_table.cc
+++ b/src/libs/settings/key_table.cc
@@ -34,7 +34,7 @@
   field = is_plain ? EngineKind::kPlain : EngineKind::kEngine;
 }
 
-// Whole numbers are milliseconds, others seconds.
+// Integers are milliseconds, floating-point numbers are seconds.
 void Assign(Duration& field, const KeyValue& value) {
   if (const auto* seconds = std::get_if<double>(&value)) {
     constexpr double kMicrosecondsPerSecond = 1e6;
@@ -61,7 +61,7 @@
   field = StringId<Tag>(std::get<std::string>(value));
 }
 
-// Everything that KeyValue holds as it is, and lists of ids.
+// For types that KeyValue holds directly, and lists of ids.
 template <typename Field>
 void Assign(Field& field, const KeyValue& value) {
   if constexpr (IsVectorOfIds<Field>::value) {
@@ -72,8 +72,8 @@
   }
 }
 
-// A store function that assigns the field that `accessor` picks out of the
-// settings of one role.
+// These functions return a store function that assigns the field selected by
+// `accessor` from the settings of one role.
 template <typename Accessor>
 auto InCommon(Accessor accessor) {
   return [accessor](Settings& settings, const KeyValue& value) {
--- a/src/libs/settings/key_table.h
+++ b/src/libs/settings/key_table.h
@@ -12,10 +12,10 @@
 
 namespace bilberryspool::settings {
 
-// Which files a key may stand in.
+// Settings files, by role, that may contain a key.
 enum class KeyScope { kAll, kEntry, kAgent, kGateway, kControl, kSidecar };
 
-// What happens where a key is missing.
+// Behaviour if a key is missing.
 struct Required {};
 struct Optional {};
 struct DefaultValue {
@@ -23,19 +23,20 @@
 };
 using Presence = std::variant<Required, Optional, DefaultValue>;
 
-// One key of the settings. Parsing, checks, defaults and docs/SETTINGS.md all
-// follow from the table of these, so that they can't drift apart.
+// One key of the settings. Parsing, checks, defaults and docs/SETTINGS.md are
+// all derived from the table of keys, so that they can't diverge.
 struct KeySpec {
-  std::string name;  // dotted; the unit is its last word
+  std::string name;  // dotted; its last word is the unit
   KeyScope scope = KeyScope::kAll;
   KeyKind kind;
   Presence presence;
   std::string meaning;
-  // Puts a checked value into settings of the role that `scope` allows.
+  // Stores a valid value in settings of the role given by `scope`.
   std::function<void(Settings&, const KeyValue&)> store;
 };
 
-// The key that says which keys may stand beside it; not part of KeyTable().
+// The key that selects the role and so the keys that may appear in the file;
+// not part of KeyTable().
 inline constexpr std::string_view kRoleKey = "role";
 inline constexpr std::string_view kEntryRole = "entry";
 inline constexpr std::string_view kAgentRole = "agent";
@@ -45,7 +46,7 @@
 
 const std::vector<KeySpec>& KeyTable();
 
-// Whether a key of that scope may stand in settings of that role.
+// Returns whether a key with this scope is allowed in settings of this role.
 bool AppliesTo(KeyScope scope, const Settings& settings);
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/load.cc
+++ b/src/libs/settings/load.cc
@@ -64,7 +64,8 @@
         {name_, line, std::move(key), std::move(found), std::move(accepted)});
   }
 
-  // The role decides which keys are known, so nothing is checked without it.
+  // The role determines which keys are known, so no other key is checked
+  // without it.
   bool ReadRole() {
     const RawValue* raw = Find(kRoleKey);
     const auto* text =
@@ -122,7 +123,8 @@
     return kEntryRole;
   }
 
-  // Several roles may have a key of one name; that of this role goes first.
+  // Several roles may have a key with the same name; the key of the current
+  // role is preferred.
   const KeySpec* FindSpec(const std::string& key) const {
     const KeySpec* other = nullptr;
     for (const KeySpec& spec : KeyTable()) {
@@ -139,7 +141,7 @@
     return other;
   }
 
-  // A heading such as [log] with no key below it.
+  // Returns whether this is a table heading such as [log] without keys.
   bool IsEmptyTableOfKnownKeys(const std::string& key,
                                const RawValue& raw) const {
     if (!std::holds_alternative<RawTable>(raw.value)) {
@@ -179,8 +181,9 @@
                spec.presence);
   }
 
-  // A rank without a group, or the other way round, would join group "" or
-  // pose as rank 0; only the entries show which of the two is missing.
+  // A rank without a group would join the group with an empty name, and a group
+  // without a rank would claim rank 0; only the entries show which of the two
+  // keys is missing.
   void CheckGroupPlace() {
     const bool has_name = Find("group.name") != nullptr;
     const bool has_rank = Find("group.rank") != nullptr;
--- a/src/libs/settings/load.h
+++ b/src/libs/settings/load.h
@@ -13,12 +13,12 @@
 
 using LoadResult = std::variant<Settings, std::vector<SettingsError>>;
 
-// Reads and checks a settings file. All faults are reported at once, in the
-// order of their lines, missing keys first.
+// Reads and checks a settings file. Returns all errors at once, sorted by line,
+// with missing keys first.
 LoadResult Load(const std::string& path);
 
-// The same for a text; `name` stands for the file in errors. Never throws,
-// whatever the text.
+// Same for a text; `name` is the file name for errors. Never throws for any
+// text.
 LoadResult Parse(std::string_view text, const std::string& name);
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/raw_value.h
+++ b/src/libs/settings/raw_value.h
@@ -14,12 +14,12 @@
 using RawList = std::vector<RawValue>;
 using RawTable = std::vector<RawField>;
 
-// A kind of value that no key takes: a date, a float.
+// A value of another TOML type, such as a date or a float, as text.
 struct OtherValue {
   std::string text;
 };
 
-// A value as it stands in the file, before any check.
+// A value of the file before any check.
 struct RawValue {
   std::variant<bool, std::int64_t, std::string, RawList, RawTable, OtherValue>
       value;
@@ -32,15 +32,15 @@
   RawValue value;
 };
 
-// One key of the file with its dotted name. A part of the name that is no
-// bare key keeps its quotes, so that "log.level" quoted as one key is not
-// taken for level in the table log.
+// One key of the file with its full dotted name. A part of the name that is not
+// a bare key keeps its quotes, so that a single quoted key "log.level" is
+// distinguished from the key level in the table log.
 struct RawEntry {
   std::string key;
   RawValue value;
 };
 
-// The value as an error shows it, cut where it is long.
+// Formats the value for an error message, truncated if it is long.
 std::string Describe(const RawValue& value);
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/settings.h
+++ b/src/libs/settings/settings.h
@@ -1,9 +1,10 @@
-// The settings of one process: what it must know before it can reach any
-// other. All else (services, workspaces, policies) is accepted configuration
-// and comes from the control replicas.
+// The settings of one process: what it must know before it can reach any other
+// process. Everything else (services, workspaces, policies) is part of the
+// configuration, which comes from the control replicas.
 //
 // A file is checked as a whole before anything starts, so that a typing error
-// shows at the start and not hours later as a default that nobody chose.
+// is reported at the start and does not silently select a default that shows
+// its effect hours later.
 
 #ifndef LIBS_SETTINGS_SETTINGS_H_
 #define LIBS_SETTINGS_SETTINGS_H_
@@ -30,11 +31,12 @@
 
 struct TraceSettings {
   std::string file;  // empty: no traces
-  // Of 1000 requests that arrive without a traceparent, how many are traced.
+  // Number of traced requests per 1000 requests that arrive without a
+  // traceparent.
   std::uint32_t sample_permille = 0;
 };
 
-// What each role has.
+// Settings common to all roles.
 struct CommonSettings {
   std::string deployment;
   NodeId node;
@@ -47,12 +49,12 @@
 // A control replica of the first start of a deployment.
 struct InitialMember {
   NodeId node;
-  SocketAddress address;  // its peers.advertise
+  SocketAddress address;  // the value of its peers.advertise
 
   bool operator==(const InitialMember&) const = default;
 };
 
-// What an entry takes from one caller or one connection at most.
+// Limits of an entry for each caller or connection.
 struct CallerLimits {
   std::uint64_t max_header_bytes = 0;
   std::uint64_t max_body_bytes = 0;
@@ -69,8 +71,8 @@
   std::string operators_credential_file;
   SocketAddress peers_listen;
   SocketAddress peers_advertise;
-  std::vector<SocketAddress> seeds;  // may hold the entry's own address
-  std::string data_folder;           // empty: no control replica
+  std::vector<SocketAddress> seeds;  // may include the entry's own address
+  std::string data_folder;           // empty: not a control replica
   std::vector<InitialMember> initial_members;
   CallerLimits limits;
   Duration drain_grace{};
@@ -79,20 +81,20 @@
   bool is_control_replica() const { return !data_folder.empty(); }
 };
 
-// What stands behind an agent.
+// The kind of process that an agent serves.
 enum class EngineKind {
   kEngine,  // a model engine, which takes orders and reports its load
-  kPlain,   // a plain service, which only answers requests
+  kPlain,   // a plain service, which only serves requests
 };
 
 struct EngineSettings {
   SocketAddress address;
   EngineKind kind = EngineKind::kEngine;
-  // True where the engine refuses an order with an old fencing token.
+  // True if the engine refuses orders with an old fencing token.
   bool checks_fencing = false;
 };
 
-// The place of a target in an expert-parallel model group.
+// The position of a target in an expert-parallel model group.
 struct GroupPlace {
   GroupId group;
   RankIndex rank;
@@ -112,16 +114,16 @@
   std::optional<GroupPlace> group_place;
 };
 
-// How many sends beyond the first of each request a service may get from all
-// gateways together, in any window.
+// Limits for the sends beyond the first of each request that a service may
+// receive from all gateways together in any window.
 struct RetryLimits {
-  double ratio = 0.0;  // of the requests for the service
-  double slack = 0.0;  // requests on top of that, in each window
+  double ratio = 0.0;  // as a fraction of the requests for the service
+  double slack = 0.0;  // additional sends per window
   Duration window{};
 };
 
-// An entry without agents: it calls the targets themselves and keeps nothing
-// on a disk.
+// Settings of a gateway: an entry without agents, which calls the targets
+// directly and stores nothing on disk.
 struct GatewaySettings {
   SocketAddress callers_listen;
   SocketAddress readiness_listen;
@@ -133,30 +135,31 @@
   RetryLimits retries;
 };
 
-// A control replica that serves no callers.
+// Settings of a control replica that serves no callers.
 struct ControlSettings {
   SocketAddress operators_listen;
   SocketAddress peers_listen;
-  // Where others reach it; names the replica.
+  // Address by which other processes reach it; also the name of the replica.
   SocketAddress peers_advertise;
   SocketAddress metrics_listen;
   std::vector<SocketAddress> seeds;  // of control nodes
   std::string data_folder;
-  // Only true at the first start of a deployment, when all disks are empty.
+  // Must be true only at the first start of a deployment, when all disks are
+  // empty.
   bool is_first_start = false;
-  // Data folders that may be lost at the same time.
+  // Number of data folders that may be lost at the same time.
   std::uint32_t tolerated_losses = 0;
   Duration announcement_interval{};
   Duration drain_grace{};
 };
 
-// Stands beside one engine and relays to it.
+// Settings of a sidecar, which runs beside one engine and relays to it.
 struct SidecarSettings {
   SocketAddress peers_listen;
   SocketAddress engine;
 };
 
-// The settings of one process; `role` holds those of its role.
+// The settings of one process; `role` holds the settings specific to its role.
 struct Settings {
   CommonSettings common;
   std::variant<EntrySettings,
--- a/src/libs/settings/settings_error.h
+++ b/src/libs/settings/settings_error.h
@@ -6,18 +6,18 @@
 
 namespace bilberryspool::settings {
 
-// One fault of a settings file, as its author needs it to mend the file.
+// One error in a settings file, with all that is needed to fix the file.
 struct SettingsError {
   std::string file;      // the name given to Parse or Load
-  int line = 0;          // from 1; 0 where the key is missing
-  std::string key;       // dotted, such as "log.level"; empty for the file
+  int line = 0;          // from 1; 0 if the key is missing
+  std::string key;       // dotted, such as "log.level"; empty: whole file
   std::string found;     // the value, or what is wrong with it
-  std::string accepted;  // what may stand there instead
+  std::string accepted;  // what the key accepts
 
   bool operator==(const SettingsError&) const = default;
 };
 
-// "FILE:LINE: KEY: found FOUND; accepted: ACCEPTED", without an end of line.
+// "FILE:LINE: KEY: found FOUND; accepted: ACCEPTED", without a newline.
 std::string ToString(const SettingsError& error);
 
 // One line for each error, in the order of the file.
--- a/src/libs/settings/settings_page.h
+++ b/src/libs/settings/settings_page.h
@@ -5,7 +5,7 @@
 
 namespace bilberryspool::settings {
 
-// The whole text of docs/SETTINGS.md, made from the table of keys.
+// Returns the whole text of docs/SETTINGS.md, generated from the table of keys.
 std::string SettingsPage();
 
 }  // namespace bilberryspool::settings
--- a/src/libs/settings/socket_address.cc
+++ b/src/libs/settings/socket_address.cc
@@ -8,7 +8,8 @@
 namespace bilberryspool::settings {
 namespace {
 
-// The one spelling of an IP number, so that "::1" and "0:0::1" compare equal.
+// Returns the canonical spelling of an IP address, so that "::1" and "0:0::1"
+// compare equal.
 std::optional<std::string> Normalise(int family, const std::string& ip) {
   std::array<unsigned char, sizeof(in6_addr)> bytes{};
   if (inet_pton(family, ip.c_str(), bytes.data()) != 1) {
--- a/src/libs/settings/socket_address.h
+++ b/src/libs/settings/socket_address.h
@@ -10,8 +10,8 @@
 
 namespace bilberryspool::settings {
 
-// An IP number with a port; never a host name, since a process must start
-// while name servers are out of reach.
+// An IP address with a port; never a host name, since a process must be able to
+// start while name servers are unreachable.
 struct SocketAddress {
   std::string ip;          // "10.0.0.1" or "fd00::1", without brackets
   std::uint16_t port = 0;  // 1..65535 once parsed
@@ -20,8 +20,8 @@
   std::string ToString() const;
   // True for "0.0.0.0" and "::", which stand for all addresses of the VM.
   bool is_wildcard() const;
-  // True where two listeners can't hold both: the ports are equal and the IP
-  // numbers are equal or one is a wildcard.
+  // Returns true if two listeners can't use both addresses: the ports are equal
+  // and the IP addresses are equal or one is a wildcard.
   bool Overlaps(const SocketAddress& other) const;
 
   bool operator==(const SocketAddress&) const = default;
@@ -30,7 +30,7 @@
   }
 };
 
-// Empty where `text` is not "ip:port" or "[ipv6]:port".
+// Returns std::nullopt if `text` is not "ip:port" or "[ipv6]:port".
 std::optional<SocketAddress> ParseSocketAddress(std::string_view text);
 
 std::ostream& operator<<(std::ostream& out, const SocketAddress& address);
--- a/src/libs/settings/toml_reader.cc
+++ b/src/libs/settings/toml_reader.cc
@@ -3,10 +3,11 @@
 #include <algorithm>
 #include <sstream>
 
-// Version 3.3.0 asserts on some bad input, such as "[]", which it would go on
-// to refuse: a bad file would end the process by a signal instead of an error
-// with its line. NDEBUG would make assumptions for the optimiser of these
-// assertions, so it must not be set here either.
+// toml++ 3.3.0 asserts on some invalid input, such as "[]", which it would
+// reject right after: an invalid file would terminate the process with a signal
+// instead of an error with its line. With NDEBUG the library turns these
+// assertions into assumptions for the optimiser, so NDEBUG must not be defined
+// here either.
 #undef NDEBUG
 #define TOML_ASSERT(condition) static_cast<void>(0)
 #include <toml++/toml.h>
@@ -85,7 +86,7 @@
 }
 
 std::string Shorten(std::string text) {
-  // A control character in a message could forge further lines of a log.
+  // Control characters in an error message could forge further lines of a log.
   std::replace_if(
       text.begin(), text.end(),
       [](unsigned char byte) { return byte < 0x20 || byte == 0x7f; }, ' ');
--- a/src/libs/settings/toml_reader.h
+++ b/src/libs/settings/toml_reader.h
@@ -11,8 +11,8 @@
 
 namespace bilberryspool::settings {
 
-// The keys of a TOML text, tables flattened to dotted names, or its first
-// error of syntax. An empty table is an entry of its own.
+// Returns the keys of a TOML text, with tables flattened to dotted names, or
+// the first syntax error. An empty table is an entry of its own.
 std::variant<std::vector<RawEntry>, SettingsError> ReadToml(
     std::string_view text,
     const std::string& name);
--- a/tests/auto/settings/page_test.cc
+++ b/tests/auto/settings/page_test.cc
@@ -13,7 +13,7 @@
 
 const std::string kPage = BILBERRYSPOOL_SOURCE_FOLDER "/docs/SETTINGS.md";
 
-TEST_CASE("docs/SETTINGS.md is the page that the table gives") {
+TEST_CASE("docs/SETTINGS.md is generated from the table of keys") {
   if (std::getenv("BILBERRYSPOOL_WRITE_PAGE") != nullptr) {
     std::ofstream(kPage) << SettingsPage();
   }
@@ -22,9 +22,9 @@
   CHECK(written == SettingsPage());
 }
 
-// Each role reads its own keys and those of all roles, so a name may come back
-// under another role but never within one.
-TEST_CASE("each key stands once for a role, and its default is accepted") {
+// Each role reads its own keys and the common ones, so a name may appear for
+// several roles but only once within a role.
+TEST_CASE("each key is unique within a role, and its default is accepted") {
   std::set<std::pair<KeyScope, std::string>> names;
   for (const KeySpec& spec : KeyTable()) {
     CAPTURE(spec.name);
--- a/tests/auto/settings/parse_test.cc
+++ b/tests/auto/settings/parse_test.cc
@@ -18,8 +18,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// The sample with the first line that starts with `prefix` replaced; an empty
-// prefix adds the line at the top.
+// Returns the sample with the first line that starts with `prefix` replaced; an
+// empty prefix inserts the line at the top.
 std::string Change(const std::string& sample,
                    const std::string& prefix,
                    const std::string& line) {
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("values and defaults arrive where they belong") {
+TEST_CASE("values and defaults are stored in their settings") {
   const auto control = std::get<Settings>(Load(kShare + "control.toml"));
   CHECK(control.common.node == NodeId("control-1"));
   CHECK(control.common.trace.sample_permille == 10);
@@ -66,7 +66,7 @@
         GroupPlace{GroupId("drafter-ranks"), RankIndex(0)});
 }
 
-TEST_CASE("each fault names its key, what was found and its line") {
+TEST_CASE("each error names its key, the value found and its line") {
   struct Row {
     const char* sample;
     const char* prefix;  // the line replaced
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_CASE("an error is one line that a person can act on") {
+TEST_CASE("an error is one line that names file, key and accepted values") {
   const auto errors = ErrorsOf("role = \"entry\"\nnode = \"\\n\\u0007x\"\n");
   CHECK(ToString(errors).find("sample.toml:2: node: found \"  x\"; accepted: "
                               "a name of 1 to 64") != std::string::npos);
@@ -159,9 +159,10 @@
   CHECK(std::holds_alternative<std::vector<SettingsError>>(folder));
 }
 
-// Symptom: `check` ends by a signal on a file cut short by a full disk.
-// Sequence: any bytes of an accepted file replaced, removed, repeated.
-// Cause: a parser or check that trusts what it has not looked at.
+// Guards against a `check` command that is terminated by a signal, for example
+// on a file that a full disk has cut short. Random bytes of a valid file are
+// replaced, removed or repeated; the fault would be a parser or check that
+// trusts unchecked input.
 TEST_CASE("mutated text gives settings or errors, never a crash") {
   const char* seeds_text = std::getenv("BILBERRYSPOOL_SEEDS");
   const int seeds = seeds_text != nullptr ? std::atoi(seeds_text) : 300;
