--- a/tests/auto/platform/announcement_codec_test.cc
+++ b/tests/auto/platform/announcement_codec_test.cc
@@ -11,7 +11,7 @@
 namespace bilberryspool::platform {
 namespace {
 
-TEST_CASE("an announcement is read") {
+TEST_CASE("a complete announcement is parsed") {
   const auto announcement = ReadAnnouncement(
       TargetId("i-1"),
       R"({"service":"s","address":"10.0.0.9:8080","zone":"z","version":"v1",
@@ -30,7 +30,8 @@
         traffic::GroupMembership{GroupId("g0"), 2, 3, 16, true});
 }
 
-// A whole announcement with one member replaced; an empty value leaves it out.
+// Returns a complete announcement with one member replaced; an empty value
+// leaves the member out.
 std::string With(const std::string& key, const std::string& value) {
   std::vector<std::pair<std::string, std::string>> members = {
       {"service", R"("s")"},
@@ -52,9 +53,9 @@
   return body + "}";
 }
 
-// Symptom: a gateway sends to a target that can't be reached or isn't there to
-// serve. Cause: an announcement of another writer was taken as far as it could
-// be read; a state that nobody knows counted as ready.
+// Guards against a gateway that sends requests to a target that is unreachable
+// or not ready. An announcement of another writer was accepted as far as it
+// could be read, and an unknown state counted as ready.
 TEST_CASE("an announcement that can't be used names no target") {
   struct Row {
     std::string key;
@@ -107,7 +108,8 @@
   }
 }
 
-TEST_CASE("the incarnation is read from whatever a target says") {
+TEST_CASE(
+    "the incarnation is parsed from the body of any request of a target") {
   CHECK(ReadAnnouncement(TargetId("i"), With("", ""))->incarnation ==
         Incarnation(1786837060000));
   CHECK(ReadIncarnation(R"({"born":17})") == Incarnation(17));
@@ -115,8 +117,8 @@
   CHECK(ReadIncarnation("") == Incarnation());
 }
 
-// Bytes of a whole announcement replaced, left out and doubled at random.
-TEST_CASE("whatever is read of a damaged announcement can be used") {
+// Random bytes of a complete announcement are replaced, removed or duplicated.
+TEST_CASE("a damaged announcement is rejected or parsed to a usable one") {
   constexpr int kMutations = 5'000;
   Random random(11);
   for (int i = 0; i < kMutations; ++i) {
--- a/tests/auto/platform/configuration_codec_test.cc
+++ b/tests/auto/platform/configuration_codec_test.cc
@@ -27,7 +27,7 @@
                  "header_timeout_ms":3000,"idle_timeout_ms":15000},
        "tenants":[{"name":"w","api_keys":["k1","k2"],"priority":1}]})";
 
-TEST_CASE("a whole configuration is read") {
+TEST_CASE("a complete configuration is parsed") {
   const auto read = ReadConfiguration(kWhole);
   REQUIRE(std::holds_alternative<traffic::TrafficConfiguration>(read));
   const auto& whole = std::get<traffic::TrafficConfiguration>(read);
@@ -65,8 +65,9 @@
   return text;
 }
 
-// Symptom: a configuration that can't be meant is in force everywhere.
-TEST_CASE("what can't be read in full, or contradicts itself, is refused") {
+// Guards against putting an incomplete or contradictory configuration into
+// force everywhere.
+TEST_CASE("an incomplete or contradictory configuration is rejected") {
   const std::string whole = kWhole;
   const std::string rows[] = {
       "",
@@ -100,7 +101,7 @@
   }
 }
 
-TEST_CASE("fields that are not known are ignored") {
+TEST_CASE("unknown fields are ignored") {
   CHECK(std::holds_alternative<traffic::TrafficConfiguration>(
       ReadConfiguration(Replaced("\"version\":7", "\"version\":7,\"new\":1"))));
 }
--- a/tests/auto/platform/engine_codec_test.cc
+++ b/tests/auto/platform/engine_codec_test.cc
@@ -9,7 +9,7 @@
 
 const sidecar::EngineProtocol kProtocol = MakeEngineProtocol();
 
-TEST_CASE("a report is read") {
+TEST_CASE("a complete report is parsed") {
   const auto report = kProtocol.read_report(
       R"({"group":{"name":"g","epoch":2,"rank":0,"state":"open"},"size":16,
           "waiting":1,"running":12,"pace":1.5,"step":812,"map":3,"prepared":4,
@@ -29,7 +29,7 @@
   CHECK(report->pace == doctest::Approx(1.5));
 }
 
-TEST_CASE("nothing prepared, armed or held") {
+TEST_CASE("a report without a prepared, armed or held step is parsed") {
   const auto report = kProtocol.read_report(
       R"({"group":{"epoch":1,"state":"broken"},"step":0,"map":0,
           "prepared":null,"armed":null,"held":null})");
@@ -40,7 +40,7 @@
   CHECK_FALSE(report->held.has_value());
 }
 
-TEST_CASE("bad input is refused") {
+TEST_CASE("invalid input is rejected") {
   const char* const rows[] = {"",
                               "{",
                               "[]",
@@ -57,7 +57,7 @@
                   .has_value());
 }
 
-TEST_CASE("picks and experts are read") {
+TEST_CASE("picks and experts are parsed") {
   const auto picks =
       kProtocol.read_picks(R"({"step":9,"epoch":1,"counts":[5120,88,940]})");
   REQUIRE(picks.has_value());
@@ -72,7 +72,7 @@
         std::vector<ExpertIndex>{ExpertIndex(0), ExpertIndex(2)});
 }
 
-TEST_CASE("orders are written") {
+TEST_CASE("orders are encoded") {
   auto map = std::make_shared<placement::ExpertMap>(1, 2);
   map->Add({placement::LayerIndex(0), ExpertIndex(0)}, RankIndex(1));
   map->Add({placement::LayerIndex(0), ExpertIndex(1)}, RankIndex(0));
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_CASE("only a clear answer counts") {
+TEST_CASE("only a definite status decides the outcome of an order") {
   CHECK(kProtocol.read_answer(200) == groups::OrderAnswer::kDone);
   CHECK(kProtocol.read_answer(202) == groups::OrderAnswer::kBegun);
   CHECK(kProtocol.read_answer(409) == groups::OrderAnswer::kRefused);
--- a/tests/auto/platform/outside_calls_test.cc
+++ b/tests/auto/platform/outside_calls_test.cc
@@ -1,4 +1,4 @@
-// What stand-ins write is what the program reads.
+// Guards against stand-ins that write another format than the program reads.
 
 #include "platform/outside_calls.h"
 
@@ -10,7 +10,7 @@
 namespace bilberryspool::platform {
 namespace {
 
-TEST_CASE("a configuration that is written is read as it was") {
+TEST_CASE("a written configuration is parsed to an equal one") {
   traffic::TrafficConfiguration written;
   written.version = 7;
   for (const auto kind :
@@ -45,7 +45,7 @@
   CHECK(read.has_workspaces);
 }
 
-TEST_CASE("an announcement that is written is read as it was") {
+TEST_CASE("a written announcement is parsed to an equal one") {
   traffic::TargetAnnouncement written;
   written.target = TargetId("i-1");
   written.service = ServiceId("a");
