--- a/tests/auto/platform/engine_codec_test.cc
+++ b/tests/auto/platform/engine_codec_test.cc
@@ -29,7 +29,7 @@
   CHECK(report->pace == doctest::Approx(1.5));
 }
 
-TEST_CASE("a report without a prepared, armed or held step is parsed") {
+TEST_CASE("a report without a prepared or armed map or a held step is parsed") {
   const auto report = kProtocol.read_report(
       R"({"group":{"epoch":1,"state":"broken"},"step":0,"map":0,
           "prepared":null,"armed":null,"held":null})");
--- a/tests/auto/telemetry/metrics_test.cc
+++ b/tests/auto/telemetry/metrics_test.cc
@@ -52,7 +52,7 @@
   CHECK(registry.CounterFor(id, {{"workspace", "0"}}).value() == 1);
 }
 
-TEST_CASE("quantiles are accurate and cover the last window only") {
+TEST_CASE("quantiles are close to the true ones and cover the last window") {
   Distribution distribution;
   for (const int samples : {1, 10, 64, 65, 2000, 20000}) {
     Random random(static_cast<std::uint64_t>(samples));
