--- a/src/libs/net/http_client.cc
+++ b/src/libs/net/http_client.cc
@@ -107,9 +107,10 @@
     cancellation->SetHandler([raw = connection.get()] { raw->Cancel(); });
   }
   constexpr Duration kMinTimeout = Milliseconds(1);
-  const Duration left = std::max(timeout - (SteadyNow() - began), kMinTimeout);
-  auto result =
-      connection->Exchange(request, endpoint.ToString(), left, on_processing);
+  const Duration remaining =
+      std::max(timeout - (SteadyNow() - began), kMinTimeout);
+  auto result = connection->Exchange(request, endpoint.ToString(), remaining,
+                                     on_processing);
   if (cancellation != nullptr) {
     cancellation->SetHandler(nullptr);
   }
@@ -136,12 +137,12 @@
   HttpResponse response;
   response.head = stream->head();
   while (true) {
-    const Duration left = deadline - SteadyNow();
-    if (left <= Duration::zero()) {
+    const Duration remaining = deadline - SteadyNow();
+    if (remaining <= Duration::zero()) {
       stream->Cancel();
       return HttpError{HttpErrorKind::kTimeout, "timed out"};
     }
-    StreamPiece piece = stream->Read(left);
+    StreamPiece piece = stream->Read(remaining);
     if (auto* bytes = std::get_if<std::string>(&piece)) {
       response.body += *bytes;
       continue;
--- a/src/libs/rings/bounded_ring.h
+++ b/src/libs/rings/bounded_ring.h
@@ -38,14 +38,14 @@
   // Returns false if the ring is full or closed; `item` is unchanged then.
   bool TryPush(T&& item) {
     in_push_.store(true);
-    const bool is_taken = !closed_.load() && PushSlot(item);
+    const bool is_accepted = !closed_.load() && PushSlot(item);
     in_push_.store(false);
-    std::atomic<std::uint64_t>& counter = is_taken ? pushed_ : refused_;
+    std::atomic<std::uint64_t>& counter = is_accepted ? pushed_ : refused_;
     counter.fetch_add(1, std::memory_order_relaxed);
-    if (is_taken && wake_) {
+    if (is_accepted && wake_) {
       wake_();
     }
-    return is_taken;
+    return is_accepted;
   }
 
   // Passes all available items to `consume(T&&)`, oldest first; returns their
--- a/tests/auto/rings/rings_test.cc
+++ b/tests/auto/rings/rings_test.cc
@@ -45,7 +45,7 @@
   for (const std::size_t capacity : {1UL, 7UL, 256UL}) {
     for (int round = 0; round < 60; ++round) {
       std::vector<std::vector<int>> handled(producers);
-      std::vector<std::uint64_t> taken(producers);
+      std::vector<std::uint64_t> accepted(producers);
       int batches = 0;
       struct Numbered {
         std::size_t producer = 0;
@@ -61,9 +61,9 @@
       for (std::size_t producer = 0; producer < producers; ++producer) {
         threads.emplace_back([&, producer] {
           for (int number = 0; number < 400; ++number) {
-            const bool is_taken =
+            const bool is_accepted =
                 worker.ring(producer).TryPush({producer, number});
-            taken[producer] += is_taken ? 1 : 0;
+            accepted[producer] += is_accepted ? 1 : 0;
           }
         });
       }
@@ -76,12 +76,13 @@
       worker.Stop();
       for (std::size_t producer = 0; producer < producers; ++producer) {
         const std::vector<int>& numbers = handled[producer];
-        REQUIRE(numbers.size() == taken[producer]);
+        REQUIRE(numbers.size() == accepted[producer]);
         REQUIRE(std::is_sorted(numbers.begin(), numbers.end()));
-        REQUIRE(worker.ring(producer).pushed() == taken[producer]);
-        REQUIRE(worker.ring(producer).refused() == 400 - taken[producer]);
+        REQUIRE(worker.ring(producer).pushed() == accepted[producer]);
+        REQUIRE(worker.ring(producer).refused() == 400 - accepted[producer]);
       }
-      CHECK(batches <= static_cast<int>(taken[0] + taken[1] + taken[2]));
+      CHECK(batches <=
+            static_cast<int>(accepted[0] + accepted[1] + accepted[2]));
     }
   }
 }
@@ -125,9 +126,9 @@
       std::this_thread::yield();
     }
   };
-  const bool is_taken = ring.TryPush(HookedItem(close_concurrently));
+  const bool is_accepted = ring.TryPush(HookedItem(close_concurrently));
   closer.join();
-  CHECK(handled == (is_taken ? 1 : 0));
+  CHECK(handled == (is_accepted ? 1 : 0));
 }
 
 TEST_CASE("a notification before the wait is not lost") {
