--- a/src/libs/scenario/grammar.cc
+++ b/src/libs/scenario/grammar.cc
@@ -250,14 +250,14 @@
 language::ParseError MakeError(const Expectations& expectations,
                                std::string_view line) {
   language::ParseError error;
-  error.column = expectations.place() + 1;
+  error.column = expectations.offset() + 1;
   for (const std::string& word : expectations.words()) {
     error.expected.push_back("\"" + word + "\"");
   }
   for (const std::string& description : expectations.descriptions()) {
     error.expected.push_back(description);
   }
-  const std::string_view rest = line.substr(expectations.place());
+  const std::string_view rest = line.substr(expectations.offset());
   error.found = std::string(rest.substr(0, rest.find(' ')));
   return error;
 }
