--- a/src/libs/consensus/replica_leader.cc
+++ b/src/libs/consensus/replica_leader.cc
@@ -14,7 +14,7 @@
   return now.time_since_epoch().count();
 }
 
-// Converts a time echoed by a follower. LimitedTargetsOf to `now`, because a
+// Converts a time echoed by a follower. Limited to `now`, because a
 // time in the future would extend the lease.
 TimePoint FromSentAt(SentAt sent_at, TimePoint now) {
   return std::min(TimePoint(Duration(sent_at)), now);
