--- a/src/plugins/control/config_service.cc
+++ b/src/plugins/control/config_service.cc
@@ -382,7 +382,7 @@
 
 std::variant<config::PlanResult, ControlFailure> ConfigService::Plan(
     const config::Command& command,
-    Duration /*patience*/) {
+    Duration /*timeout*/) {
   if (replica_ != nullptr) {
     return state_machine_.Plan(command);
   }
